--- a/oxbowbend-core/src/cell/rests.rs
+++ b/oxbowbend-core/src/cell/backoff.rs
@@ -10,30 +10,30 @@
 
 /// Until when endpoints want nothing from this instance.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Rests {
+pub(super) struct Backoffs {
     until: HashMap<EndpointKey, Instant>,
 }
 
-impl Rests {
+impl Backoffs {
     /// Grants a rest from now on. A shorter one does not end one that goes on.
-    pub(super) fn grant(&mut self, now: Instant, endpoint: EndpointKey, rest: Duration) {
+    pub(super) fn extend(&mut self, now: Instant, endpoint: EndpointKey, backoff: Duration) {
         let until = self.until.entry(endpoint).or_insert(now);
-        *until = (*until).max(now + rest);
+        *until = (*until).max(now + backoff);
     }
 
     /// What is left of an endpoint's rest.
-    pub(super) fn left(&self, now: Instant, endpoint: EndpointKey) -> Option<Duration> {
-        let left = self.until.get(&endpoint)?.saturating_duration_since(now);
-        (!left.is_zero()).then_some(left)
+    pub(super) fn remaining(&self, now: Instant, endpoint: EndpointKey) -> Option<Duration> {
+        let remaining = self.until.get(&endpoint)?.saturating_duration_since(now);
+        (!remaining.is_zero()).then_some(remaining)
     }
 
     /// Endpoints that rest.
-    pub(super) fn resting(&self, now: Instant) -> impl Iterator<Item = EndpointKey> + '_ {
+    pub(super) fn active(&self, now: Instant) -> impl Iterator<Item = EndpointKey> + '_ {
         self.until.iter().filter(move |(_, until)| **until > now).map(|(key, _)| *key)
     }
 
     /// Forgets rests that are over.
-    pub(super) fn forget(&mut self, now: Instant) {
+    pub(super) fn prune(&mut self, now: Instant) {
         self.until.retain(|_, until| *until > now);
     }
 }
--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -44,8 +44,8 @@
         if signals.is_draining {
             self.leaving.hear(now, endpoint, Origin::Answer);
         }
-        if let Said::Value(rest) = signals.backoff {
-            self.rests.grant(now, endpoint, rest);
+        if let Said::Value(backoff) = signals.backoff {
+            self.backoffs.extend(now, endpoint, backoff);
         }
     }
 
@@ -122,7 +122,7 @@
 
     /// Endpoints that rest.
     pub fn resting(&self, now: Instant) -> usize {
-        self.rests.resting(now).count()
+        self.backoffs.active(now).count()
     }
 
     /// Endpoints that are believed to have a limit.
@@ -143,7 +143,8 @@
             return None;
         }
         let opens_in = |(key, scope)| {
-            let opens_in = [self.limits.opens_in(now, key, scope), self.rests.left(now, key)];
+            let opens_in =
+                [self.limits.opens_in(now, key, scope), self.backoffs.remaining(now, key)];
             opens_in.into_iter().flatten().max()
         };
         keys.into_iter().filter_map(opens_in).min()
@@ -157,7 +158,7 @@
             rooms.extend(self.limits.room(now, key, scope).map(|room| (key, room)));
         }
         // Who sent to an endpoint that rests would be turned away again, and be taken for the reason of its need.
-        rooms.extend(self.rests.resting(now).map(|key| (key, 0)));
+        rooms.extend(self.backoffs.active(now).map(|key| (key, 0)));
         rooms
     }
 
@@ -169,7 +170,7 @@
 
     /// Whether a request that has its place may still be sent: the endpoint may have said meanwhile that it leaves, or wants rest.
     pub fn may_send(&self, now: Instant, endpoint: EndpointKey) -> bool {
-        !self.leaving.has(endpoint) && self.rests.left(now, endpoint).is_none()
+        !self.leaving.has(endpoint) && self.backoffs.remaining(now, endpoint).is_none()
     }
 
     /// Forgets what was said by endpoints that are not listed any more.
@@ -177,7 +178,7 @@
         let (sites, listed) = (&self.sites, &self.listed);
         let is_listed = |key: &EndpointKey| sites.contains_key(key) || listed.contains(key);
         self.limits.forget(now, is_listed);
-        self.rests.forget(now);
+        self.backoffs.prune(now);
         self.leaving.forget(now, is_listed);
     }
 
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -9,6 +9,7 @@
 //! This stands in for the pool's [`crate::scheduler`] where slots are no promise of the endpoint.
 
 mod assign;
+mod backoff;
 mod fleet;
 mod gate;
 mod groups;
@@ -20,7 +21,6 @@
 mod peer;
 mod reach;
 mod report;
-mod rests;
 mod shedding;
 mod signals;
 
@@ -181,7 +181,7 @@
     /// Endpoints that have said that they leave.
     leaving: leaving::Leaving,
     /// Those that have asked this instance for rest.
-    rests: rests::Rests,
+    backoffs: backoff::Backoffs,
     /// Services whose endpoints belong to all cells.
     shared: BTreeSet<ServiceId>,
     /// Endpoints that the platform lists, of all cells.
@@ -195,7 +195,7 @@
         Cell {
             limits: limits::Limits::new(&me),
             leaving: leaving::Leaving::default(),
-            rests: rests::Rests::default(),
+            backoffs: backoff::Backoffs::default(),
             shared: BTreeSet::new(),
             listed: HashSet::new(),
             me,
