--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -121,7 +121,7 @@
     }
 
     /// Endpoints that rest.
-    pub fn resting(&self, now: Instant) -> usize {
+    pub fn backing_off_count(&self, now: Instant) -> usize {
         self.backoffs.active(now).count()
     }
 
--- a/oxbowbend-gateway/src/gateway.rs
+++ b/oxbowbend-gateway/src/gateway.rs
@@ -263,7 +263,7 @@
             state.set_shares(now);
             waiting = state.cell.waiting();
             let restarted = std::mem::take(&mut state.restarted);
-            (news, state.heard(now), restarted, state.cell.resting(now))
+            (news, state.heard(now), restarted, state.cell.backing_off_count(now))
         };
         restarted.into_iter().for_each(|address| pool.forget(address));
         shared.give_up(now);
