--- a/oxbowbend-core/src/cell/leaving.rs
+++ b/oxbowbend-core/src/cell/draining.rs
@@ -27,59 +27,60 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Word {
-    first: Instant,
-    last: Instant,
+struct DrainRecord {
+    first_heard: Instant,
+    last_heard: Instant,
 }
 
 /// All endpoints that have said that they leave.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Leaving {
-    known: HashMap<EndpointKey, Word>,
+pub(super) struct DrainingEndpoints {
+    records: HashMap<EndpointKey, DrainRecord>,
     changes: Vec<Leaver>,
 }
 
-impl Leaving {
+impl DrainingEndpoints {
     /// Takes in that an endpoint leaves.
-    pub(super) fn hear(&mut self, now: Instant, endpoint: EndpointKey, origin: Origin) {
-        if let Some(word) = self.known.get_mut(&endpoint) {
-            word.last = now;
+    pub(super) fn record(&mut self, now: Instant, endpoint: EndpointKey, origin: Origin) {
+        if let Some(record) = self.records.get_mut(&endpoint) {
+            record.last_heard = now;
             return;
         }
-        self.known.insert(endpoint, Word { first: now, last: now });
+        self.records.insert(endpoint, DrainRecord { first_heard: now, last_heard: now });
         self.changes.push(Leaver { endpoint, origin });
     }
 
     /// Whether an endpoint has said that it leaves.
-    pub(super) fn has(&self, endpoint: EndpointKey) -> bool {
-        self.known.contains_key(&endpoint)
+    pub(super) fn contains(&self, endpoint: EndpointKey) -> bool {
+        self.records.contains_key(&endpoint)
     }
 
     /// How many have.
     pub(super) fn count(&self) -> usize {
-        self.known.len()
+        self.records.len()
     }
 
     /// What to tell of listed endpoints: what is new, or everything to an instance that has just started.
-    pub(super) fn tell(
+    pub(super) fn to_report(
         &self,
         now: Instant,
         audience: Audience,
         is_listed: impl Fn(&EndpointKey) -> bool,
     ) -> Vec<EndpointKey> {
-        let is_new = |word: &Word| now.saturating_duration_since(word.first) < TELL;
-        let is_told = |(key, word): &(&EndpointKey, &Word)| {
-            is_listed(key) && (audience == Audience::Newcomer || is_new(word))
+        let is_new =
+            |record: &DrainRecord| now.saturating_duration_since(record.first_heard) < TELL;
+        let is_told = |(key, record): &(&EndpointKey, &DrainRecord)| {
+            is_listed(key) && (audience == Audience::Newcomer || is_new(record))
         };
-        let mut all: Vec<_> = self.known.iter().filter(is_told).collect();
-        all.sort_by_key(|(key, word)| (std::cmp::Reverse(word.first), **key));
+        let mut all: Vec<_> = self.records.iter().filter(is_told).collect();
+        all.sort_by_key(|(key, record)| (std::cmp::Reverse(record.first_heard), **key));
         all.into_iter().take(MAX_TOLD).map(|(key, _)| *key).collect()
     }
 
     /// Forgets endpoints that are not listed any more.
-    pub(super) fn forget(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
+    pub(super) fn prune(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
         let is_late = |at: Instant| now.saturating_duration_since(at) > FORGET;
-        self.known.retain(|key, word| !is_late(word.last) || is_listed(key));
+        self.records.retain(|key, record| !is_late(record.last_heard) || is_listed(key));
     }
 
     /// Those that are newly known since the last call.
--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use super::leaving::Leaver;
+use super::draining::Leaver;
 use super::limits::{LimitChange, Scope};
 use super::report::ToldEndpoints;
 use super::signals::{Audience, Origin, Said, Signals};
@@ -42,7 +42,7 @@
     ) {
         self.limits.answered(now, endpoint, sent, signals.rate_limit);
         if signals.is_draining {
-            self.leaving.hear(now, endpoint, Origin::Answer);
+            self.draining.record(now, endpoint, Origin::Answer);
         }
         if let Said::Value(backoff) = signals.backoff {
             self.backoffs.extend(now, endpoint, backoff);
@@ -52,14 +52,14 @@
     /// Takes in that an endpoint leaves by its entry. With it the word reaches all instances in beats, whoever of them
     /// reads the store: those that copy another one's list learned it up to two seconds later.
     pub fn leaves_by_entry(&mut self, now: Instant, endpoint: EndpointKey) {
-        self.leaving.hear(now, endpoint, Origin::Entry);
+        self.draining.record(now, endpoint, Origin::Entry);
     }
 
     /// Takes in what another instance tells of endpoints, whether they are listed here yet or not.
     pub fn told_of_endpoints(&mut self, now: Instant, said: &ToldEndpoints, is_near: bool) {
         let origin = if is_near { Origin::Cell } else { Origin::Fleet };
         self.limits.told(now, &said.limits, origin);
-        said.leaving.iter().for_each(|key| self.leaving.hear(now, *key, origin));
+        said.leaving.iter().for_each(|key| self.draining.record(now, *key, origin));
     }
 
     /// The same from a report. Of endpoints that are not listed nothing is believed: it would be told from one to the other for ever.
@@ -101,7 +101,7 @@
         is_for: impl Fn(&EndpointKey) -> bool,
     ) -> ToldEndpoints {
         let limits = self.limits.tell(now, audience, is_for);
-        let leaving = self.leaving.tell(now, audience, |key| self.is_listed(*key));
+        let leaving = self.draining.to_report(now, audience, |key| self.is_listed(*key));
         ToldEndpoints { limits, leaving }
     }
 
@@ -112,12 +112,12 @@
 
     /// Endpoints that are newly known to leave since the last call.
     pub fn take_leavers(&mut self) -> Vec<Leaver> {
-        self.leaving.take_changes()
+        self.draining.take_changes()
     }
 
     /// Endpoints that have said that they leave.
     pub fn leavers(&self) -> usize {
-        self.leaving.count()
+        self.draining.count()
     }
 
     /// Endpoints that rest.
@@ -170,7 +170,7 @@
 
     /// Whether a request that has its place may still be sent: the endpoint may have said meanwhile that it leaves, or wants rest.
     pub fn may_send(&self, now: Instant, endpoint: EndpointKey) -> bool {
-        !self.leaving.has(endpoint) && self.backoffs.remaining(now, endpoint).is_none()
+        !self.draining.contains(endpoint) && self.backoffs.remaining(now, endpoint).is_none()
     }
 
     /// Forgets what was said by endpoints that are not listed any more.
@@ -179,7 +179,7 @@
         let is_listed = |key: &EndpointKey| sites.contains_key(key) || listed.contains(key);
         self.limits.forget(now, is_listed);
         self.backoffs.prune(now);
-        self.leaving.forget(now, is_listed);
+        self.draining.prune(now, is_listed);
     }
 
     fn is_listed(&self, key: EndpointKey) -> bool {
@@ -189,7 +189,7 @@
     /// Whether an endpoint leaves, by its entry or its own word: one belief, whichever comes first. While the store is away only the
     /// endpoint itself can say so.
     pub(super) fn is_leaving(&self, key: EndpointKey, site: &Site) -> bool {
-        site.endpoint.leaving || self.leaving.has(key)
+        site.endpoint.leaving || self.draining.contains(key)
     }
 
     /// Whether an endpoint takes requests at all.
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -10,12 +10,12 @@
 
 mod assign;
 mod backoff;
+mod draining;
 mod fleet;
 mod gate;
 mod groups;
 mod health;
 mod hear;
-mod leaving;
 mod limits;
 mod pace;
 mod peer;
@@ -28,10 +28,10 @@
 use std::time::{Duration, Instant};
 
 pub use assign::{Assignment, UNHEARD};
+pub use draining::Leaver;
 pub use fleet::{Beyond, FleetView};
 pub use groups::{Group, MAX_CELL};
 pub use hear::{Growth, Heard};
-pub use leaving::Leaver;
 pub use limits::{LimitChange, ToldLimit};
 pub use pace::FIXED_UNITS;
 pub use reach::{Names, Reach};
@@ -179,7 +179,7 @@
     /// Limits that endpoints name.
     limits: limits::Limits,
     /// Endpoints that have said that they leave.
-    leaving: leaving::Leaving,
+    draining: draining::DrainingEndpoints,
     /// Those that have asked this instance for rest.
     backoffs: backoff::Backoffs,
     /// Services whose endpoints belong to all cells.
@@ -194,7 +194,7 @@
     pub fn new(me: InstanceId, zone: ZoneId, life: u64) -> Cell {
         Cell {
             limits: limits::Limits::new(&me),
-            leaving: leaving::Leaving::default(),
+            draining: draining::DrainingEndpoints::default(),
             backoffs: backoff::Backoffs::default(),
             shared: BTreeSet::new(),
             listed: HashSet::new(),
