--- a/oxbowbend-core/src/cell/draining.rs
+++ b/oxbowbend-core/src/cell/draining.rs
@@ -19,7 +19,7 @@
 
 /// An endpoint that is newly known to leave.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Leaver {
+pub struct DrainNotice {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// From whom that is known.
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct DrainingEndpoints {
     records: HashMap<EndpointKey, DrainRecord>,
-    changes: Vec<Leaver>,
+    notices: Vec<DrainNotice>,
 }
 
 impl DrainingEndpoints {
@@ -47,7 +47,7 @@
             return;
         }
         self.records.insert(endpoint, DrainRecord { first_heard: now, last_heard: now });
-        self.changes.push(Leaver { endpoint, origin });
+        self.notices.push(DrainNotice { endpoint, origin });
     }
 
     /// Whether an endpoint has said that it leaves.
@@ -84,7 +84,7 @@
     }
 
     /// Those that are newly known since the last call.
-    pub(super) fn take_changes(&mut self) -> Vec<Leaver> {
-        std::mem::take(&mut self.changes)
+    pub(super) fn take_notices(&mut self) -> Vec<DrainNotice> {
+        std::mem::take(&mut self.notices)
     }
 }
--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use super::draining::Leaver;
+use super::draining::DrainNotice;
 use super::limits::{LimitChange, Scope};
 use super::report::ToldEndpoints;
 use super::signals::{Audience, Origin, Said, Signals};
@@ -111,8 +111,8 @@
     }
 
     /// Endpoints that are newly known to leave since the last call.
-    pub fn take_leavers(&mut self) -> Vec<Leaver> {
-        self.draining.take_changes()
+    pub fn take_drain_notices(&mut self) -> Vec<DrainNotice> {
+        self.draining.take_notices()
     }
 
     /// Endpoints that have said that they leave.
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -28,7 +28,7 @@
 use std::time::{Duration, Instant};
 
 pub use assign::{Assignment, UNHEARD};
-pub use draining::Leaver;
+pub use draining::DrainNotice;
 pub use fleet::{Beyond, FleetView};
 pub use groups::{Group, MAX_CELL};
 pub use hear::{Growth, Heard};
--- a/oxbowbend-core/tests/draining.rs
+++ b/oxbowbend-core/tests/draining.rs
@@ -43,7 +43,7 @@
     reader.leaves_by_entry(now, key("e0"));
     hears_from(&mut copier, &mut reader, now);
     assert!(!copier.may_send(now, key("e0")));
-    assert_eq!(copier.take_leavers()[0].origin, Origin::Cell);
+    assert_eq!(copier.take_drain_notices()[0].origin, Origin::Cell);
 }
 
 #[test]
@@ -54,7 +54,7 @@
     cells[0].endpoint_said(now, key("e0"), now, LEAVES);
     let (a, rest) = cells.split_at_mut(1);
     hears_from(&mut rest[0], &mut a[0], now);
-    let leaver = rest[0].take_leavers()[0];
+    let leaver = rest[0].take_drain_notices()[0];
     assert_eq!((leaver.endpoint, leaver.origin), (key("e0"), Origin::Cell));
     // The first one may be gone when another one starts.
     let (b, c) = rest.split_at_mut(1);
--- a/oxbowbend-gateway/src/signals.rs
+++ b/oxbowbend-gateway/src/signals.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use oxbowbend_clock as clock;
-use oxbowbend_core::cell::{Leaver, LimitChange, Said, Signals};
+use oxbowbend_core::cell::{DrainNotice, LimitChange, Said, Signals};
 use oxbowbend_core::ids::EndpointKey;
 use oxbowbend_core::routes::Endpoint;
 
@@ -45,14 +45,14 @@
 impl State {
     /// Logs what is newly believed of endpoints' words; `true` if there is anything.
     pub(crate) fn log_said(&mut self) -> bool {
-        let (limits, leavers) = (self.cell.take_limit_changes(), self.cell.take_leavers());
+        let (limits, notices) = (self.cell.take_limit_changes(), self.cell.take_drain_notices());
         for change in &limits {
             self.log_limit(change);
         }
-        for leaver in &leavers {
-            self.log_leaver(leaver);
+        for notice in &notices {
+            self.log_drain_notice(notice);
         }
-        let is_news = !limits.is_empty() || !leavers.is_empty();
+        let is_news = !limits.is_empty() || !notices.is_empty();
         if is_news {
             observe::limited(self.cell.limited());
             observe::leaving(self.cell.leavers());
@@ -70,8 +70,8 @@
         );
     }
 
-    fn log_leaver(&self, leaver: &Leaver) {
-        let Leaver { endpoint, origin } = leaver;
+    fn log_drain_notice(&self, notice: &DrainNotice) {
+        let DrainNotice { endpoint, origin } = notice;
         let name = self.name_of(*endpoint);
         log::info!("event=endpoint_leaving endpoint={name} start={endpoint:08x} from={origin:?}");
     }
