--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -116,7 +116,7 @@
     }
 
     /// Endpoints that have said that they leave.
-    pub fn leavers(&self) -> usize {
+    pub fn draining_count(&self) -> usize {
         self.draining.count()
     }
 
--- a/oxbowbend-core/tests/draining.rs
+++ b/oxbowbend-core/tests/draining.rs
@@ -26,7 +26,7 @@
     let first = placed(&mut cell, now);
     let (leaver, other) = if first[0].1 == "e0" { ("e0", "e2") } else { ("e2", "e0") };
     cell.endpoint_said(now, key(leaver), now, LEAVES);
-    assert_eq!((cell.leavers(), cell.load(now, key(leaver))), (1, 1));
+    assert_eq!((cell.draining_count(), cell.load(now, key(leaver))), (1, 1));
     assert!(!cell.may_send(now, key(leaver)) && cell.may_send(now, key(other)));
     (0..6).for_each(|_| _ = cell.arrive(want(0, 1, now)));
     let placed = placed(&mut cell, now + 20 * MS);
@@ -75,5 +75,5 @@
     assert!(c[0].report(now, Extent::Changes).said.leaving.is_empty());
     hears_from(&mut c[0], &mut b[0], now + 10 * MS);
     c[0].forget(now + Duration::from_secs(61));
-    assert_eq!(c[0].leavers(), 0);
+    assert_eq!(c[0].draining_count(), 0);
 }
--- a/oxbowbend-gateway/src/signals.rs
+++ b/oxbowbend-gateway/src/signals.rs
@@ -55,7 +55,7 @@
         let is_news = !limits.is_empty() || !notices.is_empty();
         if is_news {
             observe::limited(self.cell.limited());
-            observe::leaving(self.cell.leavers());
+            observe::leaving(self.cell.draining_count());
         }
         is_news
     }
