--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -51,7 +51,7 @@
 
     /// Takes in that an endpoint leaves by its entry. With it the word reaches all instances in beats, whoever of them
     /// reads the store: those that copy another one's list learned it up to two seconds later.
-    pub fn leaves_by_entry(&mut self, now: Instant, endpoint: EndpointKey) {
+    pub fn mark_draining(&mut self, now: Instant, endpoint: EndpointKey) {
         self.draining.record(now, endpoint, Origin::Entry);
     }
 
--- a/oxbowbend-core/tests/draining.rs
+++ b/oxbowbend-core/tests/draining.rs
@@ -40,7 +40,7 @@
 fn an_entry_is_told_like_an_answer() {
     let now = Instant::now();
     let (mut reader, mut copier) = (cell("a", &[endpoint(0, 4)]), cell("b", &[endpoint(0, 4)]));
-    reader.leaves_by_entry(now, key("e0"));
+    reader.mark_draining(now, key("e0"));
     hears_from(&mut copier, &mut reader, now);
     assert!(!copier.may_send(now, key("e0")));
     assert_eq!(copier.take_drain_notices()[0].origin, Origin::Cell);
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -317,7 +317,7 @@
                     quarantine.entry_changed(now, id);
                 }
                 News::Endpoint(endpoint) if endpoint.leaving => {
-                    cell.leaves_by_entry(now, endpoint.key());
+                    cell.mark_draining(now, endpoint.key());
                 }
                 _ => {}
             }
