--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -310,7 +310,7 @@
             return;
         }
         let mut services: HashMap<ServiceId, (usize, usize)> = HashMap::new();
-        for (_, site) in self.sites.iter().filter(|(key, s)| !self.is_leaving(**key, s)) {
+        for (_, site) in self.sites.iter().filter(|(key, s)| !self.is_draining(**key, s)) {
             let (all, aside) = services.entry(site.endpoint.service.clone()).or_default();
             *all += 1;
             *aside += usize::from(site.health.is_aside(now));
--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -188,13 +188,13 @@
 
     /// Whether an endpoint leaves, by its entry or its own word: one belief, whichever comes first. While the store is away only the
     /// endpoint itself can say so.
-    pub(super) fn is_leaving(&self, key: EndpointKey, site: &Site) -> bool {
+    pub(super) fn is_draining(&self, key: EndpointKey, site: &Site) -> bool {
         site.endpoint.leaving || self.draining.contains(key)
     }
 
     /// Whether an endpoint takes requests at all.
     pub(super) fn is_open(&self, now: Instant, key: EndpointKey, site: &Site) -> bool {
-        !self.is_leaving(key, site) && !site.health.is_aside(now)
+        !self.is_draining(key, site) && !site.health.is_aside(now)
     }
 
     fn scope(&self, site: &Site) -> Scope {
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -328,7 +328,7 @@
     /// Whether this cell has an endpoint of a service that takes requests.
     pub fn serves(&self, service: &ServiceId) -> bool {
         let is_open = |(key, s): (&EndpointKey, &Site)| {
-            s.endpoint.service == *service && !self.is_leaving(*key, s)
+            s.endpoint.service == *service && !self.is_draining(*key, s)
         };
         self.sites.iter().any(is_open)
     }
