--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -264,7 +264,7 @@
             *load = (load.0 + told.running, load.1.saturating_add(told.unread));
         }
         let KnownPaces { paces, usual, .. } = &self.known;
-        let open = self.sites.iter().filter(|(key, s)| self.is_open(now, **key, s));
+        let open = self.sites.iter().filter(|(key, s)| self.is_available(now, **key, s));
         let place = |key: &EndpointKey, s: &'_ super::Site| {
             let (running, unread) = loads.get(key).copied().unwrap_or_default();
             let load = s.running + running;
--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -136,7 +136,7 @@
         if rooms.is_empty() {
             return None;
         }
-        let open = self.sites.iter().filter(|(key, s)| self.is_open(now, **key, s));
+        let open = self.sites.iter().filter(|(key, s)| self.is_available(now, **key, s));
         let of_service = open.filter(|(_, s)| s.endpoint.service == *service);
         let keys: Vec<_> = of_service.map(|(key, s)| (*key, self.scope(s))).collect();
         if keys.iter().any(|(key, _)| rooms.get(key).is_none_or(|room| *room > 0)) {
@@ -193,7 +193,7 @@
     }
 
     /// Whether an endpoint takes requests at all.
-    pub(super) fn is_open(&self, now: Instant, key: EndpointKey, site: &Site) -> bool {
+    pub(super) fn is_available(&self, now: Instant, key: EndpointKey, site: &Site) -> bool {
         !self.is_draining(key, site) && !site.health.is_aside(now)
     }
 
