--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::gate::Rooms;
+use super::backpressure::Rooms;
 use super::{Cell, Stall, Ticket, Want, CLAIM_TTL, FIXED_UNITS};
 use crate::ids::{EndpointId, EndpointKey, ServiceId, ZoneId};
 use crate::routes::Endpoint;
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -10,9 +10,9 @@
 
 mod assign;
 mod backoff;
+mod backpressure;
 mod draining;
 mod fleet;
-mod gate;
 mod groups;
 mod health;
 mod hear;
