--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::backpressure::Rooms;
+use super::backpressure::Allowances;
 use super::{Cell, Stall, Ticket, Want, CLAIM_TTL, FIXED_UNITS};
 use crate::ids::{EndpointId, EndpointKey, ServiceId, ZoneId};
 use crate::routes::Endpoint;
@@ -154,8 +154,8 @@
         }
         self.know_paces(now);
         // An endpoint that names a limit gets no more than that from all instances together, by whatever way a request comes to it.
-        let rooms = self.rooms(now);
-        let assignments = self.work_out(now, &rooms);
+        let allowances = self.allowances(now);
+        let assignments = self.work_out(now, &allowances);
         for a in &assignments {
             self.pass(now, a.endpoint.key());
             if let Some(want) = self.waiting.remove(&a.ticket) {
@@ -169,8 +169,8 @@
         assignments
     }
 
-    fn work_out(&self, now: Instant, rooms: &Rooms) -> Vec<Assignment> {
-        let mut places = self.places(now, rooms);
+    fn work_out(&self, now: Instant, allowances: &Allowances) -> Vec<Assignment> {
+        let mut places = self.places(now, allowances);
         let withheld = withheld(&places);
         places.retain(|p| p.wanted != Some(0));
         places.iter_mut().for_each(|p| p.room = p.room.min(p.wanted.unwrap_or(p.room)));
@@ -257,7 +257,7 @@
         all
     }
 
-    fn places(&self, now: Instant, rooms: &Rooms) -> Vec<Place<'_>> {
+    fn places(&self, now: Instant, allowances: &Allowances) -> Vec<Place<'_>> {
         let mut loads: HashMap<EndpointKey, (u32, u32)> = HashMap::new();
         for told in self.live_reports(now).flat_map(|r| &r.loads) {
             let load = loads.entry(told.endpoint).or_default();
@@ -285,7 +285,7 @@
                 ns,
                 usual_ns: *usual,
                 is_guess,
-                wanted: rooms.get(key).copied(),
+                wanted: allowances.get(key).copied(),
             }
         })
         .collect()
--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -12,7 +12,7 @@
 use crate::ids::{EndpointKey, InstanceId, ServiceId};
 
 /// Requests that this instance may send to endpoints that want fewer; others take what they have places for.
-pub(super) type Rooms = HashMap<EndpointKey, u32>;
+pub(super) type Allowances = HashMap<EndpointKey, u32>;
 
 impl Cell {
     /// Sets who shares the endpoints: the instances of this cell, and those of the fleet for services whose endpoints belong
@@ -132,14 +132,14 @@
 
     /// Time until an endpoint of a service wants a request again, if all that could take one want none now.
     pub fn opens_in(&mut self, now: Instant, service: &ServiceId) -> Option<Duration> {
-        let rooms = self.rooms(now);
-        if rooms.is_empty() {
+        let allowances = self.allowances(now);
+        if allowances.is_empty() {
             return None;
         }
         let open = self.sites.iter().filter(|(key, s)| self.is_available(now, **key, s));
         let of_service = open.filter(|(_, s)| s.endpoint.service == *service);
         let keys: Vec<_> = of_service.map(|(key, s)| (*key, self.scope(s))).collect();
-        if keys.iter().any(|(key, _)| rooms.get(key).is_none_or(|room| *room > 0)) {
+        if keys.iter().any(|(key, _)| allowances.get(key).is_none_or(|room| *room > 0)) {
             return None;
         }
         let opens_in = |(key, scope)| {
@@ -151,15 +151,15 @@
     }
 
     /// What this instance may send to endpoints that want fewer requests.
-    pub(super) fn rooms(&mut self, now: Instant) -> Rooms {
-        let mut rooms = Rooms::new();
+    pub(super) fn allowances(&mut self, now: Instant) -> Allowances {
+        let mut allowances = Allowances::new();
         for key in self.limits.limited() {
             let Some(scope) = self.sites.get(&key).map(|s| self.scope(s)) else { continue };
-            rooms.extend(self.limits.room(now, key, scope).map(|room| (key, room)));
+            allowances.extend(self.limits.room(now, key, scope).map(|room| (key, room)));
         }
         // Who sent to an endpoint that rests would be turned away again, and be taken for the reason of its need.
-        rooms.extend(self.backoffs.active(now).map(|key| (key, 0)));
-        rooms
+        allowances.extend(self.backoffs.active(now).map(|key| (key, 0)));
+        allowances
     }
 
     /// Notes that a request goes to an endpoint.
