--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -17,7 +17,7 @@
 impl Cell {
     /// Sets who shares the endpoints: the instances of this cell, and those of the fleet for services whose endpoints belong
     /// to all cells.
-    pub fn set_sharers<'a>(
+    pub fn set_sharing_instances<'a>(
         &mut self,
         cell: impl Iterator<Item = &'a InstanceId>,
         fleet: impl Iterator<Item = &'a InstanceId>,
--- a/oxbowbend-core/tests/limit_exploration.rs
+++ b/oxbowbend-core/tests/limit_exploration.rs
@@ -73,7 +73,7 @@
         _ => Cell::new(all[n].clone(), "z0".into(), life),
     };
     cell.set_endpoints([endpoint(0, 1000)]);
-    cell.set_sharers(all.iter(), all.iter(), Default::default());
+    cell.set_sharing_instances(all.iter(), all.iter(), Default::default());
     cell
 }
 
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -21,7 +21,7 @@
 /// An instance of a fleet whose endpoints belong to all.
 fn instance(n: usize, all: &[InstanceId]) -> Cell {
     let mut cell = cell(&all[n], &[endpoint(0, 1000)]);
-    cell.set_sharers(all.iter().take(12), all.iter(), ["s".into()].into());
+    cell.set_sharing_instances(all.iter().take(12), all.iter(), ["s".into()].into());
     cell
 }
 
