--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -28,7 +28,7 @@
     }
 
     /// Sets which endpoints the platform lists, of all cells.
-    pub fn set_listed(&mut self, listed: impl Iterator<Item = EndpointKey>) {
+    pub fn set_listed_endpoints(&mut self, listed: impl Iterator<Item = EndpointKey>) {
         self.listed = listed.collect();
     }
 
--- a/oxbowbend-core/tests/draining.rs
+++ b/oxbowbend-core/tests/draining.rs
@@ -67,7 +67,7 @@
     // One of another cell is told on to whoever starts, if the platform lists it.
     let mut other = cell("d", &[endpoint(2, 4)]);
     for listed in [0, 1] {
-        other.set_listed([key("e0")].into_iter().take(listed));
+        other.set_listed_endpoints([key("e0")].into_iter().take(listed));
         other.hear(now + 20 * MS * listed as u32, b[0].report(now, Extent::Changes), false);
         assert_eq!(other.introduce_endpoints(now).leaving.len(), listed);
     }
