--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -33,7 +33,7 @@
     }
 
     /// Takes in what an answer says of its endpoint, to a request that was sent at `sent`.
-    pub fn endpoint_said(
+    pub fn apply_signals(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
--- a/oxbowbend-core/tests/backoff.rs
+++ b/oxbowbend-core/tests/backoff.rs
@@ -9,7 +9,7 @@
 
 fn asks_for_rest(cell: &mut Cell, now: Instant, name: &str, ms: u64) {
     let backoff = Said::Value(Duration::from_millis(ms));
-    cell.endpoint_said(now, key(name), now, Signals { backoff, ..Signals::default() });
+    cell.apply_signals(now, key(name), now, Signals { backoff, ..Signals::default() });
 }
 
 fn is_used(cell: &mut Cell, now: Instant) -> bool {
--- a/oxbowbend-core/tests/draining.rs
+++ b/oxbowbend-core/tests/draining.rs
@@ -25,7 +25,7 @@
     cell.arrive(want(0, 1, now));
     let first = placed(&mut cell, now);
     let (leaver, other) = if first[0].1 == "e0" { ("e0", "e2") } else { ("e2", "e0") };
-    cell.endpoint_said(now, key(leaver), now, LEAVES);
+    cell.apply_signals(now, key(leaver), now, LEAVES);
     assert_eq!((cell.draining_count(), cell.load(now, key(leaver))), (1, 1));
     assert!(!cell.may_send(now, key(leaver)) && cell.may_send(now, key(other)));
     (0..6).for_each(|_| _ = cell.arrive(want(0, 1, now)));
@@ -51,7 +51,7 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 4)];
     let mut cells: Vec<_> = ["a", "b", "c"].map(|name| cell(name, &endpoints)).into();
-    cells[0].endpoint_said(now, key("e0"), now, LEAVES);
+    cells[0].apply_signals(now, key("e0"), now, LEAVES);
     let (a, rest) = cells.split_at_mut(1);
     hears_from(&mut rest[0], &mut a[0], now);
     let leaver = rest[0].take_drain_notices()[0];
--- a/oxbowbend-core/tests/limit_exploration.rs
+++ b/oxbowbend-core/tests/limit_exploration.rs
@@ -143,7 +143,7 @@
         let at = self.now + 100 * MS;
         let rate_limit = answer.limit.map_or(Said::Nothing, Said::Value);
         let signals = Signals { rate_limit, ..Signals::default() };
-        self.cells[answer.instance].endpoint_said(at, key("e0"), answer.sent, signals);
+        self.cells[answer.instance].apply_signals(at, key("e0"), answer.sent, signals);
         if answer.limit.is_some() {
             self.told[answer.instance].get_or_insert(at);
         }
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -58,7 +58,7 @@
             // They hear of it one after the other.
             for (i, cell) in cells.iter_mut().enumerate() {
                 let heard = start + 2000 * MS * i as u32 / n as u32;
-                cell.endpoint_said(heard, key("e0"), heard, says(Some(limit)));
+                cell.apply_signals(heard, key("e0"), heard, says(Some(limit)));
             }
             // A limit of 0 is tried now and then, so that its end is heard of.
             let length = Duration::from_secs(if limit > 0.0 { 14 } else { 40 });
@@ -97,7 +97,7 @@
             let start = Instant::now() + Duration::from_secs(60);
             let mut cells: Vec<_> = (0..n).map(|i| instance(i, &all)).collect();
             for cell in &mut cells {
-                cell.endpoint_said(start, key("e0"), start, says(Some(limit)));
+                cell.apply_signals(start, key("e0"), start, says(Some(limit)));
             }
             let chance = 3.0 * limit / n as f64 * 0.1;
             let mut sent = Vec::new();
@@ -132,7 +132,7 @@
             let start = Instant::now() + Duration::from_secs(60);
             let mut cells: Vec<_> = (0..n).map(|i| instance(i, &all)).collect();
             for cell in &mut cells {
-                cell.endpoint_said(start, key("e0"), start, says(Some(limit)));
+                cell.apply_signals(start, key("e0"), start, says(Some(limit)));
             }
             // Nobody has a request for a minute, then all have many.
             let mut sent = Vec::new();
@@ -165,15 +165,15 @@
     ] {
         let mut cell = instance(0, &names(1));
         for (sent, answered, limit) in answers {
-            cell.endpoint_said(at(*answered), key("e0"), at(*sent), says(*limit));
+            cell.apply_signals(at(*answered), key("e0"), at(*sent), says(*limit));
         }
         let believed = cell.take_limit_changes().last().and_then(|change| change.per_s);
         assert_eq!(believed, expected, "{answers:?}");
     }
     let mut cell = instance(0, &names(1));
-    cell.endpoint_said(at(0), key("e0"), at(0), says(Some(1.0)));
+    cell.apply_signals(at(0), key("e0"), at(0), says(Some(1.0)));
     let unreadable = Signals { rate_limit: Said::Unreadable, ..Signals::default() };
-    cell.endpoint_said(at(20), key("e0"), at(10), unreadable);
+    cell.apply_signals(at(20), key("e0"), at(10), unreadable);
     assert_eq!(cell.limited(), 1, "what cannot be read ends no limit");
 }
 
@@ -182,14 +182,14 @@
     let all = names(2);
     let now = Instant::now() + Duration::from_secs(60);
     let (mut a, mut b) = (instance(0, &all), instance(1, &all));
-    a.endpoint_said(now, key("e0"), now, says(Some(1.0)));
+    a.apply_signals(now, key("e0"), now, says(Some(1.0)));
     b.hear(now + 50 * MS, a.report(now + 40 * MS, Extent::Changes), true);
     let change = b.take_limit_changes()[0];
     assert_eq!((change.per_s, change.origin, change.age), (Some(1.0), Origin::Cell, 40 * MS));
     // What it was told it tells nobody of its cell.
     assert!(b.report(now + 60 * MS, Extent::Changes).said.limits.is_empty());
     assert_eq!(b.tell_others_of_endpoints(now + 60 * MS).limits.len(), 1);
-    b.endpoint_said(now + 200 * MS, key("e0"), now + 100 * MS, says(None));
+    b.apply_signals(now + 200 * MS, key("e0"), now + 100 * MS, says(None));
     a.hear(now + 250 * MS, b.report(now + 240 * MS, Extent::Changes), true);
     assert_eq!((a.limited(), b.limited()), (0, 0));
     // An old word does not bring it back.
@@ -207,7 +207,7 @@
 fn requests_go_to_others_or_are_told_when_to_come_back() {
     let now = Instant::now() + Duration::from_secs(60);
     let mut cell = cell("i0", &[endpoint(0, 4), endpoint(2, 4)]);
-    cell.endpoint_said(now, key("e0"), now, says(Some(0.5)));
+    cell.apply_signals(now, key("e0"), now, says(Some(0.5)));
     let later = now + 20 * MS;
     (0..10).for_each(|_| _ = cell.arrive(want(0, 1, now)));
     let placed = cell.assign(later);
@@ -215,7 +215,7 @@
     assert!(at_limited <= 4, "{at_limited} at once");
     assert!(placed.len() - at_limited == 4, "the other one takes all that it has room for");
     assert_eq!(cell.opens_in(later, &"s".into()), None, "the other one wants any number");
-    cell.endpoint_said(now, key("e2"), now, says(Some(0.5)));
+    cell.apply_signals(now, key("e2"), now, says(Some(0.5)));
     while !cell.assign(later).is_empty() {
         (0..4).for_each(|_| cell.finish(later, key("e0"), 1, Outcome::Good));
         (0..4).for_each(|_| cell.finish(later, key("e2"), 1, Outcome::Good));
--- a/oxbowbend-gateway/src/signals.rs
+++ b/oxbowbend-gateway/src/signals.rs
@@ -34,7 +34,7 @@
             );
         }
         let mut state = self.lock();
-        state.cell.endpoint_said(clock::now(), endpoint.key(), sent, signals);
+        state.cell.apply_signals(clock::now(), endpoint.key(), sent, signals);
         if state.log_said() {
             drop(state);
             self.tell_others();
