--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -56,7 +56,7 @@
     }
 
     /// Takes in what another instance tells of endpoints, whether they are listed here yet or not.
-    pub fn told_of_endpoints(&mut self, now: Instant, said: &ToldEndpoints, is_near: bool) {
+    pub fn merge_endpoint_signals(&mut self, now: Instant, said: &ToldEndpoints, is_near: bool) {
         let origin = if is_near { Origin::Cell } else { Origin::Fleet };
         self.limits.told(now, &said.limits, origin);
         said.leaving.iter().for_each(|key| self.draining.record(now, *key, origin));
@@ -67,7 +67,7 @@
         let listed = said.leaving.iter().filter(|key| self.is_listed(**key));
         let leaving = listed.copied().collect();
         let listed = ToldEndpoints { leaving, limits: said.limits.clone() };
-        self.told_of_endpoints(now, &listed, is_near);
+        self.merge_endpoint_signals(now, &listed, is_near);
     }
 
     /// What its cell is told of endpoints.
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -364,7 +364,7 @@
         let snapshot = knowledge.into_snapshot();
         let news = {
             let mut state = self.shared.lock();
-            state.cell.told_of_endpoints(now, &said, true);
+            state.cell.merge_endpoint_signals(now, &said, true);
             state.log_said();
             match state.sources.is(instance) {
                 _ if is_same_list => state.world.confirm(now, snapshot, read),
