--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -63,7 +63,12 @@
     }
 
     /// The same from a report. Of endpoints that are not listed nothing is believed: it would be told from one to the other for ever.
-    pub(super) fn hear_of_endpoints(&mut self, now: Instant, said: &ToldEndpoints, is_near: bool) {
+    pub(super) fn merge_reported_signals(
+        &mut self,
+        now: Instant,
+        said: &ToldEndpoints,
+        is_near: bool,
+    ) {
         let listed = said.leaving.iter().filter(|key| self.is_listed(**key));
         let leaving = listed.copied().collect();
         let listed = ToldEndpoints { leaving, limits: said.limits.clone() };
