--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -76,7 +76,7 @@
     }
 
     /// What its cell is told of endpoints.
-    pub(super) fn tell_of_endpoints(&self, now: Instant) -> ToldEndpoints {
+    pub(super) fn signals_for_cell(&self, now: Instant) -> ToldEndpoints {
         let audience = match self.is_representative {
             true => Audience::CellOfRepresentative,
             false => Audience::Cell,
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -301,7 +301,7 @@
             ..Report::default()
         };
         if is_beat {
-            report.said = self.tell_of_endpoints(now);
+            report.said = self.signals_for_cell(now);
         }
         report
     }
