--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -86,7 +86,7 @@
 
     /// What other cells are told: limits of endpoints that belong to all cells, and all who leave, since an endpoint may come to
     /// another cell, and an instance that has just started asks any for the list of endpoints.
-    pub fn tell_others_of_endpoints(&self, now: Instant) -> ToldEndpoints {
+    pub fn signals_for_other_cells(&self, now: Instant) -> ToldEndpoints {
         let is_shared = |key: &EndpointKey| {
             let service = self.sites.get(key).map(|s| &s.endpoint.service);
             service.is_some_and(|service| self.shared.contains(service))
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -188,7 +188,7 @@
     assert_eq!((change.per_s, change.origin, change.age), (Some(1.0), Origin::Cell, 40 * MS));
     // What it was told it tells nobody of its cell.
     assert!(b.report(now + 60 * MS, Extent::Changes).said.limits.is_empty());
-    assert_eq!(b.tell_others_of_endpoints(now + 60 * MS).limits.len(), 1);
+    assert_eq!(b.signals_for_other_cells(now + 60 * MS).limits.len(), 1);
     b.apply_signals(now + 200 * MS, key("e0"), now + 100 * MS, says(None));
     a.hear(now + 250 * MS, b.report(now + 240 * MS, Extent::Changes), true);
     assert_eq!((a.limited(), b.limited()), (0, 0));
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -216,7 +216,7 @@
             cell_evidence,
             rollouts: state.rollouts.tell(now, Teller::Far),
             quarantine: near.quarantine.clone(),
-            said: state.cell.tell_others_of_endpoints(now),
+            said: state.cell.signals_for_other_cells(now),
             peers,
             ..Report::default()
         }
