--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -95,7 +95,7 @@
     }
 
     /// What an instance is told that has just started.
-    pub fn introduce_endpoints(&self, now: Instant) -> ToldEndpoints {
+    pub fn signals_for_new_instance(&self, now: Instant) -> ToldEndpoints {
         self.tell(now, Audience::Newcomer, |key| self.is_listed(*key))
     }
 
--- a/oxbowbend-core/tests/draining.rs
+++ b/oxbowbend-core/tests/draining.rs
@@ -69,7 +69,7 @@
     for listed in [0, 1] {
         other.set_listed_endpoints([key("e0")].into_iter().take(listed));
         other.hear(now + 20 * MS * listed as u32, b[0].report(now, Extent::Changes), false);
-        assert_eq!(other.introduce_endpoints(now).leaving.len(), listed);
+        assert_eq!(other.signals_for_new_instance(now).leaving.len(), listed);
     }
     // Of one that is not listed nothing is told, and it is forgotten.
     assert!(c[0].report(now, Extent::Changes).said.leaving.is_empty());
--- a/oxbowbend-gateway/src/knowledge.rs
+++ b/oxbowbend-gateway/src/knowledge.rs
@@ -79,7 +79,7 @@
         let paces = state.cell.known_paces(clock::now());
         let zone = state.zone.clone();
         let has_store = state.has_store();
-        let said = state.cell.introduce_endpoints(clock::now());
+        let said = state.cell.signals_for_new_instance(clock::now());
         let State { world, quarantine, .. } = &*state;
         let others = world.instances().iter().filter(|(name, _)| *name != me);
         let mut instances: Vec<_> = others.map(|(n, e)| (n.clone(), e.clone())).collect();
