--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -81,7 +81,7 @@
             true => Audience::CellOfRepresentative,
             false => Audience::Cell,
         };
-        self.tell(now, audience, |key| self.sites.contains_key(key))
+        self.signals_for(now, audience, |key| self.sites.contains_key(key))
     }
 
     /// What other cells are told: limits of endpoints that belong to all cells, and all who leave, since an endpoint may come to
@@ -91,15 +91,15 @@
             let service = self.sites.get(key).map(|s| &s.endpoint.service);
             service.is_some_and(|service| self.shared.contains(service))
         };
-        self.tell(now, Audience::Others, is_shared)
+        self.signals_for(now, Audience::Others, is_shared)
     }
 
     /// What an instance is told that has just started.
     pub fn signals_for_new_instance(&self, now: Instant) -> ToldEndpoints {
-        self.tell(now, Audience::Newcomer, |key| self.is_listed(*key))
+        self.signals_for(now, Audience::Newcomer, |key| self.is_listed(*key))
     }
 
-    fn tell(
+    fn signals_for(
         &self,
         now: Instant,
         audience: Audience,
