--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -179,7 +179,7 @@
     }
 
     /// Forgets what was said by endpoints that are not listed any more.
-    pub(super) fn forget_said(&mut self, now: Instant) {
+    pub(super) fn prune_endpoint_signals(&mut self, now: Instant) {
         let (sites, listed) = (&self.sites, &self.listed);
         let is_listed = |key: &EndpointKey| sites.contains_key(key) || listed.contains(key);
         self.limits.forget(now, is_listed);
--- a/oxbowbend-core/src/cell/hear.rs
+++ b/oxbowbend-core/src/cell/hear.rs
@@ -246,7 +246,7 @@
     pub fn forget(&mut self, now: Instant) {
         self.peers.retain(|_, p| p.is_live(now, FORGET));
         self.others.retain(|_, p| p.is_live(now, FORGET_OTHERS));
-        self.forget_said(now);
+        self.prune_endpoint_signals(now);
     }
 
     /// Whether another instance of this cell has been heard for the first time within [`INTRODUCED`].
