--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -131,7 +131,7 @@
     }
 
     /// Endpoints that are believed to have a limit.
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         self.limits.limited().len()
     }
 
--- a/oxbowbend-core/tests/limit_exploration.rs
+++ b/oxbowbend-core/tests/limit_exploration.rs
@@ -201,7 +201,7 @@
     history.iter().for_each(|event| world.step(*event));
     (0..CALM).for_each(|_| world.step(Event::Calm));
     world.check(history);
-    let is_known = |cell: &Cell| cell.limited() == usize::from(world.limit.is_some());
+    let is_known = |cell: &Cell| cell.limited_count() == usize::from(world.limit.is_some());
     assert!(world.cells.iter().all(is_known), "{history:?}: not known to all");
 }
 
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -174,7 +174,7 @@
     cell.apply_signals(at(0), key("e0"), at(0), says(Some(1.0)));
     let unreadable = Signals { rate_limit: Said::Unreadable, ..Signals::default() };
     cell.apply_signals(at(20), key("e0"), at(10), unreadable);
-    assert_eq!(cell.limited(), 1, "what cannot be read ends no limit");
+    assert_eq!(cell.limited_count(), 1, "what cannot be read ends no limit");
 }
 
 #[test]
@@ -191,7 +191,7 @@
     assert_eq!(b.signals_for_other_cells(now + 60 * MS).limits.len(), 1);
     b.apply_signals(now + 200 * MS, key("e0"), now + 100 * MS, says(None));
     a.hear(now + 250 * MS, b.report(now + 240 * MS, Extent::Changes), true);
-    assert_eq!((a.limited(), b.limited()), (0, 0));
+    assert_eq!((a.limited_count(), b.limited_count()), (0, 0));
     // An old word does not bring it back.
     let mut late = a.report(now + 260 * MS, Extent::Changes);
     late.said.limits = vec![oxbowbend_core::cell::ToldLimit {
@@ -200,7 +200,7 @@
         age_ms: 300,
     }];
     b.hear(now + 270 * MS, late, true);
-    assert_eq!(b.limited(), 0);
+    assert_eq!(b.limited_count(), 0);
 }
 
 #[test]
--- a/oxbowbend-gateway/src/signals.rs
+++ b/oxbowbend-gateway/src/signals.rs
@@ -54,7 +54,7 @@
         }
         let is_news = !limits.is_empty() || !notices.is_empty();
         if is_news {
-            observe::limited(self.cell.limited());
+            observe::limited(self.cell.limited_count());
             observe::leaving(self.cell.draining_count());
         }
         is_news
