--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -136,7 +136,7 @@
     }
 
     /// Time until an endpoint of a service wants a request again, if all that could take one want none now.
-    pub fn opens_in(&mut self, now: Instant, service: &ServiceId) -> Option<Duration> {
+    pub fn time_until_available(&mut self, now: Instant, service: &ServiceId) -> Option<Duration> {
         let allowances = self.allowances(now);
         if allowances.is_empty() {
             return None;
@@ -147,12 +147,12 @@
         if keys.iter().any(|(key, _)| allowances.get(key).is_none_or(|room| *room > 0)) {
             return None;
         }
-        let opens_in = |(key, scope)| {
-            let opens_in =
+        let time_until_available = |(key, scope)| {
+            let time_until_available =
                 [self.limits.opens_in(now, key, scope), self.backoffs.remaining(now, key)];
-            opens_in.into_iter().flatten().max()
+            time_until_available.into_iter().flatten().max()
         };
-        keys.into_iter().filter_map(opens_in).min()
+        keys.into_iter().filter_map(time_until_available).min()
     }
 
     /// What this instance may send to endpoints that want fewer requests.
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -356,8 +356,8 @@
         patience: Patience,
     ) -> RetryAfter {
         let refused = self.shedding.refused(now, service, rank, patience);
-        match self.opens_in(now, service) {
-            Some(opens_in) => refused.not_before(opens_in, patience),
+        match self.time_until_available(now, service) {
+            Some(time_until_available) => refused.not_before(time_until_available, patience),
             None => refused,
         }
     }
--- a/oxbowbend-core/src/cell/shedding.rs
+++ b/oxbowbend-core/src/cell/shedding.rs
@@ -75,8 +75,12 @@
 
 impl RetryAfter {
     /// For a caller for whom there is nothing before an endpoint wants a request again.
-    pub(super) fn not_before(self, opens_in: Duration, patience: Patience) -> RetryAfter {
-        let after = opens_in.mul_f64(1.0 + patience.spread).min(patience.longest);
+    pub(super) fn not_before(
+        self,
+        time_until_available: Duration,
+        patience: Patience,
+    ) -> RetryAfter {
+        let after = time_until_available.mul_f64(1.0 + patience.spread).min(patience.longest);
         RetryAfter { after, is_withheld: true, ..self }
     }
 }
