--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -157,7 +157,7 @@
         let allowances = self.allowances(now);
         let assignments = self.work_out(now, &allowances);
         for a in &assignments {
-            self.pass(now, a.endpoint.key());
+            self.record_dispatch(now, a.endpoint.key());
             if let Some(want) = self.waiting.remove(&a.ticket) {
                 self.shedding.placed(now, &want.service, want.rank);
             }
--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -168,7 +168,7 @@
     }
 
     /// Notes that a request goes to an endpoint.
-    pub(super) fn pass(&mut self, now: Instant, endpoint: EndpointKey) {
+    pub(super) fn record_dispatch(&mut self, now: Instant, endpoint: EndpointKey) {
         let Some(scope) = self.sites.get(&endpoint).map(|s| self.scope(s)) else { return };
         self.limits.take(now, endpoint, scope);
     }
