--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -54,7 +54,7 @@
 /// A limit as instances tell it to each other. It travels as a list of its parts in this order.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(from = "(EndpointKey, Option<f64>, u32)", into = "(EndpointKey, Option<f64>, u32)")]
-pub struct ToldLimit {
+pub struct ReportedLimit {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Requests a second; none if it names no limit any more.
@@ -63,14 +63,14 @@
     pub age_ms: u32,
 }
 
-impl From<(EndpointKey, Option<f64>, u32)> for ToldLimit {
-    fn from((endpoint, per_s, age_ms): (EndpointKey, Option<f64>, u32)) -> ToldLimit {
-        ToldLimit { endpoint, per_s, age_ms }
+impl From<(EndpointKey, Option<f64>, u32)> for ReportedLimit {
+    fn from((endpoint, per_s, age_ms): (EndpointKey, Option<f64>, u32)) -> ReportedLimit {
+        ReportedLimit { endpoint, per_s, age_ms }
     }
 }
 
-impl From<ToldLimit> for (EndpointKey, Option<f64>, u32) {
-    fn from(told: ToldLimit) -> (EndpointKey, Option<f64>, u32) {
+impl From<ReportedLimit> for (EndpointKey, Option<f64>, u32) {
+    fn from(told: ReportedLimit) -> (EndpointKey, Option<f64>, u32) {
         (told.endpoint, told.per_s, told.age_ms)
     }
 }
@@ -167,8 +167,8 @@
     }
 
     /// Takes in what another instance tells.
-    pub(super) fn told(&mut self, now: Instant, told: &[ToldLimit], origin: Origin) {
-        for ToldLimit { endpoint, per_s, age_ms } in told.iter().copied() {
+    pub(super) fn told(&mut self, now: Instant, told: &[ReportedLimit], origin: Origin) {
+        for ReportedLimit { endpoint, per_s, age_ms } in told.iter().copied() {
             let Some(heard) = now.checked_sub(Duration::from_millis(age_ms.into())) else {
                 continue;
             };
@@ -207,14 +207,14 @@
         now: Instant,
         audience: Audience,
         is_for: impl Fn(&EndpointKey) -> bool,
-    ) -> Vec<ToldLimit> {
+    ) -> Vec<ReportedLimit> {
         let age = |b: &Belief| now.saturating_duration_since(b.heard);
         let is_told = |(key, b): &(&EndpointKey, &Belief)| {
             audience.is_told(b.origin) && (b.per_s.is_some() || age(b) < TELL_END) && is_for(key)
         };
         let mut told: Vec<_> = self.beliefs.iter().filter(is_told).collect();
         told.sort_by_key(|(key, b)| (age(b), **key));
-        let tell = |(key, b): (&EndpointKey, &Belief)| ToldLimit {
+        let tell = |(key, b): (&EndpointKey, &Belief)| ReportedLimit {
             endpoint: *key,
             per_s: b.per_s,
             age_ms: age(b).as_millis().min(u128::from(u32::MAX)) as u32,
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -32,7 +32,7 @@
 pub use fleet::{Beyond, FleetView};
 pub use groups::{Group, MAX_CELL};
 pub use hear::{Growth, Heard};
-pub use limits::{LimitChange, ToldLimit};
+pub use limits::{LimitChange, ReportedLimit};
 pub use pace::FIXED_UNITS;
 pub use reach::{Names, Reach};
 pub use report::{Claim, Load, Report, Tally, ToldEndpoints};
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -137,7 +137,7 @@
 pub struct ToldEndpoints {
     /// Limits, of endpoints that have named one.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
-    pub limits: Vec<super::ToldLimit>,
+    pub limits: Vec<super::ReportedLimit>,
     /// Endpoints that leave.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<EndpointKey>,
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -194,7 +194,7 @@
     assert_eq!((a.limited_count(), b.limited_count()), (0, 0));
     // An old word does not bring it back.
     let mut late = a.report(now + 260 * MS, Extent::Changes);
-    late.said.limits = vec![oxbowbend_core::cell::ToldLimit {
+    late.said.limits = vec![oxbowbend_core::cell::ReportedLimit {
         endpoint: key("e0"),
         per_s: Some(1.0),
         age_ms: 300,
