--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -114,7 +114,7 @@
 
 /// What is believed of all endpoints' limits.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Limits {
+pub(super) struct RateLimits {
     me: u64,
     /// Hashes of the names of all instances of the cell and of the fleet.
     cell: Vec<u64>,
@@ -125,10 +125,10 @@
     changes: Vec<LimitChange>,
 }
 
-impl Limits {
-    pub(super) fn new(me: &InstanceId) -> Limits {
+impl RateLimits {
+    pub(super) fn new(me: &InstanceId) -> RateLimits {
         let me = xxh3_64(me.as_bytes());
-        Limits { me, cell: vec![me], fleet: vec![me], ..Limits::default() }
+        RateLimits { me, cell: vec![me], fleet: vec![me], ..RateLimits::default() }
     }
 
     /// Sets who shares the limits.
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -177,7 +177,7 @@
     summed: BTreeMap<u32, Instant>,
     viewed: Option<Instant>,
     /// Limits that endpoints name.
-    limits: limits::Limits,
+    limits: limits::RateLimits,
     /// Endpoints that have said that they leave.
     draining: draining::DrainingEndpoints,
     /// Those that have asked this instance for rest.
@@ -193,7 +193,7 @@
     /// life from others of the same name.
     pub fn new(me: InstanceId, zone: ZoneId, life: u64) -> Cell {
         Cell {
-            limits: limits::Limits::new(&me),
+            limits: limits::RateLimits::new(&me),
             draining: draining::DrainingEndpoints::default(),
             backoffs: backoff::Backoffs::default(),
             shared: BTreeSet::new(),
