--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -92,15 +92,15 @@
 
 /// This instance's part of a limit.
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct LimitShare {
     /// What it was worked out from.
     limit: f64,
     generation: u64,
     scope: Scope,
-    per_s: f64,
-    most: f64,
-    level: f64,
-    at: Instant,
+    refill_per_s: f64,
+    capacity: f64,
+    tokens: f64,
+    updated_at: Instant,
 }
 
 #[derive(Clone, Debug)]
@@ -109,7 +109,7 @@
     /// When an answer said so.
     heard: Instant,
     origin: Origin,
-    part: Option<Part>,
+    share: Option<LimitShare>,
 }
 
 /// What is believed of all endpoints' limits.
@@ -192,13 +192,13 @@
         origin: Origin,
     ) {
         let before = self.beliefs.remove(&endpoint);
-        let (before, part) = before.map_or((None, None), |b| (b.per_s, b.part));
+        let (before, share) = before.map_or((None, None), |b| (b.per_s, b.share));
         if before != per_s {
             let age = now.saturating_duration_since(heard);
             self.changes.push(LimitChange { endpoint, per_s, before, origin, age });
         }
-        let part = part.filter(|_| per_s.is_some());
-        self.beliefs.insert(endpoint, Belief { per_s, heard, origin, part });
+        let share = share.filter(|_| per_s.is_some());
+        self.beliefs.insert(endpoint, Belief { per_s, heard, origin, share });
     }
 
     /// What to tell of endpoints of which others are told.
@@ -229,13 +229,13 @@
         endpoint: EndpointKey,
         scope: Scope,
     ) -> Option<u32> {
-        self.part(now, endpoint, scope).map(|part| part.level as u32)
+        self.share(now, endpoint, scope).map(|share| share.tokens as u32)
     }
 
     /// Takes a request from this instance's part.
     pub(super) fn take(&mut self, now: Instant, endpoint: EndpointKey, scope: Scope) {
-        if let Some(part) = self.part(now, endpoint, scope) {
-            part.level -= 1.0;
+        if let Some(share) = self.share(now, endpoint, scope) {
+            share.tokens -= 1.0;
         }
     }
 
@@ -246,26 +246,31 @@
         endpoint: EndpointKey,
         scope: Scope,
     ) -> Option<Duration> {
-        let part = self.part(now, endpoint, scope)?;
-        let seconds = match part.per_s > 0.0 {
-            true => (1.0 - part.level).max(0.0) / part.per_s,
-            false => 1.0 / part.limit.max(LEAST_PER_S),
+        let share = self.share(now, endpoint, scope)?;
+        let seconds = match share.refill_per_s > 0.0 {
+            true => (1.0 - share.tokens).max(0.0) / share.refill_per_s,
+            false => 1.0 / share.limit.max(LEAST_PER_S),
         };
         Some(Duration::from_secs_f64(seconds.min(FORGET.as_secs_f64())))
     }
 
     /// This instance's part as of now; none if there is no limit.
-    fn part(&mut self, now: Instant, endpoint: EndpointKey, scope: Scope) -> Option<&mut Part> {
+    fn share(
+        &mut self,
+        now: Instant,
+        endpoint: EndpointKey,
+        scope: Scope,
+    ) -> Option<&mut LimitShare> {
         let limit = self.beliefs.get(&endpoint)?.per_s?;
-        let known = self.beliefs.get(&endpoint)?.part;
+        let known = self.beliefs.get(&endpoint)?.share;
         let is_current =
-            |p: &Part| (p.limit, p.generation, p.scope) == (limit, self.generation, scope);
-        let part = match known.filter(is_current) {
-            Some(part) => part.refilled(now),
+            |p: &LimitShare| (p.limit, p.generation, p.scope) == (limit, self.generation, scope);
+        let share = match known.filter(is_current) {
+            Some(share) => share.refilled(now),
             None => self.work_out(now, endpoint, limit, scope, known),
         };
         let belief = self.beliefs.get_mut(&endpoint)?;
-        Some(belief.part.insert(part))
+        Some(belief.share.insert(share))
     }
 
     fn work_out(
@@ -274,8 +279,8 @@
         endpoint: EndpointKey,
         limit: f64,
         scope: Scope,
-        known: Option<Part>,
-    ) -> Part {
+        known: Option<LimitShare>,
+    ) -> LimitShare {
         let instances = match scope {
             Scope::Cell => &self.cell,
             Scope::Fleet => &self.fleet,
@@ -286,16 +291,24 @@
         let order = |name: &u64| xxh3_64_with_seed(&name.to_le_bytes(), endpoint.into());
         let mine = order(&self.me);
         let before = instances.iter().filter(|name| order(name) < mine).count();
-        let (per_s, most) = match (before as f64) < parts {
+        let (refill_per_s, capacity) = match (before as f64) < parts {
             true => (per_s / parts, saved / parts),
             false => (0.0, 0.0),
         };
-        let level = match known {
-            Some(known) => known.refilled(now).level.min(most),
+        let tokens = match known {
+            Some(known) => known.refilled(now).tokens.min(capacity),
             // Parts that all began empty, or full, would let all send at the same moment.
-            None => (mine >> 11) as f64 / (1_u64 << 53) as f64 * most.min(1.0),
+            None => (mine >> 11) as f64 / (1_u64 << 53) as f64 * capacity.min(1.0),
         };
-        Part { limit, generation: self.generation, scope, per_s, most, level, at: now }
+        LimitShare {
+            limit,
+            generation: self.generation,
+            scope,
+            refill_per_s,
+            capacity,
+            tokens,
+            updated_at: now,
+        }
     }
 
     /// Endpoints that have a limit.
@@ -316,11 +329,11 @@
     }
 }
 
-impl Part {
-    fn refilled(self, now: Instant) -> Part {
-        let time = now.saturating_duration_since(self.at).as_secs_f64();
-        let level = (self.level + self.per_s * time).min(self.most);
-        Part { level, at: now.max(self.at), ..self }
+impl LimitShare {
+    fn refilled(self, now: Instant) -> LimitShare {
+        let time = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        let tokens = (self.tokens + self.refill_per_s * time).min(self.capacity);
+        LimitShare { tokens, updated_at: now.max(self.updated_at), ..self }
     }
 }
 
