--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -104,10 +104,10 @@
 }
 
 #[derive(Clone, Debug)]
-struct Belief {
+struct KnownLimit {
     per_s: Option<f64>,
     /// When an answer said so.
-    heard: Instant,
+    answered_at: Instant,
     origin: Origin,
     share: Option<LimitShare>,
 }
@@ -121,7 +121,7 @@
     fleet: Vec<u64>,
     /// Rises with each change of these.
     generation: u64,
-    beliefs: HashMap<EndpointKey, Belief>,
+    known_limits: HashMap<EndpointKey, KnownLimit>,
     changes: Vec<LimitChange>,
 }
 
@@ -156,10 +156,10 @@
             Said::Value(per_s) => Some(per_s),
             Said::Unreadable => return,
         };
-        let before = self.beliefs.get(&endpoint);
-        let is_looser = |b: &Belief| rate(per_s) > rate(b.per_s);
+        let before = self.known_limits.get(&endpoint);
+        let is_looser = |b: &KnownLimit| rate(per_s) > rate(b.per_s);
         if before.is_none() && per_s.is_none()
-            || before.is_some_and(|b| is_looser(b) && sent <= b.heard)
+            || before.is_some_and(|b| is_looser(b) && sent <= b.answered_at)
         {
             return;
         }
@@ -169,16 +169,18 @@
     /// Takes in what another instance tells.
     pub(super) fn told(&mut self, now: Instant, told: &[ReportedLimit], origin: Origin) {
         for ReportedLimit { endpoint, per_s, age_ms } in told.iter().copied() {
-            let Some(heard) = now.checked_sub(Duration::from_millis(age_ms.into())) else {
+            let Some(answered_at) = now.checked_sub(Duration::from_millis(age_ms.into())) else {
                 continue;
             };
-            let is_news = match self.beliefs.get(&endpoint) {
+            let is_news = match self.known_limits.get(&endpoint) {
                 // A limit that is known would get younger with each time that it is told.
-                Some(belief) => belief.per_s != per_s && heard > belief.heard,
+                Some(known_limit) => {
+                    known_limit.per_s != per_s && answered_at > known_limit.answered_at
+                }
                 None => per_s.is_some(),
             };
             if is_news && per_s.is_none_or(|n| n.is_finite() && n >= 0.0) {
-                self.believe(now, endpoint, per_s, heard, origin);
+                self.believe(now, endpoint, per_s, answered_at, origin);
             }
         }
     }
@@ -188,17 +190,17 @@
         now: Instant,
         endpoint: EndpointKey,
         per_s: Option<f64>,
-        heard: Instant,
+        answered_at: Instant,
         origin: Origin,
     ) {
-        let before = self.beliefs.remove(&endpoint);
+        let before = self.known_limits.remove(&endpoint);
         let (before, share) = before.map_or((None, None), |b| (b.per_s, b.share));
         if before != per_s {
-            let age = now.saturating_duration_since(heard);
+            let age = now.saturating_duration_since(answered_at);
             self.changes.push(LimitChange { endpoint, per_s, before, origin, age });
         }
         let share = share.filter(|_| per_s.is_some());
-        self.beliefs.insert(endpoint, Belief { per_s, heard, origin, share });
+        self.known_limits.insert(endpoint, KnownLimit { per_s, answered_at, origin, share });
     }
 
     /// What to tell of endpoints of which others are told.
@@ -208,13 +210,13 @@
         audience: Audience,
         is_for: impl Fn(&EndpointKey) -> bool,
     ) -> Vec<ReportedLimit> {
-        let age = |b: &Belief| now.saturating_duration_since(b.heard);
-        let is_told = |(key, b): &(&EndpointKey, &Belief)| {
+        let age = |b: &KnownLimit| now.saturating_duration_since(b.answered_at);
+        let is_told = |(key, b): &(&EndpointKey, &KnownLimit)| {
             audience.is_told(b.origin) && (b.per_s.is_some() || age(b) < TELL_END) && is_for(key)
         };
-        let mut told: Vec<_> = self.beliefs.iter().filter(is_told).collect();
+        let mut told: Vec<_> = self.known_limits.iter().filter(is_told).collect();
         told.sort_by_key(|(key, b)| (age(b), **key));
-        let tell = |(key, b): (&EndpointKey, &Belief)| ReportedLimit {
+        let tell = |(key, b): (&EndpointKey, &KnownLimit)| ReportedLimit {
             endpoint: *key,
             per_s: b.per_s,
             age_ms: age(b).as_millis().min(u128::from(u32::MAX)) as u32,
@@ -261,16 +263,16 @@
         endpoint: EndpointKey,
         scope: Scope,
     ) -> Option<&mut LimitShare> {
-        let limit = self.beliefs.get(&endpoint)?.per_s?;
-        let known = self.beliefs.get(&endpoint)?.share;
+        let limit = self.known_limits.get(&endpoint)?.per_s?;
+        let known = self.known_limits.get(&endpoint)?.share;
         let is_current =
             |p: &LimitShare| (p.limit, p.generation, p.scope) == (limit, self.generation, scope);
         let share = match known.filter(is_current) {
             Some(share) => share.refilled(now),
             None => self.work_out(now, endpoint, limit, scope, known),
         };
-        let belief = self.beliefs.get_mut(&endpoint)?;
-        Some(belief.share.insert(share))
+        let known_limit = self.known_limits.get_mut(&endpoint)?;
+        Some(known_limit.share.insert(share))
     }
 
     fn work_out(
@@ -313,14 +315,14 @@
 
     /// Endpoints that have a limit.
     pub(super) fn limited(&self) -> Vec<EndpointKey> {
-        let limited = self.beliefs.iter().filter(|(_, b)| b.per_s.is_some());
+        let limited = self.known_limits.iter().filter(|(_, b)| b.per_s.is_some());
         limited.map(|(key, _)| *key).collect()
     }
 
     /// Forgets endpoints that are not listed any more.
     pub(super) fn forget(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
-        let is_late = |b: &Belief| now.saturating_duration_since(b.heard) > FORGET;
-        self.beliefs.retain(|key, b| !is_late(b) || b.per_s.is_some() && is_listed(key));
+        let is_late = |b: &KnownLimit| now.saturating_duration_since(b.answered_at) > FORGET;
+        self.known_limits.retain(|key, b| !is_late(b) || b.per_s.is_some() && is_listed(key));
     }
 
     /// What is newly believed since the last call.
