--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -115,10 +115,10 @@
 /// What is believed of all endpoints' limits.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RateLimits {
-    me: u64,
+    own_hash: u64,
     /// Hashes of the names of all instances of the cell and of the fleet.
-    cell: Vec<u64>,
-    fleet: Vec<u64>,
+    cell_hashes: Vec<u64>,
+    fleet_hashes: Vec<u64>,
     /// Rises with each change of these.
     generation: u64,
     known_limits: HashMap<EndpointKey, KnownLimit>,
@@ -127,8 +127,13 @@
 
 impl RateLimits {
     pub(super) fn new(me: &InstanceId) -> RateLimits {
-        let me = xxh3_64(me.as_bytes());
-        RateLimits { me, cell: vec![me], fleet: vec![me], ..RateLimits::default() }
+        let own_hash = xxh3_64(me.as_bytes());
+        RateLimits {
+            own_hash,
+            cell_hashes: vec![own_hash],
+            fleet_hashes: vec![own_hash],
+            ..RateLimits::default()
+        }
     }
 
     /// Sets who shares the limits.
@@ -138,7 +143,8 @@
         fleet: impl Iterator<Item = &'a InstanceId>,
     ) {
         let hash = |name: &InstanceId| xxh3_64(name.as_bytes());
-        (self.cell, self.fleet) = (cell.map(hash).collect(), fleet.map(hash).collect());
+        (self.cell_hashes, self.fleet_hashes) =
+            (cell.map(hash).collect(), fleet.map(hash).collect());
         self.generation += 1;
     }
 
@@ -284,14 +290,14 @@
         known: Option<LimitShare>,
     ) -> LimitShare {
         let instances = match scope {
-            Scope::Cell => &self.cell,
-            Scope::Fleet => &self.fleet,
+            Scope::Cell => &self.cell_hashes,
+            Scope::Fleet => &self.fleet_hashes,
         };
         let per_s = limit.max(LEAST_PER_S);
         let saved = OVERAGE * WINDOW_S * per_s * (1.0 - MARGIN.0) + SLACK - MARGIN.1;
         let parts = saved.floor().min(instances.len() as f64);
         let order = |name: &u64| xxh3_64_with_seed(&name.to_le_bytes(), endpoint.into());
-        let mine = order(&self.me);
+        let mine = order(&self.own_hash);
         let before = instances.iter().filter(|name| order(name) < mine).count();
         let (refill_per_s, capacity) = match (before as f64) < parts {
             true => (per_s / parts, saved / parts),
