--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -83,7 +83,7 @@
     /// Requests a second; none if there is no limit any more.
     pub per_s: Option<f64>,
     /// The same before.
-    pub before: Option<f64>,
+    pub previous: Option<f64>,
     /// From whom that is known.
     pub origin: Origin,
     /// Time since an answer said so.
@@ -162,10 +162,10 @@
             Said::Value(per_s) => Some(per_s),
             Said::Unreadable => return,
         };
-        let before = self.known_limits.get(&endpoint);
+        let known = self.known_limits.get(&endpoint);
         let is_looser = |b: &KnownLimit| rate(per_s) > rate(b.per_s);
-        if before.is_none() && per_s.is_none()
-            || before.is_some_and(|b| is_looser(b) && sent <= b.answered_at)
+        if known.is_none() && per_s.is_none()
+            || known.is_some_and(|b| is_looser(b) && sent <= b.answered_at)
         {
             return;
         }
@@ -199,11 +199,11 @@
         answered_at: Instant,
         origin: Origin,
     ) {
-        let before = self.known_limits.remove(&endpoint);
-        let (before, share) = before.map_or((None, None), |b| (b.per_s, b.share));
-        if before != per_s {
+        let known = self.known_limits.remove(&endpoint);
+        let (previous, share) = known.map_or((None, None), |b| (b.per_s, b.share));
+        if previous != per_s {
             let age = now.saturating_duration_since(answered_at);
-            self.changes.push(LimitChange { endpoint, per_s, before, origin, age });
+            self.changes.push(LimitChange { endpoint, per_s, previous, origin, age });
         }
         let share = share.filter(|_| per_s.is_some());
         self.known_limits.insert(endpoint, KnownLimit { per_s, answered_at, origin, share });
@@ -298,8 +298,8 @@
         let parts = saved.floor().min(instances.len() as f64);
         let order = |name: &u64| xxh3_64_with_seed(&name.to_le_bytes(), endpoint.into());
         let mine = order(&self.own_hash);
-        let before = instances.iter().filter(|name| order(name) < mine).count();
-        let (refill_per_s, capacity) = match (before as f64) < parts {
+        let rank = instances.iter().filter(|name| order(name) < mine).count();
+        let (refill_per_s, capacity) = match (rank as f64) < parts {
             true => (per_s / parts, saved / parts),
             false => (0.0, 0.0),
         };
--- a/oxbowbend-gateway/src/signals.rs
+++ b/oxbowbend-gateway/src/signals.rs
@@ -61,9 +61,9 @@
     }
 
     fn log_limit(&self, change: &LimitChange) {
-        let LimitChange { endpoint, per_s, before, origin, age } = change;
+        let LimitChange { endpoint, per_s, previous, origin, age } = change;
         log::info!(
-            "event=endpoint_limit endpoint={} start={endpoint:08x} per_s={per_s:?} before={before:?} from={origin:?} \
+            "event=endpoint_limit endpoint={} start={endpoint:08x} per_s={per_s:?} before={previous:?} from={origin:?} \
              age_ms={}",
             self.name_of(*endpoint),
             age.as_millis()
