--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -270,43 +270,43 @@
         scope: Scope,
     ) -> Option<&mut LimitShare> {
         let limit = self.known_limits.get(&endpoint)?.per_s?;
-        let known = self.known_limits.get(&endpoint)?.share;
+        let previous = self.known_limits.get(&endpoint)?.share;
         let is_current =
             |p: &LimitShare| (p.limit, p.generation, p.scope) == (limit, self.generation, scope);
-        let share = match known.filter(is_current) {
+        let share = match previous.filter(is_current) {
             Some(share) => share.refilled(now),
-            None => self.work_out(now, endpoint, limit, scope, known),
+            None => self.compute_share(now, endpoint, limit, scope, previous),
         };
         let known_limit = self.known_limits.get_mut(&endpoint)?;
         Some(known_limit.share.insert(share))
     }
 
-    fn work_out(
+    fn compute_share(
         &self,
         now: Instant,
         endpoint: EndpointKey,
         limit: f64,
         scope: Scope,
-        known: Option<LimitShare>,
+        previous: Option<LimitShare>,
     ) -> LimitShare {
         let instances = match scope {
             Scope::Cell => &self.cell_hashes,
             Scope::Fleet => &self.fleet_hashes,
         };
         let per_s = limit.max(LEAST_PER_S);
-        let saved = OVERAGE * WINDOW_S * per_s * (1.0 - MARGIN.0) + SLACK - MARGIN.1;
-        let parts = saved.floor().min(instances.len() as f64);
+        let burst = OVERAGE * WINDOW_S * per_s * (1.0 - MARGIN.0) + SLACK - MARGIN.1;
+        let shares = burst.floor().min(instances.len() as f64);
         let order = |name: &u64| xxh3_64_with_seed(&name.to_le_bytes(), endpoint.into());
-        let mine = order(&self.own_hash);
-        let rank = instances.iter().filter(|name| order(name) < mine).count();
-        let (refill_per_s, capacity) = match (rank as f64) < parts {
-            true => (per_s / parts, saved / parts),
+        let own_order = order(&self.own_hash);
+        let rank = instances.iter().filter(|name| order(name) < own_order).count();
+        let (refill_per_s, capacity) = match (rank as f64) < shares {
+            true => (per_s / shares, burst / shares),
             false => (0.0, 0.0),
         };
-        let tokens = match known {
-            Some(known) => known.refilled(now).tokens.min(capacity),
+        let tokens = match previous {
+            Some(previous) => previous.refilled(now).tokens.min(capacity),
             // Parts that all began empty, or full, would let all send at the same moment.
-            None => (mine >> 11) as f64 / (1_u64 << 53) as f64 * capacity.min(1.0),
+            None => (own_order >> 11) as f64 / (1_u64 << 53) as f64 * capacity.min(1.0),
         };
         LimitShare {
             limit,
