--- a/oxbowbend-core/src/cell/draining.rs
+++ b/oxbowbend-core/src/cell/draining.rs
@@ -11,11 +11,11 @@
 use crate::ids::EndpointKey;
 
 /// Time after its word for which an endpoint that is not listed is remembered.
-const FORGET: Duration = Duration::from_secs(60);
+const UNLISTED_TTL: Duration = Duration::from_secs(60);
 /// Time for which an instance tells what it has learned: some 40 beats. Who starts later is told all.
-const TELL: Duration = Duration::from_secs(5);
+const REPORT_NEW_FOR: Duration = Duration::from_secs(5);
 /// Endpoints that are told at most, the last ones first.
-const MAX_TOLD: usize = 64;
+const MAX_REPORTED: usize = 64;
 
 /// An endpoint that is newly known to leave.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -67,19 +67,20 @@
         audience: Audience,
         is_listed: impl Fn(&EndpointKey) -> bool,
     ) -> Vec<EndpointKey> {
-        let is_new =
-            |record: &DrainRecord| now.saturating_duration_since(record.first_heard) < TELL;
+        let is_new = |record: &DrainRecord| {
+            now.saturating_duration_since(record.first_heard) < REPORT_NEW_FOR
+        };
         let is_told = |(key, record): &(&EndpointKey, &DrainRecord)| {
             is_listed(key) && (audience == Audience::Newcomer || is_new(record))
         };
         let mut all: Vec<_> = self.records.iter().filter(is_told).collect();
         all.sort_by_key(|(key, record)| (std::cmp::Reverse(record.first_heard), **key));
-        all.into_iter().take(MAX_TOLD).map(|(key, _)| *key).collect()
+        all.into_iter().take(MAX_REPORTED).map(|(key, _)| *key).collect()
     }
 
     /// Forgets endpoints that are not listed any more.
     pub(super) fn prune(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
-        let is_late = |at: Instant| now.saturating_duration_since(at) > FORGET;
+        let is_late = |at: Instant| now.saturating_duration_since(at) > UNLISTED_TTL;
         self.records.retain(|key, record| !is_late(record.last_heard) || is_listed(key));
     }
 
--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -2,7 +2,7 @@
 //!
 //! The load that this answers: an endpoint in need takes a few requests a second or fewer, and up to hundreds of
 //! instances send to it. They hear of the limit one after the other, come and go and lose each other. What all of
-//! them send within [`WINDOW_S`] must stay below one and a half times the limit and [`SLACK`] requests.
+//! them send within [`WINDOW_SECS`] must stay below one and a half times the limit and [`BURST_REQUESTS`] requests.
 //!
 //! Each instance has a part of the limit, a token bucket of its own, and asks nobody before it sends. A full
 //! bucket can be spent at once whatever its rate, so the buckets together hold no more than the users' bound has beyond the rate.
@@ -25,22 +25,22 @@
 use crate::ids::{EndpointKey, InstanceId};
 
 /// Seconds of the window in which the users count.
-const WINDOW_S: f64 = 4.0;
+const WINDOW_SECS: f64 = 4.0;
 /// Part of the limit that it may get beyond it in a window.
-const OVERAGE: f64 = 0.5;
+const BURST_SHARE: f64 = 0.5;
 /// Requests that it may get beyond that.
-const SLACK: f64 = 5.0;
+const BURST_REQUESTS: f64 = 5.0;
 /// Part of the overage, and requests of the slack, that are left to requests that are late on their way and to instances that
 /// start while others do not know of them.
-const MARGIN: (f64, f64) = (0.25, 1.0);
+const BURST_MARGIN: (f64, f64) = (0.25, 1.0);
 /// Least rate that is used, so that an answer tells of the end of a limit of next to nothing.
-const LEAST_PER_S: f64 = 0.2;
+const MIN_RATE_PER_S: f64 = 0.2;
 /// Time for which the end of a limit is told.
-const TELL_END: Duration = Duration::from_secs(3);
+const REPORT_REMOVAL_FOR: Duration = Duration::from_secs(3);
 /// Time after the last word of an endpoint that is not listed for which its limit is kept.
-const FORGET: Duration = Duration::from_secs(60);
+const UNLISTED_TTL: Duration = Duration::from_secs(60);
 /// Limits that a report tells at most, the newest first.
-const MAX_TOLD: usize = 16;
+const MAX_REPORTED: usize = 16;
 
 /// Who shares an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -218,7 +218,9 @@
     ) -> Vec<ReportedLimit> {
         let age = |b: &KnownLimit| now.saturating_duration_since(b.answered_at);
         let is_told = |(key, b): &(&EndpointKey, &KnownLimit)| {
-            audience.is_told(b.origin) && (b.per_s.is_some() || age(b) < TELL_END) && is_for(key)
+            audience.is_told(b.origin)
+                && (b.per_s.is_some() || age(b) < REPORT_REMOVAL_FOR)
+                && is_for(key)
         };
         let mut told: Vec<_> = self.known_limits.iter().filter(is_told).collect();
         told.sort_by_key(|(key, b)| (age(b), **key));
@@ -227,7 +229,7 @@
             per_s: b.per_s,
             age_ms: age(b).as_millis().min(u128::from(u32::MAX)) as u32,
         };
-        told.into_iter().take(MAX_TOLD).map(tell).collect()
+        told.into_iter().take(MAX_REPORTED).map(tell).collect()
     }
 
     /// Requests that this instance may send to an endpoint now; none if it has no limit.
@@ -257,9 +259,9 @@
         let share = self.share(now, endpoint, scope)?;
         let seconds = match share.refill_per_s > 0.0 {
             true => (1.0 - share.tokens).max(0.0) / share.refill_per_s,
-            false => 1.0 / share.limit.max(LEAST_PER_S),
+            false => 1.0 / share.limit.max(MIN_RATE_PER_S),
         };
-        Some(Duration::from_secs_f64(seconds.min(FORGET.as_secs_f64())))
+        Some(Duration::from_secs_f64(seconds.min(UNLISTED_TTL.as_secs_f64())))
     }
 
     /// This instance's part as of now; none if there is no limit.
@@ -293,8 +295,9 @@
             Scope::Cell => &self.cell_hashes,
             Scope::Fleet => &self.fleet_hashes,
         };
-        let per_s = limit.max(LEAST_PER_S);
-        let burst = OVERAGE * WINDOW_S * per_s * (1.0 - MARGIN.0) + SLACK - MARGIN.1;
+        let per_s = limit.max(MIN_RATE_PER_S);
+        let burst = BURST_SHARE * WINDOW_SECS * per_s * (1.0 - BURST_MARGIN.0) + BURST_REQUESTS
+            - BURST_MARGIN.1;
         let shares = burst.floor().min(instances.len() as f64);
         let order = |name: &u64| xxh3_64_with_seed(&name.to_le_bytes(), endpoint.into());
         let own_order = order(&self.own_hash);
@@ -327,7 +330,7 @@
 
     /// Forgets endpoints that are not listed any more.
     pub(super) fn forget(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
-        let is_late = |b: &KnownLimit| now.saturating_duration_since(b.answered_at) > FORGET;
+        let is_late = |b: &KnownLimit| now.saturating_duration_since(b.answered_at) > UNLISTED_TTL;
         self.known_limits.retain(|key, b| !is_late(b) || b.per_s.is_some() && is_listed(key));
     }
 
