--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -40,7 +40,7 @@
         sent: Instant,
         signals: Signals,
     ) {
-        self.limits.answered(now, endpoint, sent, signals.rate_limit);
+        self.limits.record_response(now, endpoint, sent, signals.rate_limit);
         if signals.is_draining {
             self.draining.record(now, endpoint, Origin::Answer);
         }
@@ -58,7 +58,7 @@
     /// Takes in what another instance tells of endpoints, whether they are listed here yet or not.
     pub fn merge_endpoint_signals(&mut self, now: Instant, said: &ToldEndpoints, is_near: bool) {
         let origin = if is_near { Origin::Cell } else { Origin::Fleet };
-        self.limits.told(now, &said.limits, origin);
+        self.limits.merge_reported(now, &said.limits, origin);
         said.leaving.iter().for_each(|key| self.draining.record(now, *key, origin));
     }
 
@@ -105,7 +105,7 @@
         audience: Audience,
         is_for: impl Fn(&EndpointKey) -> bool,
     ) -> ToldEndpoints {
-        let limits = self.limits.tell(now, audience, is_for);
+        let limits = self.limits.to_report(now, audience, is_for);
         let leaving = self.draining.to_report(now, audience, |key| self.is_listed(*key));
         ToldEndpoints { limits, leaving }
     }
@@ -132,7 +132,7 @@
 
     /// Endpoints that are believed to have a limit.
     pub fn limited_count(&self) -> usize {
-        self.limits.limited().len()
+        self.limits.limited_endpoints().len()
     }
 
     /// Time until an endpoint of a service wants a request again, if all that could take one want none now.
@@ -148,8 +148,10 @@
             return None;
         }
         let time_until_available = |(key, scope)| {
-            let time_until_available =
-                [self.limits.opens_in(now, key, scope), self.backoffs.remaining(now, key)];
+            let time_until_available = [
+                self.limits.time_to_next_request(now, key, scope),
+                self.backoffs.remaining(now, key),
+            ];
             time_until_available.into_iter().flatten().max()
         };
         keys.into_iter().filter_map(time_until_available).min()
@@ -158,9 +160,10 @@
     /// What this instance may send to endpoints that want fewer requests.
     pub(super) fn allowances(&mut self, now: Instant) -> Allowances {
         let mut allowances = Allowances::new();
-        for key in self.limits.limited() {
+        for key in self.limits.limited_endpoints() {
             let Some(scope) = self.sites.get(&key).map(|s| self.scope(s)) else { continue };
-            allowances.extend(self.limits.room(now, key, scope).map(|room| (key, room)));
+            allowances
+                .extend(self.limits.available_requests(now, key, scope).map(|room| (key, room)));
         }
         // Who sent to an endpoint that rests would be turned away again, and be taken for the reason of its need.
         allowances.extend(self.backoffs.active(now).map(|key| (key, 0)));
@@ -182,7 +185,7 @@
     pub(super) fn prune_endpoint_signals(&mut self, now: Instant) {
         let (sites, listed) = (&self.sites, &self.listed);
         let is_listed = |key: &EndpointKey| sites.contains_key(key) || listed.contains(key);
-        self.limits.forget(now, is_listed);
+        self.limits.prune(now, is_listed);
         self.backoffs.prune(now);
         self.draining.prune(now, is_listed);
     }
--- a/oxbowbend-core/src/cell/draining.rs
+++ b/oxbowbend-core/src/cell/draining.rs
@@ -70,18 +70,18 @@
         let is_new = |record: &DrainRecord| {
             now.saturating_duration_since(record.first_heard) < REPORT_NEW_FOR
         };
-        let is_told = |(key, record): &(&EndpointKey, &DrainRecord)| {
+        let should_report = |(key, record): &(&EndpointKey, &DrainRecord)| {
             is_listed(key) && (audience == Audience::Newcomer || is_new(record))
         };
-        let mut all: Vec<_> = self.records.iter().filter(is_told).collect();
+        let mut all: Vec<_> = self.records.iter().filter(should_report).collect();
         all.sort_by_key(|(key, record)| (std::cmp::Reverse(record.first_heard), **key));
         all.into_iter().take(MAX_REPORTED).map(|(key, _)| *key).collect()
     }
 
     /// Forgets endpoints that are not listed any more.
     pub(super) fn prune(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
-        let is_late = |at: Instant| now.saturating_duration_since(at) > UNLISTED_TTL;
-        self.records.retain(|key, record| !is_late(record.last_heard) || is_listed(key));
+        let is_expired = |at: Instant| now.saturating_duration_since(at) > UNLISTED_TTL;
+        self.records.retain(|key, record| !is_expired(record.last_heard) || is_listed(key));
     }
 
     /// Those that are newly known since the last call.
--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -70,8 +70,8 @@
 }
 
 impl From<ReportedLimit> for (EndpointKey, Option<f64>, u32) {
-    fn from(told: ReportedLimit) -> (EndpointKey, Option<f64>, u32) {
-        (told.endpoint, told.per_s, told.age_ms)
+    fn from(reported: ReportedLimit) -> (EndpointKey, Option<f64>, u32) {
+        (reported.endpoint, reported.per_s, reported.age_ms)
     }
 }
 
@@ -150,7 +150,7 @@
 
     /// Takes in what an answer says to a request that was sent at `sent`. What is stricter holds at once; what is
     /// looser only from an answer to a request that was sent after the stricter word, since answers overtake each other.
-    pub(super) fn answered(
+    pub(super) fn record_response(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
@@ -163,35 +163,40 @@
             Said::Unreadable => return,
         };
         let known = self.known_limits.get(&endpoint);
-        let is_looser = |b: &KnownLimit| rate(per_s) > rate(b.per_s);
+        let is_looser = |b: &KnownLimit| rate_or_infinity(per_s) > rate_or_infinity(b.per_s);
         if known.is_none() && per_s.is_none()
             || known.is_some_and(|b| is_looser(b) && sent <= b.answered_at)
         {
             return;
         }
-        self.believe(now, endpoint, per_s, now, Origin::Answer);
+        self.set_limit(now, endpoint, per_s, now, Origin::Answer);
     }
 
     /// Takes in what another instance tells.
-    pub(super) fn told(&mut self, now: Instant, told: &[ReportedLimit], origin: Origin) {
-        for ReportedLimit { endpoint, per_s, age_ms } in told.iter().copied() {
+    pub(super) fn merge_reported(
+        &mut self,
+        now: Instant,
+        reported: &[ReportedLimit],
+        origin: Origin,
+    ) {
+        for ReportedLimit { endpoint, per_s, age_ms } in reported.iter().copied() {
             let Some(answered_at) = now.checked_sub(Duration::from_millis(age_ms.into())) else {
                 continue;
             };
-            let is_news = match self.known_limits.get(&endpoint) {
+            let is_newer = match self.known_limits.get(&endpoint) {
                 // A limit that is known would get younger with each time that it is told.
                 Some(known_limit) => {
                     known_limit.per_s != per_s && answered_at > known_limit.answered_at
                 }
                 None => per_s.is_some(),
             };
-            if is_news && per_s.is_none_or(|n| n.is_finite() && n >= 0.0) {
-                self.believe(now, endpoint, per_s, answered_at, origin);
+            if is_newer && per_s.is_none_or(|n| n.is_finite() && n >= 0.0) {
+                self.set_limit(now, endpoint, per_s, answered_at, origin);
             }
         }
     }
 
-    fn believe(
+    fn set_limit(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
@@ -210,30 +215,30 @@
     }
 
     /// What to tell of endpoints of which others are told.
-    pub(super) fn tell(
+    pub(super) fn to_report(
         &self,
         now: Instant,
         audience: Audience,
         is_for: impl Fn(&EndpointKey) -> bool,
     ) -> Vec<ReportedLimit> {
         let age = |b: &KnownLimit| now.saturating_duration_since(b.answered_at);
-        let is_told = |(key, b): &(&EndpointKey, &KnownLimit)| {
+        let should_report = |(key, b): &(&EndpointKey, &KnownLimit)| {
             audience.is_told(b.origin)
                 && (b.per_s.is_some() || age(b) < REPORT_REMOVAL_FOR)
                 && is_for(key)
         };
-        let mut told: Vec<_> = self.known_limits.iter().filter(is_told).collect();
-        told.sort_by_key(|(key, b)| (age(b), **key));
-        let tell = |(key, b): (&EndpointKey, &KnownLimit)| ReportedLimit {
+        let mut reported: Vec<_> = self.known_limits.iter().filter(should_report).collect();
+        reported.sort_by_key(|(key, b)| (age(b), **key));
+        let to_reported = |(key, b): (&EndpointKey, &KnownLimit)| ReportedLimit {
             endpoint: *key,
             per_s: b.per_s,
             age_ms: age(b).as_millis().min(u128::from(u32::MAX)) as u32,
         };
-        told.into_iter().take(MAX_REPORTED).map(tell).collect()
+        reported.into_iter().take(MAX_REPORTED).map(to_reported).collect()
     }
 
     /// Requests that this instance may send to an endpoint now; none if it has no limit.
-    pub(super) fn room(
+    pub(super) fn available_requests(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
@@ -250,7 +255,7 @@
     }
 
     /// Time until this instance, or if it has no part another one, may send the next request; none if there is no limit.
-    pub(super) fn opens_in(
+    pub(super) fn time_to_next_request(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
@@ -323,15 +328,16 @@
     }
 
     /// Endpoints that have a limit.
-    pub(super) fn limited(&self) -> Vec<EndpointKey> {
+    pub(super) fn limited_endpoints(&self) -> Vec<EndpointKey> {
         let limited = self.known_limits.iter().filter(|(_, b)| b.per_s.is_some());
         limited.map(|(key, _)| *key).collect()
     }
 
     /// Forgets endpoints that are not listed any more.
-    pub(super) fn forget(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
-        let is_late = |b: &KnownLimit| now.saturating_duration_since(b.answered_at) > UNLISTED_TTL;
-        self.known_limits.retain(|key, b| !is_late(b) || b.per_s.is_some() && is_listed(key));
+    pub(super) fn prune(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
+        let is_expired =
+            |b: &KnownLimit| now.saturating_duration_since(b.answered_at) > UNLISTED_TTL;
+        self.known_limits.retain(|key, b| !is_expired(b) || b.per_s.is_some() && is_listed(key));
     }
 
     /// What is newly believed since the last call.
@@ -349,6 +355,6 @@
 }
 
 /// Requests a second that are allowed.
-fn rate(per_s: Option<f64>) -> f64 {
+fn rate_or_infinity(per_s: Option<f64>) -> f64 {
     per_s.unwrap_or(f64::INFINITY)
 }
