--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -27,7 +27,7 @@
 /// Seconds of the window in which the users count.
 const WINDOW_SECS: f64 = 4.0;
 /// Part of the limit that it may get beyond it in a window.
-const BURST_SHARE: f64 = 0.5;
+const BURST_FRACTION: f64 = 0.5;
 /// Requests that it may get beyond that.
 const BURST_REQUESTS: f64 = 5.0;
 /// Part of the overage, and requests of the slack, that are left to requests that are late on their way and to instances that
@@ -163,9 +163,10 @@
             Said::Unreadable => return,
         };
         let known = self.known_limits.get(&endpoint);
-        let is_looser = |b: &KnownLimit| rate_or_infinity(per_s) > rate_or_infinity(b.per_s);
+        let is_looser =
+            |known: &KnownLimit| rate_or_infinity(per_s) > rate_or_infinity(known.per_s);
         if known.is_none() && per_s.is_none()
-            || known.is_some_and(|b| is_looser(b) && sent <= b.answered_at)
+            || known.is_some_and(|known| is_looser(known) && sent <= known.answered_at)
         {
             return;
         }
@@ -185,9 +186,7 @@
             };
             let is_newer = match self.known_limits.get(&endpoint) {
                 // A limit that is known would get younger with each time that it is told.
-                Some(known_limit) => {
-                    known_limit.per_s != per_s && answered_at > known_limit.answered_at
-                }
+                Some(known) => known.per_s != per_s && answered_at > known.answered_at,
                 None => per_s.is_some(),
             };
             if is_newer && per_s.is_none_or(|n| n.is_finite() && n >= 0.0) {
@@ -205,7 +204,7 @@
         origin: Origin,
     ) {
         let known = self.known_limits.remove(&endpoint);
-        let (previous, share) = known.map_or((None, None), |b| (b.per_s, b.share));
+        let (previous, share) = known.map_or((None, None), |known| (known.per_s, known.share));
         if previous != per_s {
             let age = now.saturating_duration_since(answered_at);
             self.changes.push(LimitChange { endpoint, per_s, previous, origin, age });
@@ -221,18 +220,18 @@
         audience: Audience,
         is_for: impl Fn(&EndpointKey) -> bool,
     ) -> Vec<ReportedLimit> {
-        let age = |b: &KnownLimit| now.saturating_duration_since(b.answered_at);
-        let should_report = |(key, b): &(&EndpointKey, &KnownLimit)| {
-            audience.is_told(b.origin)
-                && (b.per_s.is_some() || age(b) < REPORT_REMOVAL_FOR)
+        let age = |known: &KnownLimit| now.saturating_duration_since(known.answered_at);
+        let should_report = |(key, known): &(&EndpointKey, &KnownLimit)| {
+            audience.is_told(known.origin)
+                && (known.per_s.is_some() || age(known) < REPORT_REMOVAL_FOR)
                 && is_for(key)
         };
         let mut reported: Vec<_> = self.known_limits.iter().filter(should_report).collect();
-        reported.sort_by_key(|(key, b)| (age(b), **key));
-        let to_reported = |(key, b): (&EndpointKey, &KnownLimit)| ReportedLimit {
+        reported.sort_by_key(|(key, known)| (age(known), **key));
+        let to_reported = |(key, known): (&EndpointKey, &KnownLimit)| ReportedLimit {
             endpoint: *key,
-            per_s: b.per_s,
-            age_ms: age(b).as_millis().min(u128::from(u32::MAX)) as u32,
+            per_s: known.per_s,
+            age_ms: age(known).as_millis().min(u128::from(u32::MAX)) as u32,
         };
         reported.into_iter().take(MAX_REPORTED).map(to_reported).collect()
     }
@@ -278,14 +277,15 @@
     ) -> Option<&mut LimitShare> {
         let limit = self.known_limits.get(&endpoint)?.per_s?;
         let previous = self.known_limits.get(&endpoint)?.share;
-        let is_current =
-            |p: &LimitShare| (p.limit, p.generation, p.scope) == (limit, self.generation, scope);
+        let is_current = |share: &LimitShare| {
+            (share.limit, share.generation, share.scope) == (limit, self.generation, scope)
+        };
         let share = match previous.filter(is_current) {
             Some(share) => share.refilled(now),
             None => self.compute_share(now, endpoint, limit, scope, previous),
         };
-        let known_limit = self.known_limits.get_mut(&endpoint)?;
-        Some(known_limit.share.insert(share))
+        let known = self.known_limits.get_mut(&endpoint)?;
+        Some(known.share.insert(share))
     }
 
     fn compute_share(
@@ -301,7 +301,7 @@
             Scope::Fleet => &self.fleet_hashes,
         };
         let per_s = limit.max(MIN_RATE_PER_S);
-        let burst = BURST_SHARE * WINDOW_SECS * per_s * (1.0 - BURST_MARGIN.0) + BURST_REQUESTS
+        let burst = BURST_FRACTION * WINDOW_SECS * per_s * (1.0 - BURST_MARGIN.0) + BURST_REQUESTS
             - BURST_MARGIN.1;
         let shares = burst.floor().min(instances.len() as f64);
         let order = |name: &u64| xxh3_64_with_seed(&name.to_le_bytes(), endpoint.into());
@@ -329,15 +329,16 @@
 
     /// Endpoints that have a limit.
     pub(super) fn limited_endpoints(&self) -> Vec<EndpointKey> {
-        let limited = self.known_limits.iter().filter(|(_, b)| b.per_s.is_some());
+        let limited = self.known_limits.iter().filter(|(_, known)| known.per_s.is_some());
         limited.map(|(key, _)| *key).collect()
     }
 
     /// Forgets endpoints that are not listed any more.
     pub(super) fn prune(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
         let is_expired =
-            |b: &KnownLimit| now.saturating_duration_since(b.answered_at) > UNLISTED_TTL;
-        self.known_limits.retain(|key, b| !is_expired(b) || b.per_s.is_some() && is_listed(key));
+            |known: &KnownLimit| now.saturating_duration_since(known.answered_at) > UNLISTED_TTL;
+        self.known_limits
+            .retain(|key, known| !is_expired(known) || known.per_s.is_some() && is_listed(key));
     }
 
     /// What is newly believed since the last call.
