--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -36,7 +36,7 @@
 pub use pace::FIXED_UNITS;
 pub use reach::{Names, Reach};
 pub use report::{Claim, Load, Report, Tally, ToldEndpoints};
-pub use shedding::{Patience, RetryAfter};
+pub use shedding::{RetryAfter, RetryPolicy};
 pub use signals::{Origin, Said, Signals};
 
 use xxhash_rust::xxh3::xxh3_64;
@@ -353,11 +353,11 @@
         now: Instant,
         service: &ServiceId,
         rank: u16,
-        patience: Patience,
+        policy: RetryPolicy,
     ) -> RetryAfter {
-        let refused = self.shedding.refused(now, service, rank, patience);
+        let refused = self.shedding.refused(now, service, rank, policy);
         match self.time_until_available(now, service) {
-            Some(time_until_available) => refused.not_before(time_until_available, patience),
+            Some(time_until_available) => refused.not_before(time_until_available, policy),
             None => refused,
         }
     }
--- a/oxbowbend-core/src/cell/shedding.rs
+++ b/oxbowbend-core/src/cell/shedding.rs
@@ -51,13 +51,13 @@
 
 /// How long a caller waits when told to come back, and how much of that is chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct RetryPolicy {
     /// Time from the first event's being asked for to its being due.
     pub objective: Duration,
     /// Longest time for which the caller would wait.
-    pub longest: Duration,
+    pub max_delay: Duration,
     /// From 0 to 1, chosen at random, so that refused callers do not return as one.
-    pub spread: f64,
+    pub jitter: f64,
 }
 
 /// What the caller of a refused request is told, and from what.
@@ -78,9 +78,9 @@
     pub(super) fn not_before(
         self,
         time_until_available: Duration,
-        patience: Patience,
+        policy: RetryPolicy,
     ) -> RetryAfter {
-        let after = time_until_available.mul_f64(1.0 + patience.spread).min(patience.longest);
+        let after = time_until_available.mul_f64(1.0 + policy.jitter).min(policy.max_delay);
         RetryAfter { after, is_withheld: true, ..self }
     }
 }
@@ -111,16 +111,16 @@
         now: Instant,
         service: &ServiceId,
         rank: u16,
-        patience: Patience,
+        policy: RetryPolicy,
     ) -> RetryAfter {
         let counts = self.counts(now, service, rank);
         counts.refused.push_back(now);
         let (placed, refused) = (counts.placed.len(), counts.refused.len());
         let ((from, to), of) = match placed as f64 >= SOON_SHARE * (placed + refused) as f64 {
-            true => (SOON, patience.objective),
-            false => (LATE, patience.longest),
+            true => (SOON, policy.objective),
+            false => (LATE, policy.max_delay),
         };
-        let after = of.mul_f64(from + (to - from) * patience.spread).min(patience.longest);
+        let after = of.mul_f64(from + (to - from) * policy.jitter).min(policy.max_delay);
         RetryAfter { after, placed, refused, is_withheld: false }
     }
 
--- a/oxbowbend-core/tests/backoff.rs
+++ b/oxbowbend-core/tests/backoff.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, key, placed, want, MS};
-use oxbowbend_core::cell::{Cell, Extent, Outcome, Patience, Said, Signals};
+use oxbowbend_core::cell::{Cell, Extent, Outcome, RetryPolicy, Said, Signals};
 
 fn asks_for_rest(cell: &mut Cell, now: Instant, name: &str, ms: u64) {
     let backoff = Said::Value(Duration::from_millis(ms));
@@ -53,8 +53,9 @@
     asks_for_rest(&mut a, now, "e0", 1000);
     b.hear(now, a.report(now, Extent::Full), true);
     assert!(is_used(&mut b, now) && !is_used(&mut a, now));
-    let patience = Patience { objective: 100 * MS, longest: Duration::from_secs(3), spread: 0.0 };
-    let told = a.refuse(now + 400 * MS, &"s".into(), 0, patience);
+    let policy =
+        RetryPolicy { objective: 100 * MS, max_delay: Duration::from_secs(3), jitter: 0.0 };
+    let told = a.refuse(now + 400 * MS, &"s".into(), 0, policy);
     assert_eq!((told.after, told.is_withheld), (600 * MS, true));
-    assert!(!b.refuse(now + 400 * MS, &"s".into(), 0, patience).is_withheld);
+    assert!(!b.refuse(now + 400 * MS, &"s".into(), 0, policy).is_withheld);
 }
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::key;
-use oxbowbend_core::cell::{Cell, Outcome, Patience, Stall, Ticket, Want};
+use oxbowbend_core::cell::{Cell, Outcome, RetryPolicy, Stall, Ticket, Want};
 use oxbowbend_core::ids::ServiceId;
 use oxbowbend_core::routes::Endpoint;
 
@@ -44,8 +44,8 @@
     "s".into()
 }
 
-fn patience(spread: f64) -> Patience {
-    Patience { objective: OBJECTIVE, longest: 4000 * MS, spread }
+fn policy(jitter: f64) -> RetryPolicy {
+    RetryPolicy { objective: OBJECTIVE, max_delay: 4000 * MS, jitter }
 }
 
 /// A request that is refused for want of a place.
@@ -53,7 +53,7 @@
     let ticket = cell.arrive(want(rank, now));
     assert!(cell.assign(now).is_empty(), "a place came free");
     cell.withdraw(ticket);
-    cell.refuse(now, &service(), rank, patience(0.0)).after
+    cell.refuse(now, &service(), rank, policy(0.0)).after
 }
 
 #[test]
@@ -117,10 +117,10 @@
 fn times_to_come_back_are_spread_and_never_beyond_the_longest() {
     let now = Instant::now();
     let mut cell = cell(0);
-    let at = |cell: &mut Cell, spread| cell.refuse(now, &service(), 1, patience(spread)).after;
+    let at = |cell: &mut Cell, jitter| cell.refuse(now, &service(), 1, policy(jitter)).after;
     assert!(at(&mut cell, 0.2) < at(&mut cell, 0.7));
     assert_eq!(at(&mut cell, 1.0), 4000 * MS);
-    let short = Patience { longest: 10 * MS, ..patience(1.0) };
+    let short = RetryPolicy { max_delay: 10 * MS, ..policy(1.0) };
     assert!(cell.refuse(now, &service(), 1, short).after <= 10 * MS);
 }
 
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -21,7 +21,7 @@
 use http_body_util::{Either, StreamBody};
 use hyper::body::{Frame, Incoming};
 use oxbowbend_clock as clock;
-use oxbowbend_core::cell::{Assignment, Outcome, Patience, Want};
+use oxbowbend_core::cell::{Assignment, Outcome, RetryPolicy, Want};
 use oxbowbend_core::ids::EndpointId;
 use oxbowbend_core::shutdown::Shutdown;
 use oxbowbend_http::h1;
@@ -241,13 +241,13 @@
 
     fn busy(&self, job: &Job, on_arrival: bool) -> Refusal {
         let now = clock::now();
-        let patience = Patience {
+        let policy = RetryPolicy {
             objective: job.route.objective,
-            longest: job.limit.saturating_duration_since(now).mul_f64(HONOURED_SHARE),
-            spread: rand::random(),
+            max_delay: job.limit.saturating_duration_since(now).mul_f64(HONOURED_SHARE),
+            jitter: rand::random(),
         };
         let mut state = self.shared.lock();
-        let retry_after = state.cell.refuse(now, &job.service, job.rank, patience);
+        let retry_after = state.cell.refuse(now, &job.service, job.rank, policy);
         drop(state);
         if retry_after.is_withheld {
             observe::withheld("refused");
