--- a/oxbowbend-core/src/cell/shedding.rs
+++ b/oxbowbend-core/src/cell/shedding.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAfter {
     /// Time to wait.
-    pub after: Duration,
+    pub delay: Duration,
     /// Requests of its service and rank that got places here within the last second.
     pub placed: usize,
     /// Those that were refused, this one included.
@@ -80,8 +80,8 @@
         time_until_available: Duration,
         policy: RetryPolicy,
     ) -> RetryAfter {
-        let after = time_until_available.mul_f64(1.0 + policy.jitter).min(policy.max_delay);
-        RetryAfter { after, is_withheld: true, ..self }
+        let delay = time_until_available.mul_f64(1.0 + policy.jitter).min(policy.max_delay);
+        RetryAfter { delay, is_withheld: true, ..self }
     }
 }
 
@@ -120,8 +120,8 @@
             true => (SOON, policy.objective),
             false => (LATE, policy.max_delay),
         };
-        let after = of.mul_f64(from + (to - from) * policy.jitter).min(policy.max_delay);
-        RetryAfter { after, placed, refused, is_withheld: false }
+        let delay = of.mul_f64(from + (to - from) * policy.jitter).min(policy.max_delay);
+        RetryAfter { delay, placed, refused, is_withheld: false }
     }
 
     fn counts(&mut self, now: Instant, service: &ServiceId, rank: u16) -> &mut Counts {
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -53,7 +53,7 @@
     let ticket = cell.arrive(want(rank, now));
     assert!(cell.assign(now).is_empty(), "a place came free");
     cell.withdraw(ticket);
-    cell.refuse(now, &service(), rank, policy(0.0)).after
+    cell.refuse(now, &service(), rank, policy(0.0)).delay
 }
 
 #[test]
@@ -117,11 +117,11 @@
 fn times_to_come_back_are_spread_and_never_beyond_the_longest() {
     let now = Instant::now();
     let mut cell = cell(0);
-    let at = |cell: &mut Cell, jitter| cell.refuse(now, &service(), 1, policy(jitter)).after;
+    let at = |cell: &mut Cell, jitter| cell.refuse(now, &service(), 1, policy(jitter)).delay;
     assert!(at(&mut cell, 0.2) < at(&mut cell, 0.7));
     assert_eq!(at(&mut cell, 1.0), 4000 * MS);
     let short = RetryPolicy { max_delay: 10 * MS, ..policy(1.0) };
-    assert!(cell.refuse(now, &service(), 1, short).after <= 10 * MS);
+    assert!(cell.refuse(now, &service(), 1, short).delay <= 10 * MS);
 }
 
 #[test]
--- a/oxbowbend-gateway/src/relay/refusal.rs
+++ b/oxbowbend-gateway/src/relay/refusal.rs
@@ -72,7 +72,7 @@
                 Some(*retry_after)
             }
             Refusal::OverQuota { exceeded, .. } => Some(exceeded.retry_after),
-            Refusal::Busy { retry_after, .. } => Some(retry_after.after),
+            Refusal::Busy { retry_after, .. } => Some(retry_after.delay),
             _ => None,
         }
     }
