--- a/oxbowbend-core/src/cell/shedding.rs
+++ b/oxbowbend-core/src/cell/shedding.rs
@@ -70,7 +70,7 @@
     /// Those that were refused, this one included.
     pub refused: usize,
     /// Whether all endpoints that could take it want no request now.
-    pub is_withheld: bool,
+    pub is_throttled: bool,
 }
 
 impl RetryAfter {
@@ -81,7 +81,7 @@
         policy: RetryPolicy,
     ) -> RetryAfter {
         let delay = time_until_available.mul_f64(1.0 + policy.jitter).min(policy.max_delay);
-        RetryAfter { delay, is_withheld: true, ..self }
+        RetryAfter { delay, is_throttled: true, ..self }
     }
 }
 
@@ -121,7 +121,7 @@
             false => (LATE, policy.max_delay),
         };
         let delay = of.mul_f64(from + (to - from) * policy.jitter).min(policy.max_delay);
-        RetryAfter { delay, placed, refused, is_withheld: false }
+        RetryAfter { delay, placed, refused, is_throttled: false }
     }
 
     fn counts(&mut self, now: Instant, service: &ServiceId, rank: u16) -> &mut Counts {
--- a/oxbowbend-core/tests/backoff.rs
+++ b/oxbowbend-core/tests/backoff.rs
@@ -56,6 +56,6 @@
     let policy =
         RetryPolicy { objective: 100 * MS, max_delay: Duration::from_secs(3), jitter: 0.0 };
     let told = a.refuse(now + 400 * MS, &"s".into(), 0, policy);
-    assert_eq!((told.delay, told.is_withheld), (600 * MS, true));
-    assert!(!b.refuse(now + 400 * MS, &"s".into(), 0, policy).is_withheld);
+    assert_eq!((told.delay, told.is_throttled), (600 * MS, true));
+    assert!(!b.refuse(now + 400 * MS, &"s".into(), 0, policy).is_throttled);
 }
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -249,7 +249,7 @@
         let mut state = self.shared.lock();
         let retry_after = state.cell.refuse(now, &job.service, job.rank, policy);
         drop(state);
-        if retry_after.is_withheld {
+        if retry_after.is_throttled {
             observe::withheld("refused");
         }
         Refusal::Busy { retry_after, on_arrival }
--- a/oxbowbend-gateway/src/relay/refusal.rs
+++ b/oxbowbend-gateway/src/relay/refusal.rs
@@ -103,10 +103,10 @@
                 over_quota(account, exceeded, *units)
             }
             Refusal::Busy { retry_after, on_arrival } => {
-                let RetryAfter { placed, refused, is_withheld, .. } = retry_after;
+                let RetryAfter { placed, refused, is_throttled, .. } = retry_after;
                 format!(
                     "on_arrival={on_arrival} placed_last_s={placed} refused_last_s={refused} \
-                     withheld={is_withheld}"
+                     withheld={is_throttled}"
                 )
             }
             Refusal::Quarantined { fingerprint, .. } => format!("fingerprint={fingerprint:016x}"),
