--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -357,7 +357,7 @@
     ) -> RetryAfter {
         let refused = self.shedding.refused(now, service, rank, policy);
         match self.time_until_available(now, service) {
-            Some(time_until_available) => refused.not_before(time_until_available, policy),
+            Some(time_until_available) => refused.throttled(time_until_available, policy),
             None => refused,
         }
     }
--- a/oxbowbend-core/src/cell/shedding.rs
+++ b/oxbowbend-core/src/cell/shedding.rs
@@ -75,7 +75,7 @@
 
 impl RetryAfter {
     /// For a caller for whom there is nothing before an endpoint wants a request again.
-    pub(super) fn not_before(
+    pub(super) fn throttled(
         self,
         time_until_available: Duration,
         policy: RetryPolicy,
