--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -159,7 +159,7 @@
         for a in &assignments {
             self.record_dispatch(now, a.endpoint.key());
             if let Some(want) = self.waiting.remove(&a.ticket) {
-                self.shedding.placed(now, &want.service, want.rank);
+                self.shedding.record_placed(now, &want.service, want.rank);
             }
             if let Some(site) = self.sites.get_mut(&a.endpoint.key()) {
                 site.running += 1;
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -170,7 +170,7 @@
     reach: u32,
     /// Their names.
     heard_names: reach::Names,
-    shedding: shedding::Shedding,
+    shedding: shedding::LoadShedder,
     /// Whether this instance represents the cell.
     is_representative: bool,
     /// When it was last heard what each other cell has admitted, and what all of them have.
@@ -213,7 +213,7 @@
             share: 1.0,
             reach: 1,
             heard_names: reach::Names::default(),
-            shedding: shedding::Shedding::default(),
+            shedding: shedding::LoadShedder::default(),
             is_representative: false,
             summed: BTreeMap::new(),
             viewed: None,
@@ -355,7 +355,7 @@
         rank: u16,
         policy: RetryPolicy,
     ) -> RetryAfter {
-        let refused = self.shedding.refused(now, service, rank, policy);
+        let refused = self.shedding.record_refused(now, service, rank, policy);
         match self.time_until_available(now, service) {
             Some(time_until_available) => refused.throttled(time_until_available, policy),
             None => refused,
--- a/oxbowbend-core/src/cell/shedding.rs
+++ b/oxbowbend-core/src/cell/shedding.rs
@@ -38,15 +38,15 @@
 
 /// Requests of one service and rank.
 #[derive(Debug, Default)]
-struct Counts {
+struct RecentOutcomes {
     placed: VecDeque<Instant>,
     refused: VecDeque<Instant>,
 }
 
 /// What has lately become of requests, by service and rank.
 #[derive(Debug, Default)]
-pub(super) struct Shedding {
-    counts: HashMap<(ServiceId, u16), Counts>,
+pub(super) struct LoadShedder {
+    recent: HashMap<(ServiceId, u16), RecentOutcomes>,
 }
 
 /// How long a caller waits when told to come back, and how much of that is chosen.
@@ -85,10 +85,10 @@
     }
 }
 
-impl Shedding {
+impl LoadShedder {
     /// Notes that a request got a place.
-    pub(super) fn placed(&mut self, now: Instant, service: &ServiceId, rank: u16) {
-        self.counts(now, service, rank).placed.push_back(now);
+    pub(super) fn record_placed(&mut self, now: Instant, service: &ServiceId, rank: u16) {
+        self.recent(now, service, rank).placed.push_back(now);
     }
 
     /// Whether a further request is not to get a place, with so many of its rank waiting already.
@@ -99,23 +99,23 @@
         rank: u16,
         waiting: usize,
     ) -> bool {
-        let counts = self.counts(now, service, rank);
-        let (placed, refused) = (counts.placed.len(), counts.refused.len());
+        let recent = self.recent(now, service, rank);
+        let (placed, refused) = (recent.placed.len(), recent.refused.len());
         let is_starved = refused >= MIN_REFUSED && (placed as f64) < STARVED * refused as f64;
         waiting >= MIN_WAITING && is_starved
     }
 
     /// Notes that a request was refused, and tells when its caller should come back.
-    pub(super) fn refused(
+    pub(super) fn record_refused(
         &mut self,
         now: Instant,
         service: &ServiceId,
         rank: u16,
         policy: RetryPolicy,
     ) -> RetryAfter {
-        let counts = self.counts(now, service, rank);
-        counts.refused.push_back(now);
-        let (placed, refused) = (counts.placed.len(), counts.refused.len());
+        let recent = self.recent(now, service, rank);
+        recent.refused.push_back(now);
+        let (placed, refused) = (recent.placed.len(), recent.refused.len());
         let ((from, to), of) = match placed as f64 >= SOON_SHARE * (placed + refused) as f64 {
             true => (SOON, policy.objective),
             false => (LATE, policy.max_delay),
@@ -124,13 +124,13 @@
         RetryAfter { delay, placed, refused, is_throttled: false }
     }
 
-    fn counts(&mut self, now: Instant, service: &ServiceId, rank: u16) -> &mut Counts {
-        let counts = self.counts.entry((service.clone(), rank)).or_default();
-        for times in [&mut counts.placed, &mut counts.refused] {
+    fn recent(&mut self, now: Instant, service: &ServiceId, rank: u16) -> &mut RecentOutcomes {
+        let recent = self.recent.entry((service.clone(), rank)).or_default();
+        for times in [&mut recent.placed, &mut recent.refused] {
             while times.front().is_some_and(|t| now.saturating_duration_since(*t) > WINDOW) {
                 times.pop_front();
             }
         }
-        counts
+        recent
     }
 }
