--- a/oxbowbend-core/src/cell/shedding.rs
+++ b/oxbowbend-core/src/cell/shedding.rs
@@ -24,17 +24,17 @@
 /// users' sites, so less would count too few.
 const WINDOW: Duration = Duration::from_secs(1);
 /// Refusals within that time below which nothing follows: a few come with any small burst.
-const MIN_REFUSED: usize = 4;
+const MIN_REFUSALS: usize = 4;
 /// Requests of a rank that wait at an instance all the same, so that a place that comes free is taken.
 const MIN_WAITING: usize = 2;
 /// Placements for each refusal below which a rank gets next to nothing.
-const STARVED: f64 = 0.1;
+const STARVED_RATIO: f64 = 0.1;
 /// Part that must get places for refused callers to come back soon.
-const SOON_SHARE: f64 = 0.5;
+const EARLY_RETRY_MIN_SHARE: f64 = 0.5;
 /// Parts of the objective between which these come back.
-const SOON: (f64, f64) = (0.15, 0.4);
+const EARLY_RETRY: (f64, f64) = (0.15, 0.4);
 /// Parts of the longest time between which the others do. The spread keeps them from returning as one.
-const LATE: (f64, f64) = (0.6, 1.0);
+const LATE_RETRY: (f64, f64) = (0.6, 1.0);
 
 /// Requests of one service and rank.
 #[derive(Debug, Default)]
@@ -101,7 +101,8 @@
     ) -> bool {
         let recent = self.recent(now, service, rank);
         let (placed, refused) = (recent.placed.len(), recent.refused.len());
-        let is_starved = refused >= MIN_REFUSED && (placed as f64) < STARVED * refused as f64;
+        let is_starved =
+            refused >= MIN_REFUSALS && (placed as f64) < STARVED_RATIO * refused as f64;
         waiting >= MIN_WAITING && is_starved
     }
 
@@ -116,10 +117,11 @@
         let recent = self.recent(now, service, rank);
         recent.refused.push_back(now);
         let (placed, refused) = (recent.placed.len(), recent.refused.len());
-        let ((from, to), of) = match placed as f64 >= SOON_SHARE * (placed + refused) as f64 {
-            true => (SOON, policy.objective),
-            false => (LATE, policy.max_delay),
-        };
+        let ((from, to), of) =
+            match placed as f64 >= EARLY_RETRY_MIN_SHARE * (placed + refused) as f64 {
+                true => (EARLY_RETRY, policy.objective),
+                false => (LATE_RETRY, policy.max_delay),
+            };
         let delay = of.mul_f64(from + (to - from) * policy.jitter).min(policy.max_delay);
         RetryAfter { delay, placed, refused, is_throttled: false }
     }
