--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::backpressure::Allowances;
-use super::{Cell, Stall, Ticket, Want, CLAIM_TTL, FIXED_UNITS};
+use super::{Cell, Stall, Ticket, Want, CLAIM_TTL, FIXED_WORK_UNITS};
 use crate::ids::{EndpointId, EndpointKey, ServiceId, ZoneId};
 use crate::routes::Endpoint;
 
@@ -365,7 +365,7 @@
 
 /// Expected time to the first event.
 fn first(place: &Place<'_>, candidate: &Candidate<'_>) -> Duration {
-    let units = f64::from(candidate.prompt + FIXED_UNITS) + f64::from(place.unread);
+    let units = f64::from(candidate.prompt + FIXED_WORK_UNITS) + f64::from(place.unread);
     Duration::from_nanos((place.ns * units * crowd(place)) as u64)
 }
 
--- a/oxbowbend-core/src/cell/pace.rs
+++ b/oxbowbend-core/src/cell/latency.rs
@@ -8,43 +8,47 @@
 
 /// Units of work of a request beside its prompt. On the users' engines a first event costs about
 /// as much as reading 300 tokens.
-pub const FIXED_UNITS: u32 = 300;
+pub const FIXED_WORK_UNITS: u32 = 300;
 /// Weight of a new measurement.
-const WEIGHT: f64 = 0.2;
+const EWMA_WEIGHT: f64 = 0.2;
 /// Measurements beyond which more add no confidence.
 const MAX_SAMPLES: u32 = 20;
 
 /// What one instance has measured at one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Pace {
-    ns: f64,
+pub struct LatencyEstimate {
+    ns_per_unit: f64,
     samples: u32,
 }
 
-impl Pace {
+impl LatencyEstimate {
     /// What another instance reports.
-    pub fn reported(ns_per_unit: u64, samples: u32) -> Pace {
-        Pace { ns: ns_per_unit as f64, samples: samples.min(MAX_SAMPLES) }
+    pub fn from_report(ns_per_unit: u64, samples: u32) -> LatencyEstimate {
+        LatencyEstimate { ns_per_unit: ns_per_unit as f64, samples: samples.min(MAX_SAMPLES) }
     }
 
     /// Takes a measurement.
-    pub fn learn(&mut self, prompt: u32, first: Duration) {
-        let ns = first.as_nanos() as f64 / f64::from(prompt + FIXED_UNITS);
-        self.ns = if self.samples == 0 { ns } else { self.ns + WEIGHT * (ns - self.ns) };
+    pub fn record(&mut self, prompt: u32, first: Duration) {
+        let ns_per_unit = first.as_nanos() as f64 / f64::from(prompt + FIXED_WORK_UNITS);
+        self.ns_per_unit = if self.samples == 0 {
+            ns_per_unit
+        } else {
+            self.ns_per_unit + EWMA_WEIGHT * (ns_per_unit - self.ns_per_unit)
+        };
         self.samples = (self.samples + 1).min(MAX_SAMPLES);
     }
 
     /// Nanoseconds for a unit, and the measurements behind that.
     pub fn as_parts(self) -> (u64, u32) {
-        (self.ns as u64, self.samples)
+        (self.ns_per_unit as u64, self.samples)
     }
 
     /// All measurements together; none if there are none.
-    pub fn combine(paces: impl IntoIterator<Item = Pace>) -> Option<f64> {
+    pub fn weighted_mean(estimates: impl IntoIterator<Item = LatencyEstimate>) -> Option<f64> {
         let (mut sum, mut n) = (0.0, 0.0);
-        for pace in paces {
-            sum += pace.ns * f64::from(pace.samples);
-            n += f64::from(pace.samples);
+        for estimate in estimates {
+            sum += estimate.ns_per_unit * f64::from(estimate.samples);
+            n += f64::from(estimate.samples);
         }
         (n > 0.0).then(|| sum / n)
     }
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -16,8 +16,8 @@
 mod groups;
 mod health;
 mod hear;
+mod latency;
 mod limits;
-mod pace;
 mod peer;
 mod reach;
 mod report;
@@ -32,8 +32,8 @@
 pub use fleet::{Beyond, FleetView};
 pub use groups::{Group, MAX_CELL};
 pub use hear::{Growth, Heard};
+pub use latency::FIXED_WORK_UNITS;
 pub use limits::{LimitChange, ReportedLimit};
-pub use pace::FIXED_UNITS;
 pub use reach::{Names, Reach};
 pub use report::{Claim, Load, Report, Tally, ToldEndpoints};
 pub use shedding::{RetryAfter, RetryPolicy};
@@ -139,7 +139,7 @@
     unread: u32,
     good: u64,
     bad: u64,
-    pace: pace::Pace,
+    pace: latency::LatencyEstimate,
     health: health::Health,
     touched: Option<Instant>,
     /// When it last began or ended an answer.
@@ -237,7 +237,7 @@
                     unread: 0,
                     good: 0,
                     bad: 0,
-                    pace: pace::Pace::default(),
+                    pace: latency::LatencyEstimate::default(),
                     health: health::Health::default(),
                     touched: None,
                     answered: None,
@@ -379,7 +379,7 @@
     ) {
         if let Some(site) = self.sites.get_mut(&endpoint) {
             site.unread = site.unread.saturating_sub(prompt);
-            site.pace.learn(prompt.saturating_add(backlog), first);
+            site.pace.record(prompt.saturating_add(backlog), first);
             (site.touched, site.answered) = (Some(now), Some(now));
         }
     }
@@ -437,7 +437,7 @@
     pub fn restore_pace(&mut self, endpoint: EndpointKey, ns_per_unit: u64) {
         let site = self.sites.get_mut(&endpoint).filter(|s| s.pace.as_parts().1 == 0);
         if let Some(site) = site {
-            site.pace = pace::Pace::reported(ns_per_unit, NOTED_SAMPLES);
+            site.pace = latency::LatencyEstimate::from_report(ns_per_unit, NOTED_SAMPLES);
         }
     }
 
@@ -454,13 +454,13 @@
     }
 
     fn paces(&self, now: Instant) -> HashMap<EndpointKey, f64> {
-        let mut all: HashMap<EndpointKey, Vec<pace::Pace>> = HashMap::new();
+        let mut all: HashMap<EndpointKey, Vec<latency::LatencyEstimate>> = HashMap::new();
         for (endpoint, pace) in self.live_peers(now).flat_map(|p| &p.paces) {
             all.entry(*endpoint).or_default().push(*pace);
         }
         let of = |(key, s): (&EndpointKey, &Site)| {
             let others = all.get(key).into_iter().flatten().copied();
-            Some((*key, pace::Pace::combine(others.chain([s.pace]))?))
+            Some((*key, latency::LatencyEstimate::weighted_mean(others.chain([s.pace]))?))
         };
         self.sites.iter().filter_map(of).collect()
     }
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -10,7 +10,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use oxbowbend_clock as clock;
-use oxbowbend_core::cell::{Assignment, Outcome, FIXED_UNITS};
+use oxbowbend_core::cell::{Assignment, Outcome, FIXED_WORK_UNITS};
 use oxbowbend_core::rollout::evidence::Answer;
 use oxbowbend_core::routes::{Endpoint, Route};
 use oxbowbend_core::silence::{self, Silence};
@@ -174,7 +174,7 @@
 
     /// The time that it has taken, for each unit of work.
     fn took(&self) -> Answer {
-        let units = self.prompt.saturating_add(self.backlog).saturating_add(FIXED_UNITS);
+        let units = self.prompt.saturating_add(self.backlog).saturating_add(FIXED_WORK_UNITS);
         let units = units.saturating_add(self.events.saturating_mul(EVENT_UNITS));
         let ns = clock::since(self.began).as_nanos() as f64;
         Answer::Good { ns_per_unit: ns / f64::from(units) }
