--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -136,7 +136,7 @@
     }
 
     /// Time until an endpoint of a service wants a request again, if all that could take one want none now.
-    pub fn time_until_available(&mut self, now: Instant, service: &ServiceId) -> Option<Duration> {
+    pub fn available_in(&mut self, now: Instant, service: &ServiceId) -> Option<Duration> {
         let allowances = self.allowances(now);
         if allowances.is_empty() {
             return None;
@@ -147,14 +147,14 @@
         if keys.iter().any(|(key, _)| allowances.get(key).is_none_or(|room| *room > 0)) {
             return None;
         }
-        let time_until_available = |(key, scope)| {
-            let time_until_available = [
+        let available_in = |(key, scope)| {
+            let available_in = [
                 self.limits.time_to_next_request(now, key, scope),
                 self.backoffs.remaining(now, key),
             ];
-            time_until_available.into_iter().flatten().max()
+            available_in.into_iter().flatten().max()
         };
-        keys.into_iter().filter_map(time_until_available).min()
+        keys.into_iter().filter_map(available_in).min()
     }
 
     /// What this instance may send to endpoints that want fewer requests.
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -356,8 +356,8 @@
         policy: RetryPolicy,
     ) -> RetryAfter {
         let refused = self.shedding.record_refused(now, service, rank, policy);
-        match self.time_until_available(now, service) {
-            Some(time_until_available) => refused.throttled(time_until_available, policy),
+        match self.available_in(now, service) {
+            Some(available_in) => refused.throttled(available_in, policy),
             None => refused,
         }
     }
--- a/oxbowbend-core/src/cell/shedding.rs
+++ b/oxbowbend-core/src/cell/shedding.rs
@@ -75,12 +75,8 @@
 
 impl RetryAfter {
     /// For a caller for whom there is nothing before an endpoint wants a request again.
-    pub(super) fn throttled(
-        self,
-        time_until_available: Duration,
-        policy: RetryPolicy,
-    ) -> RetryAfter {
-        let delay = time_until_available.mul_f64(1.0 + policy.jitter).min(policy.max_delay);
+    pub(super) fn throttled(self, available_in: Duration, policy: RetryPolicy) -> RetryAfter {
+        let delay = available_in.mul_f64(1.0 + policy.jitter).min(policy.max_delay);
         RetryAfter { delay, is_throttled: true, ..self }
     }
 }
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -214,21 +214,16 @@
     let at_limited = placed.iter().filter(|a| &*a.endpoint.id == "e0").count();
     assert!(at_limited <= 4, "{at_limited} at once");
     assert!(placed.len() - at_limited == 4, "the other one takes all that it has room for");
-    assert_eq!(
-        cell.time_until_available(later, &"s".into()),
-        None,
-        "the other one wants any number"
-    );
+    assert_eq!(cell.available_in(later, &"s".into()), None, "the other one wants any number");
     cell.apply_signals(now, key("e2"), now, says(Some(0.5)));
     while !cell.assign(later).is_empty() {
         (0..4).for_each(|_| cell.finish(later, key("e0"), 1, Outcome::Good));
         (0..4).for_each(|_| cell.finish(later, key("e2"), 1, Outcome::Good));
         (0..10).for_each(|_| _ = cell.arrive(want(0, 1, now)));
     }
-    let time_until_available =
-        cell.time_until_available(later, &"s".into()).expect("both want none");
+    let available_in = cell.available_in(later, &"s".into()).expect("both want none");
     assert!(
-        time_until_available > Duration::ZERO && time_until_available <= Duration::from_secs(2),
-        "{time_until_available:?}"
+        available_in > Duration::ZERO && available_in <= Duration::from_secs(2),
+        "{available_in:?}"
     );
 }
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -184,13 +184,7 @@
         let hold = shutdown.map_or(hold, |s| s.hold(now, hold));
         let service = self.shared.lock().deal(&job.service, tries.avoid.is_empty());
         // Waiting is of no use where no endpoint wants a request in time.
-        if self
-            .shared
-            .lock()
-            .cell
-            .time_until_available(now, &service)
-            .is_some_and(|time_until_available| time_until_available > hold)
-        {
+        if self.shared.lock().cell.available_in(now, &service).is_some_and(|wait| wait > hold) {
             return Err(self.busy(job, true));
         }
         let waiting = self.shared.arrive(Want {
