--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -48,7 +48,7 @@
 
 /// Time after its arrival for which the others cannot know of a request: 5 ms until the next report,
 /// and the way of that.
-pub const UNHEARD: Duration = Duration::from_millis(10);
+pub const REPORT_DELAY: Duration = Duration::from_millis(10);
 /// Free places of a service up to which a request that the others cannot know of leaves them to
 /// those that wait. With so few left, arrivals within the same 10 ms would all take the same ones
 /// (kalemdar-tutanak-grown scale-1: up to six requests above an endpoint's slots).
@@ -123,7 +123,7 @@
 impl Candidate<'_> {
     /// Whether it waits here and the others cannot know of it yet.
     fn is_unheard(&self, now: Instant) -> bool {
-        self.ticket.is_some() && now.saturating_duration_since(self.arrived) < UNHEARD
+        self.ticket.is_some() && now.saturating_duration_since(self.arrived) < REPORT_DELAY
     }
 }
 
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -27,7 +27,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-pub use assign::{Assignment, UNHEARD};
+pub use assign::{Assignment, REPORT_DELAY};
 pub use draining::DrainNotice;
 pub use fleet::{Beyond, FleetView};
 pub use groups::{Group, MAX_CELL};
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, key, placed, want, MS};
-use oxbowbend_core::cell::{Extent, Heard, Load, Outcome, Want, CLAIM_TTL, LOAD_TTL, UNHEARD};
+use oxbowbend_core::cell::{Extent, Heard, Load, Outcome, Want, CLAIM_TTL, LOAD_TTL, REPORT_DELAY};
 use oxbowbend_core::routes::Endpoint;
 
 #[test]
@@ -50,8 +50,8 @@
     let endpoints = [endpoint(0, 1)];
     for (rank_a, rank_b, first) in [(0, 1, "a"), (1, 0, "b")] {
         let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-        a.arrive(want(rank_a, 100, now - UNHEARD));
-        b.arrive(want(rank_b, 100, now - UNHEARD));
+        a.arrive(want(rank_a, 100, now - REPORT_DELAY));
+        b.arrive(want(rank_b, 100, now - REPORT_DELAY));
         let (from_a, from_b) = (a.report(now, Extent::Full), b.report(now, Extent::Full));
         a.hear(now, from_b, true);
         b.hear(now, from_a, true);
--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, placed, want, MS};
-use oxbowbend_core::cell::{Cell, Extent, Outcome, UNHEARD};
+use oxbowbend_core::cell::{Cell, Extent, Outcome, REPORT_DELAY};
 use oxbowbend_core::routes::Endpoint;
 
 /// An endpoint that says when it began.
@@ -73,7 +73,7 @@
     b.hear(now, a.report(now, Extent::Full), true);
     assert_eq!(b.load(now, new.key()), 0);
     assert_eq!(b.known_paces(now), []);
-    b.arrive(want(0, 100, now - UNHEARD));
+    b.arrive(want(0, 100, now - REPORT_DELAY));
     assert_eq!(placed(&mut b, now).len(), 1);
     // Of the same start, all of it counts.
     let mut c = cell("c", std::slice::from_ref(&old));
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -11,7 +11,7 @@
 use oxbowbend_core::admission::Admission;
 use oxbowbend_core::ages::Ages;
 use oxbowbend_core::cell::{
-    Assignment, Beyond, Cell, Group, Outcome, Reach, Report, Ticket, Want, UNHEARD,
+    Assignment, Beyond, Cell, Group, Outcome, Reach, Report, Ticket, Want, REPORT_DELAY,
 };
 use oxbowbend_core::ids::{AccountId, EndpointKey, InstanceId, ZoneId};
 use oxbowbend_core::quarantine::Quarantine;
@@ -388,7 +388,7 @@
             self.tell_others();
             let shared = self.clone();
             task::spawn(async move {
-                task::sleep(UNHEARD).await;
+                task::sleep(REPORT_DELAY).await;
                 shared.place();
             });
         }
