--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -55,15 +55,15 @@
 const CONTENDED: u32 = 3;
 /// Age up to which paces are used again. They change little from one request to the next, and working
 /// them out takes longer than all else in an assignment.
-const PACES_AGE: Duration = Duration::from_millis(50);
+const LATENCY_CACHE_TTL: Duration = Duration::from_millis(50);
 
 /// Paces of endpoints, worked out from what all instances have measured.
 #[derive(Debug, Default)]
-pub(super) struct KnownPaces {
-    paces: HashMap<EndpointKey, f64>,
+pub(super) struct LatencyCache {
+    ns_per_unit: HashMap<EndpointKey, f64>,
     /// The middle one.
-    usual: f64,
-    at: Option<Instant>,
+    median_ns: f64,
+    updated_at: Option<Instant>,
 }
 
 /// Place of a request in the order: rank, then the time at which it should be answered and would be
@@ -152,7 +152,7 @@
         if self.waiting.is_empty() {
             return Vec::new();
         }
-        self.know_paces(now);
+        self.refresh_latency_cache(now);
         // An endpoint that names a limit gets no more than that from all instances together, by whatever way a request comes to it.
         let allowances = self.allowances(now);
         let assignments = self.work_out(now, &allowances);
@@ -212,7 +212,7 @@
     /// Place of a request of this instance.
     pub(super) fn order(&self, now: Instant, want: &Want) -> Order {
         let due = want.arrived + want.objective;
-        Order::new(now, want.rank, due, want.output, self.known.usual)
+        Order::new(now, want.rank, due, want.output, self.latency_cache.median_ns)
     }
 
     fn candidates(&self, now: Instant) -> Vec<Candidate<'_>> {
@@ -238,7 +238,13 @@
                 let objective = Duration::from_millis(claim.objective_ms.into());
                 let due = arrived + objective;
                 Some(Candidate {
-                    order: Order::new(now, claim.rank, due, claim.output, self.known.usual),
+                    order: Order::new(
+                        now,
+                        claim.rank,
+                        due,
+                        claim.output,
+                        self.latency_cache.median_ns,
+                    ),
                     ticket: None,
                     arrived,
                     service: &claim.service,
@@ -263,7 +269,7 @@
             let load = loads.entry(told.endpoint).or_default();
             *load = (load.0 + told.running, load.1.saturating_add(told.unread));
         }
-        let KnownPaces { paces, usual, .. } = &self.known;
+        let LatencyCache { ns_per_unit, median_ns, .. } = &self.latency_cache;
         let open = self.sites.iter().filter(|(key, s)| self.is_available(now, **key, s));
         let place = |key: &EndpointKey, s: &'_ super::Site| {
             let (running, unread) = loads.get(key).copied().unwrap_or_default();
@@ -274,8 +280,8 @@
         };
         open.map(|(key, s)| {
             let (load, room, unread) = place(key, s);
-            let known = paces.get(key).copied();
-            let (ns, is_guess) = (known.unwrap_or(*usual), known.is_none());
+            let known = ns_per_unit.get(key).copied();
+            let (ns, is_guess) = (known.unwrap_or(*median_ns), known.is_none());
             Place {
                 endpoint: &s.endpoint,
                 hash: s.hash,
@@ -283,7 +289,7 @@
                 room,
                 unread,
                 ns,
-                usual_ns: *usual,
+                usual_ns: *median_ns,
                 is_guess,
                 wanted: allowances.get(key).copied(),
             }
@@ -292,12 +298,14 @@
     }
 
     /// Works out the paces anew if they are old, or if there are none.
-    fn know_paces(&mut self, now: Instant) {
-        let is_old = |at: Instant| now.saturating_duration_since(at) >= PACES_AGE;
-        if self.known.paces.is_empty() || self.known.at.is_none_or(is_old) {
-            let paces = self.paces(now);
-            let usual = usual(paces.values().copied());
-            self.known = KnownPaces { paces, usual, at: Some(now) };
+    fn refresh_latency_cache(&mut self, now: Instant) {
+        let is_old = |at: Instant| now.saturating_duration_since(at) >= LATENCY_CACHE_TTL;
+        if self.latency_cache.ns_per_unit.is_empty()
+            || self.latency_cache.updated_at.is_none_or(is_old)
+        {
+            let ns_per_unit = self.paces(now);
+            let median_ns = median(ns_per_unit.values().copied());
+            self.latency_cache = LatencyCache { ns_per_unit, median_ns, updated_at: Some(now) };
         }
     }
 
@@ -438,8 +446,8 @@
 }
 
 /// The middle of what has been measured, for endpoints that have not been.
-fn usual(paces: impl Iterator<Item = f64>) -> f64 {
-    let mut paces: Vec<_> = paces.collect();
-    paces.sort_by(f64::total_cmp);
-    paces.get(paces.len() / 2).copied().unwrap_or(UNKNOWN_NS)
+fn median(values: impl Iterator<Item = f64>) -> f64 {
+    let mut values: Vec<_> = values.collect();
+    values.sort_by(f64::total_cmp);
+    values.get(values.len() / 2).copied().unwrap_or(UNKNOWN_NS)
 }
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -160,7 +160,7 @@
     peers: HashMap<InstanceId, peer::Peer>,
     /// Instances of other cells: their representatives, and whoever has been heard for another reason.
     others: HashMap<InstanceId, peer::Peer>,
-    known: assign::KnownPaces,
+    latency_cache: assign::LatencyCache,
     news: Vec<SetAside>,
     /// When a failure was last noted.
     last_bad: Option<Instant>,
@@ -207,7 +207,7 @@
             next: 0,
             peers: HashMap::new(),
             others: HashMap::new(),
-            known: assign::KnownPaces::default(),
+            latency_cache: assign::LatencyCache::default(),
             news: Vec::new(),
             last_bad: None,
             share: 1.0,
