--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -69,17 +69,22 @@
 /// Place of a request in the order: rank, then the time at which it should be answered and would be
 /// done, so that of equal age the shorter one goes first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Order {
+pub struct Priority {
     rank: u16,
     /// What is late already goes after what is not.
-    is_late: bool,
-    done: Instant,
-    due: Instant,
+    is_overdue: bool,
+    expected_end: Instant,
+    deadline: Instant,
 }
 
-impl Order {
-    fn new(now: Instant, rank: u16, due: Instant, output: u32, usual_ns: f64) -> Order {
-        Order { rank, is_late: due < now, due, done: due + answer_time(output, usual_ns) }
+impl Priority {
+    fn new(now: Instant, rank: u16, deadline: Instant, output: u32, median_ns: f64) -> Priority {
+        Priority {
+            rank,
+            is_overdue: deadline < now,
+            deadline,
+            expected_end: deadline + answer_time(output, median_ns),
+        }
     }
 }
 
@@ -106,7 +111,7 @@
 
 /// A waiting request of this instance or another one.
 struct Candidate<'a> {
-    order: Order,
+    priority: Priority,
     ticket: Option<Ticket>,
     arrived: Instant,
     service: &'a ServiceId,
@@ -137,7 +142,7 @@
     unread: u32,
     ns: f64,
     /// Nanoseconds for a unit of work at the usual endpoint.
-    usual_ns: f64,
+    median_ns: f64,
     /// Whether the pace is only a guess.
     is_guess: bool,
     /// Requests that it wants from this instance, if that is not any number. Others have parts of their own.
@@ -210,15 +215,15 @@
     }
 
     /// Place of a request of this instance.
-    pub(super) fn order(&self, now: Instant, want: &Want) -> Order {
-        let due = want.arrived + want.objective;
-        Order::new(now, want.rank, due, want.output, self.latency_cache.median_ns)
+    pub(super) fn priority(&self, now: Instant, want: &Want) -> Priority {
+        let deadline = want.arrived + want.objective;
+        Priority::new(now, want.rank, deadline, want.output, self.latency_cache.median_ns)
     }
 
     fn candidates(&self, now: Instant) -> Vec<Candidate<'_>> {
         let taste = xxh3_64(self.me.as_bytes());
         let mine = self.waiting.iter().map(move |(ticket, want)| Candidate {
-            order: self.order(now, want),
+            priority: self.priority(now, want),
             ticket: Some(*ticket),
             arrived: want.arrived,
             service: &want.service,
@@ -236,12 +241,12 @@
                 let waited = Duration::from_millis(claim.waited_ms.into());
                 let arrived = p.heard.checked_sub(waited)?;
                 let objective = Duration::from_millis(claim.objective_ms.into());
-                let due = arrived + objective;
+                let deadline = arrived + objective;
                 Some(Candidate {
-                    order: Order::new(
+                    priority: Priority::new(
                         now,
                         claim.rank,
-                        due,
+                        deadline,
                         claim.output,
                         self.latency_cache.median_ns,
                     ),
@@ -259,7 +264,7 @@
             })
         });
         let mut all: Vec<_> = mine.chain(others).collect();
-        all.sort_by_key(|c| c.order);
+        all.sort_by_key(|c| c.priority);
         all
     }
 
@@ -289,7 +294,7 @@
                 room,
                 unread,
                 ns,
-                usual_ns: *median_ns,
+                median_ns: *median_ns,
                 is_guess,
                 wanted: allowances.get(key).copied(),
             }
@@ -346,7 +351,7 @@
     candidate: &Candidate<'_>,
     now: Instant,
 ) -> Option<(&'b mut Place<'a>, Duration)> {
-    let left = candidate.order.due.saturating_duration_since(now);
+    let left = candidate.priority.deadline.saturating_duration_since(now);
     let fits = |p: &Place<'_>| {
         p.endpoint.service == *candidate.service
             && !candidate.avoid.contains(&p.endpoint.id)
@@ -419,7 +424,7 @@
 
 /// How much longer the whole answer takes at a slow endpoint than at the usual one.
 fn excess(place: &Place<'_>, candidate: &Candidate<'_>) -> Duration {
-    let slower = (place.ns - place.usual_ns * ALIKE_TIMES).max(0.0);
+    let slower = (place.ns - place.median_ns * ALIKE_TIMES).max(0.0);
     answer_time(candidate.output, slower)
 }
 
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -276,7 +276,7 @@
         });
         let tallies = tallies.collect();
         let mut waiting: Vec<_> = self.waiting.values().collect();
-        waiting.sort_by_key(|w| self.order(now, w));
+        waiting.sort_by_key(|w| self.priority(now, w));
         let is_beat = extent != Extent::Loads;
         let claims = waiting.into_iter().take(MAX_CLAIMS).map(|w| Claim {
             service: w.service.clone(),
