--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -78,12 +78,18 @@
 }
 
 impl Priority {
-    fn new(now: Instant, rank: u16, deadline: Instant, output: u32, median_ns: f64) -> Priority {
+    fn new(
+        now: Instant,
+        rank: u16,
+        deadline: Instant,
+        output_tokens: u32,
+        median_ns: f64,
+    ) -> Priority {
         Priority {
             rank,
             is_overdue: deadline < now,
             deadline,
-            expected_end: deadline + answer_time(output, median_ns),
+            expected_end: deadline + answer_time(output_tokens, median_ns),
         }
     }
 }
@@ -98,7 +104,7 @@
     /// Requests at the endpoint, this one included.
     pub load: u32,
     /// Tokens of its prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Tokens of prompts that the endpoint has to read before.
     pub backlog: u32,
     /// Expected time to the first event.
@@ -117,17 +123,17 @@
     service: &'a ServiceId,
     zone: &'a ZoneId,
     /// Hash of the instance at which it waits.
-    taste: u64,
+    instance_hash: u64,
     objective: Duration,
-    prompt: u32,
-    output: u32,
+    prompt_tokens: u32,
+    output_tokens: u32,
     stall: Stall,
     avoid: &'a [EndpointId],
 }
 
 impl Candidate<'_> {
     /// Whether it waits here and the others cannot know of it yet.
-    fn is_unheard(&self, now: Instant) -> bool {
+    fn is_unreported(&self, now: Instant) -> bool {
         self.ticket.is_some() && now.saturating_duration_since(self.arrived) < REPORT_DELAY
     }
 }
@@ -168,7 +174,7 @@
             }
             if let Some(site) = self.sites.get_mut(&a.endpoint.key()) {
                 site.running += 1;
-                site.unread += a.prompt;
+                site.unread += a.prompt_tokens;
             }
         }
         assignments
@@ -188,22 +194,23 @@
         let is_alone = self.heard(now) == 0;
         for candidate in self.candidates(now) {
             let free = free.get(candidate.service).copied().unwrap_or(0);
-            if free == 0 || !is_alone && free <= CONTENDED && candidate.is_unheard(now) {
+            if free == 0 || !is_alone && free <= CONTENDED && candidate.is_unreported(now) {
                 continue;
             }
             let Some((place, expected)) = choose(&mut places, &candidate, now) else { continue };
             place.room -= 1;
             place.load += 1;
-            let (prompt, backlog) = (candidate.prompt, place.unread);
-            place.unread = place.unread.saturating_add(prompt);
+            let (prompt_tokens, backlog) = (candidate.prompt_tokens, place.unread);
+            place.unread = place.unread.saturating_add(prompt_tokens);
             if let Some(ticket) = candidate.ticket {
                 let (endpoint, load) = (place.endpoint.clone(), place.load);
-                let whole = (candidate.output > 0).then(|| expected + run(place, &candidate));
+                let whole =
+                    (candidate.output_tokens > 0).then(|| expected + run(place, &candidate));
                 assignments.push(Assignment {
                     ticket,
                     endpoint,
                     load,
-                    prompt,
+                    prompt_tokens,
                     backlog,
                     expected,
                     whole,
@@ -221,22 +228,22 @@
     }
 
     fn candidates(&self, now: Instant) -> Vec<Candidate<'_>> {
-        let taste = xxh3_64(self.me.as_bytes());
+        let instance_hash = xxh3_64(self.me.as_bytes());
         let mine = self.waiting.iter().map(move |(ticket, want)| Candidate {
             priority: self.priority(now, want),
             ticket: Some(*ticket),
             arrived: want.arrived,
             service: &want.service,
             zone: &self.zone,
-            taste,
+            instance_hash,
             objective: want.objective,
-            prompt: want.prompt,
-            output: want.output,
+            prompt_tokens: want.prompt,
+            output_tokens: want.output,
             stall: want.stall,
             avoid: &want.avoid,
         });
         let others = self.peers.values().filter(|p| p.is_live(now, CLAIM_TTL)).flat_map(|p| {
-            let taste = xxh3_64(p.report.instance.as_bytes());
+            let instance_hash = xxh3_64(p.report.instance.as_bytes());
             p.report.claims.iter().filter_map(move |claim| {
                 let waited = Duration::from_millis(claim.waited_ms.into());
                 let arrived = p.heard.checked_sub(waited)?;
@@ -254,10 +261,10 @@
                     arrived,
                     service: &claim.service,
                     zone: &p.report.zone,
-                    taste,
+                    instance_hash,
                     objective,
-                    prompt: claim.prompt,
-                    output: claim.output,
+                    prompt_tokens: claim.prompt,
+                    output_tokens: claim.output,
                     stall: claim.stall,
                     avoid: &[],
                 })
@@ -378,7 +385,7 @@
 
 /// Expected time to the first event.
 fn first(place: &Place<'_>, candidate: &Candidate<'_>) -> Duration {
-    let units = f64::from(candidate.prompt + FIXED_WORK_UNITS) + f64::from(place.unread);
+    let units = f64::from(candidate.prompt_tokens + FIXED_WORK_UNITS) + f64::from(place.unread);
     Duration::from_nanos((place.ns * units * crowd(place)) as u64)
 }
 
@@ -414,18 +421,18 @@
 
 /// Expected time from the first event to the end of the answer.
 fn run(place: &Place<'_>, candidate: &Candidate<'_>) -> Duration {
-    answer_time(candidate.output, place.ns)
+    answer_time(candidate.output_tokens, place.ns)
 }
 
 /// Time that the tokens of an answer take at a pace in nanoseconds for a unit of work.
-fn answer_time(output: u32, ns_per_unit: f64) -> Duration {
-    Duration::from_nanos((f64::from(output) * OUTPUT_UNITS * ns_per_unit) as u64)
+fn answer_time(output_tokens: u32, ns_per_unit: f64) -> Duration {
+    Duration::from_nanos((f64::from(output_tokens) * OUTPUT_UNITS * ns_per_unit) as u64)
 }
 
 /// How much longer the whole answer takes at a slow endpoint than at the usual one.
 fn excess(place: &Place<'_>, candidate: &Candidate<'_>) -> Duration {
     let slower = (place.ns - place.median_ns * ALIKE_TIMES).max(0.0);
-    answer_time(candidate.output, slower)
+    answer_time(candidate.output_tokens, slower)
 }
 
 /// The time to the first event that is taken for the choice.
@@ -446,7 +453,7 @@
 /// From 0 to 1, how little the candidate's instance likes a place: the same at all instances, and other
 /// for each of them, so that they do not all prefer the same place.
 fn taste(place: &Place<'_>, candidate: &Candidate<'_>) -> f64 {
-    let mixed = xxh3_64(&(place.hash ^ candidate.taste).to_le_bytes());
+    let mixed = xxh3_64(&(place.hash ^ candidate.instance_hash).to_le_bytes());
     (mixed >> 40) as f64 / (1_u64 << 24) as f64
 }
 
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -229,7 +229,7 @@
             return Ok(place);
         }
         drop(state);
-        self.shared.finish(place.endpoint.key(), place.prompt, Outcome::Neutral);
+        self.shared.finish(place.endpoint.key(), place.prompt_tokens, Outcome::Neutral);
         Err(Refusal::Stopping)
     }
 
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -127,7 +127,7 @@
             shared,
             id,
             endpoint: place.endpoint,
-            prompt: place.prompt,
+            prompt: place.prompt_tokens,
             backlog: place.backlog,
             conn: None,
             began: clock::now(),
--- a/oxbowbend-gateway/src/waiting.rs
+++ b/oxbowbend-gateway/src/waiting.rs
@@ -55,8 +55,8 @@
         if self.withdraw() {
             self.shared.tell_others();
         } else if let Ok(Some(assignment)) = self.rx.try_recv() {
-            let Assignment { endpoint, prompt, .. } = assignment;
-            self.shared.finish(endpoint.key(), prompt, Outcome::Neutral);
+            let Assignment { endpoint, prompt_tokens, .. } = assignment;
+            self.shared.finish(endpoint.key(), prompt_tokens, Outcome::Neutral);
         }
     }
 }
