--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -106,13 +106,13 @@
     /// Tokens of its prompt.
     pub prompt_tokens: u32,
     /// Tokens of prompts that the endpoint has to read before.
-    pub backlog: u32,
+    pub backlog_tokens: u32,
     /// Expected time to the first event.
     pub expected: Duration,
     /// Expected time to the end of the answer; none if the caller gave no estimate.
-    pub whole: Option<Duration>,
+    pub expected_total: Option<Duration>,
     /// Endpoints of its service that would have had a place and want no request now.
-    pub withheld: u32,
+    pub throttled_endpoints: u32,
 }
 
 /// A waiting request of this instance or another one.
@@ -182,7 +182,7 @@
 
     fn work_out(&self, now: Instant, allowances: &Allowances) -> Vec<Assignment> {
         let mut places = self.places(now, allowances);
-        let withheld = withheld(&places);
+        let throttled_by_service = throttled_by_service(&places);
         places.retain(|p| p.wanted != Some(0));
         places.iter_mut().for_each(|p| p.room = p.room.min(p.wanted.unwrap_or(p.room)));
         let mut assignments = Vec::new();
@@ -200,21 +200,24 @@
             let Some((place, expected)) = choose(&mut places, &candidate, now) else { continue };
             place.room -= 1;
             place.load += 1;
-            let (prompt_tokens, backlog) = (candidate.prompt_tokens, place.unread);
+            let (prompt_tokens, backlog_tokens) = (candidate.prompt_tokens, place.unread);
             place.unread = place.unread.saturating_add(prompt_tokens);
             if let Some(ticket) = candidate.ticket {
                 let (endpoint, load) = (place.endpoint.clone(), place.load);
-                let whole =
+                let expected_total =
                     (candidate.output_tokens > 0).then(|| expected + run(place, &candidate));
                 assignments.push(Assignment {
                     ticket,
                     endpoint,
                     load,
                     prompt_tokens,
-                    backlog,
+                    backlog_tokens,
                     expected,
-                    whole,
-                    withheld: withheld.get(candidate.service).copied().unwrap_or(0),
+                    expected_total,
+                    throttled_endpoints: throttled_by_service
+                        .get(candidate.service)
+                        .copied()
+                        .unwrap_or(0),
                 });
             }
         }
@@ -399,12 +402,12 @@
 }
 
 /// Endpoints by service that have a place and want no request.
-fn withheld<'a>(places: &[Place<'a>]) -> HashMap<&'a ServiceId, u32> {
-    let mut withheld = HashMap::new();
+fn throttled_by_service<'a>(places: &[Place<'a>]) -> HashMap<&'a ServiceId, u32> {
+    let mut throttled_by_service = HashMap::new();
     for place in places.iter().filter(|p| p.room > 0 && p.wanted == Some(0)) {
-        *withheld.entry(&place.endpoint.service).or_default() += 1;
+        *throttled_by_service.entry(&place.endpoint.service).or_default() += 1;
     }
-    withheld
+    throttled_by_service
 }
 
 /// How much slower an endpoint is for what runs there.
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -202,7 +202,7 @@
         }
         let place = waiting.place(hold).await.ok_or_else(|| self.busy(job, false))?;
         let waited = clock::since(now);
-        observe::placed(&job.route.name, waited, place.withheld > 0);
+        observe::placed(&job.route.name, waited, place.throttled_endpoints > 0);
         log::info!(
             "event=placed id={} endpoint={} load={} slots={} backlog={} expected_ms={} \
              waited_ms={} withheld={}",
@@ -210,10 +210,10 @@
             place.endpoint.id,
             place.load,
             place.endpoint.slots,
-            place.backlog,
+            place.backlog_tokens,
             place.expected.as_millis(),
             waited.as_millis(),
-            place.withheld
+            place.throttled_endpoints
         );
         Ok(place)
     }
@@ -223,7 +223,8 @@
     fn check_shutdown(&self, job: &Job, place: Assignment) -> Result<Assignment, Refusal> {
         let now = clock::now();
         let state = self.shared.lock();
-        let expected = if job.route.stream { place.whole } else { Some(job.route.objective) };
+        let expected =
+            if job.route.stream { place.expected_total } else { Some(job.route.objective) };
         let admits = |s: Shutdown| s.admits(now, expected, state.are_others_ready(now));
         if state.shutdown.is_none_or(admits) {
             return Ok(place);
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -128,7 +128,7 @@
             id,
             endpoint: place.endpoint,
             prompt: place.prompt_tokens,
-            backlog: place.backlog,
+            backlog: place.backlog_tokens,
             conn: None,
             began: clock::now(),
             first: Duration::ZERO,
