--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -108,7 +108,7 @@
     /// Tokens of prompts that the endpoint has to read before.
     pub backlog_tokens: u32,
     /// Expected time to the first event.
-    pub expected: Duration,
+    pub expected_first_event: Duration,
     /// Expected time to the end of the answer; none if the caller gave no estimate.
     pub expected_total: Option<Duration>,
     /// Endpoints of its service that would have had a place and want no request now.
@@ -197,22 +197,24 @@
             if free == 0 || !is_alone && free <= CONTENDED && candidate.is_unreported(now) {
                 continue;
             }
-            let Some((place, expected)) = choose(&mut places, &candidate, now) else { continue };
+            let Some((place, expected_first_event)) = choose(&mut places, &candidate, now) else {
+                continue;
+            };
             place.room -= 1;
             place.load += 1;
             let (prompt_tokens, backlog_tokens) = (candidate.prompt_tokens, place.unread);
             place.unread = place.unread.saturating_add(prompt_tokens);
             if let Some(ticket) = candidate.ticket {
                 let (endpoint, load) = (place.endpoint.clone(), place.load);
-                let expected_total =
-                    (candidate.output_tokens > 0).then(|| expected + run(place, &candidate));
+                let expected_total = (candidate.output_tokens > 0)
+                    .then(|| expected_first_event + run(place, &candidate));
                 assignments.push(Assignment {
                     ticket,
                     endpoint,
                     load,
                     prompt_tokens,
                     backlog_tokens,
-                    expected,
+                    expected_first_event,
                     expected_total,
                     throttled_endpoints: throttled_by_service
                         .get(candidate.service)
@@ -372,11 +374,11 @@
         && places.iter().any(|p| fits(p) && !stalls(p, candidate, 1));
     let free = places.iter_mut().filter(|p| p.room > 0 && fits(p));
     let best = free.min_by_key(|p| (stalls(p, candidate, p.load), cost(p, candidate, left)))?;
-    let expected = first(best, candidate);
-    if expected > left && in_time || is_patient && stalls(best, candidate, best.load) {
+    let expected_first_event = first(best, candidate);
+    if expected_first_event > left && in_time || is_patient && stalls(best, candidate, best.load) {
         return None;
     }
-    Some((best, expected))
+    Some((best, expected_first_event))
 }
 
 /// Whether reading the prompt would hold up so many streams beside it for too long.
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -211,7 +211,7 @@
             place.load,
             place.endpoint.slots,
             place.backlog_tokens,
-            place.expected.as_millis(),
+            place.expected_first_event.as_millis(),
             waited.as_millis(),
             place.throttled_endpoints
         );
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -204,7 +204,7 @@
         place: Assignment,
         after: Option<u64>,
     ) -> Result<Sent, Failure> {
-        let (load, expected) = (place.load, place.expected);
+        let (load, expected) = (place.load, place.expected_first_event);
         let mut run = Run::new(&self.shared, job, place);
         let is_crowded = load > run.endpoint.slots;
         let result = self.exchange(job, &mut run, expected, after).await;
