--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -139,20 +139,20 @@
 }
 
 /// An endpoint with what it could still take.
-struct Place<'a> {
+struct Target<'a> {
     endpoint: &'a Endpoint,
     /// Hash of the endpoint.
     hash: u64,
     load: u32,
-    room: u32,
-    unread: u32,
-    ns: f64,
+    free_slots: u32,
+    pending_tokens: u32,
+    ns_per_unit: f64,
     /// Nanoseconds for a unit of work at the usual endpoint.
     median_ns: f64,
     /// Whether the pace is only a guess.
-    is_guess: bool,
+    is_unmeasured: bool,
     /// Requests that it wants from this instance, if that is not any number. Others have parts of their own.
-    wanted: Option<u32>,
+    allowance: Option<u32>,
 }
 
 impl Cell {
@@ -181,33 +181,35 @@
     }
 
     fn work_out(&self, now: Instant, allowances: &Allowances) -> Vec<Assignment> {
-        let mut places = self.places(now, allowances);
-        let throttled_by_service = throttled_by_service(&places);
-        places.retain(|p| p.wanted != Some(0));
-        places.iter_mut().for_each(|p| p.room = p.room.min(p.wanted.unwrap_or(p.room)));
+        let mut targets = self.targets(now, allowances);
+        let throttled_by_service = throttled_by_service(&targets);
+        targets.retain(|t| t.allowance != Some(0));
+        targets
+            .iter_mut()
+            .for_each(|t| t.free_slots = t.free_slots.min(t.allowance.unwrap_or(t.free_slots)));
         let mut assignments = Vec::new();
         // Most reports change no place, and there are many of both when there is most to do.
-        if places.iter().all(|p| p.room == 0) {
+        if targets.iter().all(|t| t.free_slots == 0) {
             return assignments;
         }
-        let free = free(&places);
+        let free = free(&targets);
         let is_alone = self.heard(now) == 0;
         for candidate in self.candidates(now) {
             let free = free.get(candidate.service).copied().unwrap_or(0);
             if free == 0 || !is_alone && free <= CONTENDED && candidate.is_unreported(now) {
                 continue;
             }
-            let Some((place, expected_first_event)) = choose(&mut places, &candidate, now) else {
+            let Some((target, expected_first_event)) = choose(&mut targets, &candidate, now) else {
                 continue;
             };
-            place.room -= 1;
-            place.load += 1;
-            let (prompt_tokens, backlog_tokens) = (candidate.prompt_tokens, place.unread);
-            place.unread = place.unread.saturating_add(prompt_tokens);
+            target.free_slots -= 1;
+            target.load += 1;
+            let (prompt_tokens, backlog_tokens) = (candidate.prompt_tokens, target.pending_tokens);
+            target.pending_tokens = target.pending_tokens.saturating_add(prompt_tokens);
             if let Some(ticket) = candidate.ticket {
-                let (endpoint, load) = (place.endpoint.clone(), place.load);
+                let (endpoint, load) = (target.endpoint.clone(), target.load);
                 let expected_total = (candidate.output_tokens > 0)
-                    .then(|| expected_first_event + run(place, &candidate));
+                    .then(|| expected_first_event + run(target, &candidate));
                 assignments.push(Assignment {
                     ticket,
                     endpoint,
@@ -280,35 +282,35 @@
         all
     }
 
-    fn places(&self, now: Instant, allowances: &Allowances) -> Vec<Place<'_>> {
+    fn targets(&self, now: Instant, allowances: &Allowances) -> Vec<Target<'_>> {
         let mut loads: HashMap<EndpointKey, (u32, u32)> = HashMap::new();
-        for told in self.live_reports(now).flat_map(|r| &r.loads) {
-            let load = loads.entry(told.endpoint).or_default();
-            *load = (load.0 + told.running, load.1.saturating_add(told.unread));
+        for reported in self.live_reports(now).flat_map(|r| &r.loads) {
+            let load = loads.entry(reported.endpoint).or_default();
+            *load = (load.0 + reported.running, load.1.saturating_add(reported.unread));
         }
         let LatencyCache { ns_per_unit, median_ns, .. } = &self.latency_cache;
         let open = self.sites.iter().filter(|(key, s)| self.is_available(now, **key, s));
-        let place = |key: &EndpointKey, s: &'_ super::Site| {
-            let (running, unread) = loads.get(key).copied().unwrap_or_default();
+        let usage = |key: &EndpointKey, s: &'_ super::Site| {
+            let (running, pending_tokens) = loads.get(key).copied().unwrap_or_default();
             let load = s.running + running;
             let usable = (f64::from(s.endpoint.slots) * self.share).ceil() as u32;
             let slots = if s.health.is_on_trial() { 1 } else { usable };
-            (load, slots.saturating_sub(load), s.unread.saturating_add(unread))
+            (load, slots.saturating_sub(load), s.unread.saturating_add(pending_tokens))
         };
         open.map(|(key, s)| {
-            let (load, room, unread) = place(key, s);
-            let known = ns_per_unit.get(key).copied();
-            let (ns, is_guess) = (known.unwrap_or(*median_ns), known.is_none());
-            Place {
+            let (load, free_slots, pending_tokens) = usage(key, s);
+            let measured = ns_per_unit.get(key).copied();
+            let (ns_per_unit, is_unmeasured) = (measured.unwrap_or(*median_ns), measured.is_none());
+            Target {
                 endpoint: &s.endpoint,
                 hash: s.hash,
                 load,
-                room,
-                unread,
-                ns,
+                free_slots,
+                pending_tokens,
+                ns_per_unit,
                 median_ns: *median_ns,
-                is_guess,
-                wanted: allowances.get(key).copied(),
+                is_unmeasured,
+                allowance: allowances.get(key).copied(),
             }
         })
         .collect()
@@ -359,21 +361,21 @@
 /// place, but not at one that is in use now, waits for that one; so does one that would hold up the
 /// streams at every free place, while it has time.
 fn choose<'a, 'b>(
-    places: &'b mut [Place<'a>],
+    targets: &'b mut [Target<'a>],
     candidate: &Candidate<'_>,
     now: Instant,
-) -> Option<(&'b mut Place<'a>, Duration)> {
+) -> Option<(&'b mut Target<'a>, Duration)> {
     let left = candidate.priority.deadline.saturating_duration_since(now);
-    let fits = |p: &Place<'_>| {
-        p.endpoint.service == *candidate.service
-            && !candidate.avoid.contains(&p.endpoint.id)
-            && (p.wanted.is_none() || candidate.ticket.is_some())
+    let fits = |t: &Target<'_>| {
+        t.endpoint.service == *candidate.service
+            && !candidate.avoid.contains(&t.endpoint.id)
+            && (t.allowance.is_none() || candidate.ticket.is_some())
     };
-    let in_time = places.iter().any(|p| fits(p) && first(p, candidate) <= left);
+    let in_time = targets.iter().any(|t| fits(t) && first(t, candidate) <= left);
     let is_patient = left > candidate.objective.mul_f64(PATIENT_SHARE)
-        && places.iter().any(|p| fits(p) && !stalls(p, candidate, 1));
-    let free = places.iter_mut().filter(|p| p.room > 0 && fits(p));
-    let best = free.min_by_key(|p| (stalls(p, candidate, p.load), cost(p, candidate, left)))?;
+        && targets.iter().any(|t| fits(t) && !stalls(t, candidate, 1));
+    let free = targets.iter_mut().filter(|t| t.free_slots > 0 && fits(t));
+    let best = free.min_by_key(|t| (stalls(t, candidate, t.load), cost(t, candidate, left)))?;
     let expected_first_event = first(best, candidate);
     if expected_first_event > left && in_time || is_patient && stalls(best, candidate, best.load) {
         return None;
@@ -382,51 +384,52 @@
 }
 
 /// Whether reading the prompt would hold up so many streams beside it for too long.
-fn stalls(place: &Place<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
+fn stalls(target: &Target<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
     let Stall { tokens, pause_ms } = candidate.stall;
-    let takes_ms = f64::from(tokens) * place.ns / 1e6;
+    let takes_ms = f64::from(tokens) * target.ns_per_unit / 1e6;
     load > 0 && pause_ms > 0 && takes_ms > f64::from(pause_ms) * STALL_SHARE
 }
 
 /// Expected time to the first event.
-fn first(place: &Place<'_>, candidate: &Candidate<'_>) -> Duration {
-    let units = f64::from(candidate.prompt_tokens + FIXED_WORK_UNITS) + f64::from(place.unread);
-    Duration::from_nanos((place.ns * units * crowd(place)) as u64)
+fn first(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
+    let units =
+        f64::from(candidate.prompt_tokens + FIXED_WORK_UNITS) + f64::from(target.pending_tokens);
+    Duration::from_nanos((target.ns_per_unit * units * crowd(target)) as u64)
 }
 
 /// Free places by service.
-fn free<'a>(places: &[Place<'a>]) -> HashMap<&'a ServiceId, u32> {
+fn free<'a>(targets: &[Target<'a>]) -> HashMap<&'a ServiceId, u32> {
     let mut free = HashMap::new();
-    for place in places {
-        *free.entry(&place.endpoint.service).or_default() += place.room;
+    for target in targets {
+        *free.entry(&target.endpoint.service).or_default() += target.free_slots;
     }
     free
 }
 
 /// Endpoints by service that have a place and want no request.
-fn throttled_by_service<'a>(places: &[Place<'a>]) -> HashMap<&'a ServiceId, u32> {
+fn throttled_by_service<'a>(targets: &[Target<'a>]) -> HashMap<&'a ServiceId, u32> {
     let mut throttled_by_service = HashMap::new();
-    for place in places.iter().filter(|p| p.room > 0 && p.wanted == Some(0)) {
-        *throttled_by_service.entry(&place.endpoint.service).or_default() += 1;
+    for target in targets.iter().filter(|t| t.free_slots > 0 && t.allowance == Some(0)) {
+        *throttled_by_service.entry(&target.endpoint.service).or_default() += 1;
     }
     throttled_by_service
 }
 
 /// How much slower an endpoint is for what runs there.
-fn crowd(place: &Place<'_>) -> f64 {
-    1.0 + CROWDING * f64::from(place.load) / f64::from(place.endpoint.slots.max(1))
+fn crowd(target: &Target<'_>) -> f64 {
+    1.0 + CROWDING * f64::from(target.load) / f64::from(target.endpoint.slots.max(1))
 }
 
-fn cost(place: &Place<'_>, candidate: &Candidate<'_>, left: Duration) -> Duration {
-    let zone = if place.endpoint.zone == *candidate.zone { Duration::ZERO } else { OTHER_ZONE };
-    let early = candidate.objective.mul_f64(EARLY_SHARE * crowd(place));
-    let time = assumed(place, candidate, left).max(early);
-    time.mul_f64(1.0 + TASTE * taste(place, candidate)) + zone + excess(place, candidate)
+fn cost(target: &Target<'_>, candidate: &Candidate<'_>, left: Duration) -> Duration {
+    let zone = if target.endpoint.zone == *candidate.zone { Duration::ZERO } else { OTHER_ZONE };
+    let early = candidate.objective.mul_f64(EARLY_SHARE * crowd(target));
+    let time = assumed(target, candidate, left).max(early);
+    time.mul_f64(1.0 + TASTE * taste(target, candidate)) + zone + excess(target, candidate)
 }
 
 /// Expected time from the first event to the end of the answer.
-fn run(place: &Place<'_>, candidate: &Candidate<'_>) -> Duration {
-    answer_time(candidate.output_tokens, place.ns)
+fn run(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
+    answer_time(candidate.output_tokens, target.ns_per_unit)
 }
 
 /// Time that the tokens of an answer take at a pace in nanoseconds for a unit of work.
@@ -435,15 +438,15 @@
 }
 
 /// How much longer the whole answer takes at a slow endpoint than at the usual one.
-fn excess(place: &Place<'_>, candidate: &Candidate<'_>) -> Duration {
-    let slower = (place.ns - place.median_ns * ALIKE_TIMES).max(0.0);
+fn excess(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
+    let slower = (target.ns_per_unit - target.median_ns * ALIKE_TIMES).max(0.0);
     answer_time(candidate.output_tokens, slower)
 }
 
 /// The time to the first event that is taken for the choice.
-fn assumed(place: &Place<'_>, candidate: &Candidate<'_>, left: Duration) -> Duration {
-    let first = first(place, candidate);
-    if !place.is_guess {
+fn assumed(target: &Target<'_>, candidate: &Candidate<'_>, left: Duration) -> Duration {
+    let first = first(target, candidate);
+    if !target.is_unmeasured {
         return first;
     }
     let at_worst = first.mul_f64(UNKNOWN_TIMES);
@@ -457,8 +460,8 @@
 
 /// From 0 to 1, how little the candidate's instance likes a place: the same at all instances, and other
 /// for each of them, so that they do not all prefer the same place.
-fn taste(place: &Place<'_>, candidate: &Candidate<'_>) -> f64 {
-    let mixed = xxh3_64(&(place.hash ^ candidate.instance_hash).to_le_bytes());
+fn taste(target: &Target<'_>, candidate: &Candidate<'_>) -> f64 {
+    let mixed = xxh3_64(&(target.hash ^ candidate.instance_hash).to_le_bytes());
     (mixed >> 40) as f64 / (1_u64 << 24) as f64
 }
 
