--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -89,7 +89,7 @@
             rank,
             is_overdue: deadline < now,
             deadline,
-            expected_end: deadline + answer_time(output_tokens, median_ns),
+            expected_end: deadline + generation_time(output_tokens, median_ns),
         }
     }
 }
@@ -159,14 +159,14 @@
     /// Assigns what waits to free places and returns this instance's part of that, which counts
     /// as running from now on.
     pub fn assign(&mut self, now: Instant) -> Vec<Assignment> {
-        self.set_failing_aside(now);
+        self.eject_failing_endpoints(now);
         if self.waiting.is_empty() {
             return Vec::new();
         }
         self.refresh_latency_cache(now);
         // An endpoint that names a limit gets no more than that from all instances together, by whatever way a request comes to it.
         let allowances = self.allowances(now);
-        let assignments = self.work_out(now, &allowances);
+        let assignments = self.compute_assignments(now, &allowances);
         for a in &assignments {
             self.record_dispatch(now, a.endpoint.key());
             if let Some(want) = self.waiting.remove(&a.ticket) {
@@ -180,7 +180,7 @@
         assignments
     }
 
-    fn work_out(&self, now: Instant, allowances: &Allowances) -> Vec<Assignment> {
+    fn compute_assignments(&self, now: Instant, allowances: &Allowances) -> Vec<Assignment> {
         let mut targets = self.targets(now, allowances);
         let throttled_by_service = throttled_by_service(&targets);
         targets.retain(|t| t.allowance != Some(0));
@@ -192,14 +192,17 @@
         if targets.iter().all(|t| t.free_slots == 0) {
             return assignments;
         }
-        let free = free(&targets);
+        let free_slots = free(&targets);
         let is_alone = self.heard(now) == 0;
         for candidate in self.candidates(now) {
-            let free = free.get(candidate.service).copied().unwrap_or(0);
-            if free == 0 || !is_alone && free <= CONTENDED && candidate.is_unreported(now) {
+            let free_slots = free_slots.get(candidate.service).copied().unwrap_or(0);
+            if free_slots == 0
+                || !is_alone && free_slots <= CONTENDED && candidate.is_unreported(now)
+            {
                 continue;
             }
-            let Some((target, expected_first_event)) = choose(&mut targets, &candidate, now) else {
+            let Some((target, expected_first_event)) = choose_target(&mut targets, &candidate, now)
+            else {
                 continue;
             };
             target.free_slots -= 1;
@@ -209,7 +212,7 @@
             if let Some(ticket) = candidate.ticket {
                 let (endpoint, load) = (target.endpoint.clone(), target.load);
                 let expected_total = (candidate.output_tokens > 0)
-                    .then(|| expected_first_event + run(target, &candidate));
+                    .then(|| expected_first_event + expected_generation(target, &candidate));
                 assignments.push(Assignment {
                     ticket,
                     endpoint,
@@ -331,7 +334,7 @@
     /// Sets failing endpoints aside, at most half of a service. Looking at all of them at every report and every
     /// end of a request took 3 in 100 of an instance's processor time; without a late failure there is
     /// nothing to find.
-    fn set_failing_aside(&mut self, now: Instant) {
+    fn eject_failing_endpoints(&mut self, now: Instant) {
         let is_old = |at: Instant| now.saturating_duration_since(at) > super::health::WINDOW;
         if self.last_bad.is_none_or(is_old) {
             return;
@@ -360,7 +363,7 @@
 /// The best place for a request, if there is one. A request that would miss its time at every free
 /// place, but not at one that is in use now, waits for that one; so does one that would hold up the
 /// streams at every free place, while it has time.
-fn choose<'a, 'b>(
+fn choose_target<'a, 'b>(
     targets: &'b mut [Target<'a>],
     candidate: &Candidate<'_>,
     now: Instant,
@@ -371,30 +374,33 @@
             && !candidate.avoid.contains(&t.endpoint.id)
             && (t.allowance.is_none() || candidate.ticket.is_some())
     };
-    let in_time = targets.iter().any(|t| fits(t) && first(t, candidate) <= left);
+    let in_time = targets.iter().any(|t| fits(t) && time_to_first_event(t, candidate) <= left);
     let is_patient = left > candidate.objective.mul_f64(PATIENT_SHARE)
-        && targets.iter().any(|t| fits(t) && !stalls(t, candidate, 1));
+        && targets.iter().any(|t| fits(t) && !would_stall(t, candidate, 1));
     let free = targets.iter_mut().filter(|t| t.free_slots > 0 && fits(t));
-    let best = free.min_by_key(|t| (stalls(t, candidate, t.load), cost(t, candidate, left)))?;
-    let expected_first_event = first(best, candidate);
-    if expected_first_event > left && in_time || is_patient && stalls(best, candidate, best.load) {
+    let best =
+        free.min_by_key(|t| (would_stall(t, candidate, t.load), cost(t, candidate, left)))?;
+    let expected_first_event = time_to_first_event(best, candidate);
+    if expected_first_event > left && in_time
+        || is_patient && would_stall(best, candidate, best.load)
+    {
         return None;
     }
     Some((best, expected_first_event))
 }
 
 /// Whether reading the prompt would hold up so many streams beside it for too long.
-fn stalls(target: &Target<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
+fn would_stall(target: &Target<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
     let Stall { tokens, pause_ms } = candidate.stall;
     let takes_ms = f64::from(tokens) * target.ns_per_unit / 1e6;
     load > 0 && pause_ms > 0 && takes_ms > f64::from(pause_ms) * STALL_SHARE
 }
 
 /// Expected time to the first event.
-fn first(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
+fn time_to_first_event(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
     let units =
         f64::from(candidate.prompt_tokens + FIXED_WORK_UNITS) + f64::from(target.pending_tokens);
-    Duration::from_nanos((target.ns_per_unit * units * crowd(target)) as u64)
+    Duration::from_nanos((target.ns_per_unit * units * load_factor(target)) as u64)
 }
 
 /// Free places by service.
@@ -416,43 +422,45 @@
 }
 
 /// How much slower an endpoint is for what runs there.
-fn crowd(target: &Target<'_>) -> f64 {
+fn load_factor(target: &Target<'_>) -> f64 {
     1.0 + CROWDING * f64::from(target.load) / f64::from(target.endpoint.slots.max(1))
 }
 
 fn cost(target: &Target<'_>, candidate: &Candidate<'_>, left: Duration) -> Duration {
     let zone = if target.endpoint.zone == *candidate.zone { Duration::ZERO } else { OTHER_ZONE };
-    let early = candidate.objective.mul_f64(EARLY_SHARE * crowd(target));
-    let time = assumed(target, candidate, left).max(early);
-    time.mul_f64(1.0 + TASTE * taste(target, candidate)) + zone + excess(target, candidate)
+    let early = candidate.objective.mul_f64(EARLY_SHARE * load_factor(target));
+    let time = assumed_first_event(target, candidate, left).max(early);
+    time.mul_f64(1.0 + TASTE * preference(target, candidate))
+        + zone
+        + excess_generation(target, candidate)
 }
 
 /// Expected time from the first event to the end of the answer.
-fn run(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
-    answer_time(candidate.output_tokens, target.ns_per_unit)
+fn expected_generation(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
+    generation_time(candidate.output_tokens, target.ns_per_unit)
 }
 
 /// Time that the tokens of an answer take at a pace in nanoseconds for a unit of work.
-fn answer_time(output_tokens: u32, ns_per_unit: f64) -> Duration {
+fn generation_time(output_tokens: u32, ns_per_unit: f64) -> Duration {
     Duration::from_nanos((f64::from(output_tokens) * OUTPUT_UNITS * ns_per_unit) as u64)
 }
 
 /// How much longer the whole answer takes at a slow endpoint than at the usual one.
-fn excess(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
+fn excess_generation(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
     let slower = (target.ns_per_unit - target.median_ns * ALIKE_TIMES).max(0.0);
-    answer_time(candidate.output_tokens, slower)
+    generation_time(candidate.output_tokens, slower)
 }
 
 /// The time to the first event that is taken for the choice.
-fn assumed(target: &Target<'_>, candidate: &Candidate<'_>, left: Duration) -> Duration {
-    let first = first(target, candidate);
+fn assumed_first_event(target: &Target<'_>, candidate: &Candidate<'_>, left: Duration) -> Duration {
+    let time_to_first_event = time_to_first_event(target, candidate);
     if !target.is_unmeasured {
-        return first;
+        return time_to_first_event;
     }
-    let at_worst = first.mul_f64(UNKNOWN_TIMES);
+    let at_worst = time_to_first_event.mul_f64(UNKNOWN_TIMES);
     let is_harmless = at_worst <= left.mul_f64(TRY_SHARE);
     if is_harmless {
-        first.mul_f64(TRY_TIMES)
+        time_to_first_event.mul_f64(TRY_TIMES)
     } else {
         at_worst
     }
@@ -460,7 +468,7 @@
 
 /// From 0 to 1, how little the candidate's instance likes a place: the same at all instances, and other
 /// for each of them, so that they do not all prefer the same place.
-fn taste(target: &Target<'_>, candidate: &Candidate<'_>) -> f64 {
+fn preference(target: &Target<'_>, candidate: &Candidate<'_>) -> f64 {
     let mixed = xxh3_64(&(target.hash ^ candidate.instance_hash).to_le_bytes());
     (mixed >> 40) as f64 / (1_u64 << 24) as f64
 }
