--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -11,40 +11,40 @@
 use crate::routes::Endpoint;
 
 /// Added to the first event's time for each place in use, as a share: a batch slows with its size.
-const CROWDING: f64 = 0.3;
+const LOAD_SLOWDOWN: f64 = 0.3;
 /// Extra time of an endpoint in another availability zone, also to save the traffic between zones.
-const OTHER_ZONE: Duration = Duration::from_millis(10);
+const CROSS_ZONE_PENALTY: Duration = Duration::from_millis(10);
 /// Largest part by which an instance's own taste for an endpoint adds to its time. Reports take 3 to 30 ms
 /// at the users' small machines; with a hundred requests a second in a cell, instances that all prefer
 /// the same place take it twice in a third of the cases (measured: kalemdar-tutanak-grown scale-1). It is
 /// far less than the factor of 4.4 between slow and fast engines.
-const TASTE: f64 = 0.3;
+const MAX_PREFERENCE_PENALTY: f64 = 0.3;
 /// Part of the objective below which it does not matter how soon the first event comes. Without such a
 /// bound the differences of what was measured outweigh all taste.
-const EARLY_SHARE: f64 = 0.15;
+const FIRST_EVENT_FLOOR_SHARE: f64 = 0.15;
 /// Part of a stream's longest pause that the reading of another prompt may take. What is learned of
 /// an endpoint's pace is a little slower than its reading alone.
-const STALL_SHARE: f64 = 0.9;
+const STALL_TOLERANCE_SHARE: f64 = 0.9;
 /// Part of the objective that must be left for a request to wait for a place where it holds nobody
 /// up. With less, its own time goes before the others' pauses.
-const PATIENT_SHARE: f64 = 0.5;
+const STALL_WAIT_MIN_SHARE: f64 = 0.5;
 /// How much slower than the usual an endpoint may be of which nothing is known. Engines at the users'
 /// sites differ by 3.0 to 0.68.
-const UNKNOWN_TIMES: f64 = 3.0;
+const UNMEASURED_SLOWDOWN: f64 = 3.0;
 /// Part of the usual at which such an endpoint is taken for a request that would be in time even if
 /// it were so slow: it is tried first, by those whom that costs nothing.
-const TRY_TIMES: f64 = 0.9;
+const EXPLORATION_FACTOR: f64 = 0.9;
 /// Part of the time left within which that is so.
-const TRY_SHARE: f64 = 0.5;
+const EXPLORATION_MAX_SHARE: f64 = 0.5;
 /// Nanoseconds for a unit of work where nothing has been measured: 50 tokens in a millisecond.
-const UNKNOWN_NS: f64 = 20_000.0;
+const DEFAULT_NS_PER_UNIT: f64 = 20_000.0;
 
 /// Units of work of a token of an answer: engines at the users' sites make one in the time in which
 /// they read 190 to 300 tokens.
-const OUTPUT_UNITS: f64 = 250.0;
+const WORK_UNITS_PER_OUTPUT_TOKEN: f64 = 250.0;
 /// Times the usual pace up to which endpoints are alike for the length of an answer. What is learned of
 /// equal engines differs by up to a half.
-const ALIKE_TIMES: f64 = 1.5;
+const SIMILAR_SPEED_RATIO: f64 = 1.5;
 
 /// Time after its arrival for which the others cannot know of a request: 5 ms until the next report,
 /// and the way of that.
@@ -52,7 +52,7 @@
 /// Free places of a service up to which a request that the others cannot know of leaves them to
 /// those that wait. With so few left, arrivals within the same 10 ms would all take the same ones
 /// (kalemdar-tutanak-grown scale-1: up to six requests above an endpoint's slots).
-const CONTENDED: u32 = 3;
+const CONTENDED_SLOTS: u32 = 3;
 /// Age up to which paces are used again. They change little from one request to the next, and working
 /// them out takes longer than all else in an assignment.
 const LATENCY_CACHE_TTL: Duration = Duration::from_millis(50);
@@ -197,7 +197,7 @@
         for candidate in self.candidates(now) {
             let free_slots = free_slots.get(candidate.service).copied().unwrap_or(0);
             if free_slots == 0
-                || !is_alone && free_slots <= CONTENDED && candidate.is_unreported(now)
+                || !is_alone && free_slots <= CONTENDED_SLOTS && candidate.is_unreported(now)
             {
                 continue;
             }
@@ -375,7 +375,7 @@
             && (t.allowance.is_none() || candidate.ticket.is_some())
     };
     let in_time = targets.iter().any(|t| fits(t) && time_to_first_event(t, candidate) <= left);
-    let is_patient = left > candidate.objective.mul_f64(PATIENT_SHARE)
+    let is_patient = left > candidate.objective.mul_f64(STALL_WAIT_MIN_SHARE)
         && targets.iter().any(|t| fits(t) && !would_stall(t, candidate, 1));
     let free = targets.iter_mut().filter(|t| t.free_slots > 0 && fits(t));
     let best =
@@ -393,7 +393,7 @@
 fn would_stall(target: &Target<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
     let Stall { tokens, pause_ms } = candidate.stall;
     let takes_ms = f64::from(tokens) * target.ns_per_unit / 1e6;
-    load > 0 && pause_ms > 0 && takes_ms > f64::from(pause_ms) * STALL_SHARE
+    load > 0 && pause_ms > 0 && takes_ms > f64::from(pause_ms) * STALL_TOLERANCE_SHARE
 }
 
 /// Expected time to the first event.
@@ -423,14 +423,15 @@
 
 /// How much slower an endpoint is for what runs there.
 fn load_factor(target: &Target<'_>) -> f64 {
-    1.0 + CROWDING * f64::from(target.load) / f64::from(target.endpoint.slots.max(1))
+    1.0 + LOAD_SLOWDOWN * f64::from(target.load) / f64::from(target.endpoint.slots.max(1))
 }
 
 fn cost(target: &Target<'_>, candidate: &Candidate<'_>, left: Duration) -> Duration {
-    let zone = if target.endpoint.zone == *candidate.zone { Duration::ZERO } else { OTHER_ZONE };
-    let early = candidate.objective.mul_f64(EARLY_SHARE * load_factor(target));
+    let zone =
+        if target.endpoint.zone == *candidate.zone { Duration::ZERO } else { CROSS_ZONE_PENALTY };
+    let early = candidate.objective.mul_f64(FIRST_EVENT_FLOOR_SHARE * load_factor(target));
     let time = assumed_first_event(target, candidate, left).max(early);
-    time.mul_f64(1.0 + TASTE * preference(target, candidate))
+    time.mul_f64(1.0 + MAX_PREFERENCE_PENALTY * preference(target, candidate))
         + zone
         + excess_generation(target, candidate)
 }
@@ -442,12 +443,14 @@
 
 /// Time that the tokens of an answer take at a pace in nanoseconds for a unit of work.
 fn generation_time(output_tokens: u32, ns_per_unit: f64) -> Duration {
-    Duration::from_nanos((f64::from(output_tokens) * OUTPUT_UNITS * ns_per_unit) as u64)
+    Duration::from_nanos(
+        (f64::from(output_tokens) * WORK_UNITS_PER_OUTPUT_TOKEN * ns_per_unit) as u64,
+    )
 }
 
 /// How much longer the whole answer takes at a slow endpoint than at the usual one.
 fn excess_generation(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
-    let slower = (target.ns_per_unit - target.median_ns * ALIKE_TIMES).max(0.0);
+    let slower = (target.ns_per_unit - target.median_ns * SIMILAR_SPEED_RATIO).max(0.0);
     generation_time(candidate.output_tokens, slower)
 }
 
@@ -457,10 +460,10 @@
     if !target.is_unmeasured {
         return time_to_first_event;
     }
-    let at_worst = time_to_first_event.mul_f64(UNKNOWN_TIMES);
-    let is_harmless = at_worst <= left.mul_f64(TRY_SHARE);
+    let at_worst = time_to_first_event.mul_f64(UNMEASURED_SLOWDOWN);
+    let is_harmless = at_worst <= left.mul_f64(EXPLORATION_MAX_SHARE);
     if is_harmless {
-        time_to_first_event.mul_f64(TRY_TIMES)
+        time_to_first_event.mul_f64(EXPLORATION_FACTOR)
     } else {
         at_worst
     }
@@ -477,5 +480,5 @@
 fn median(values: impl Iterator<Item = f64>) -> f64 {
     let mut values: Vec<_> = values.collect();
     values.sort_by(f64::total_cmp);
-    values.get(values.len() / 2).copied().unwrap_or(UNKNOWN_NS)
+    values.get(values.len() / 2).copied().unwrap_or(DEFAULT_NS_PER_UNIT)
 }
