--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -192,10 +192,10 @@
         if targets.iter().all(|t| t.free_slots == 0) {
             return assignments;
         }
-        let free_slots = free(&targets);
+        let free_slots_by_service = free_slots_by_service(&targets);
         let is_alone = self.heard(now) == 0;
         for candidate in self.candidates(now) {
-            let free_slots = free_slots.get(candidate.service).copied().unwrap_or(0);
+            let free_slots = free_slots_by_service.get(candidate.service).copied().unwrap_or(0);
             if free_slots == 0
                 || !is_alone && free_slots <= CONTENDED_SLOTS && candidate.is_unreported(now)
             {
@@ -239,7 +239,7 @@
 
     fn candidates(&self, now: Instant) -> Vec<Candidate<'_>> {
         let instance_hash = xxh3_64(self.me.as_bytes());
-        let mine = self.waiting.iter().map(move |(ticket, want)| Candidate {
+        let own = self.waiting.iter().map(move |(ticket, want)| Candidate {
             priority: self.priority(now, want),
             ticket: Some(*ticket),
             arrived: want.arrived,
@@ -252,7 +252,7 @@
             stall: want.stall,
             avoid: &want.avoid,
         });
-        let others = self.peers.values().filter(|p| p.is_live(now, CLAIM_TTL)).flat_map(|p| {
+        let reported = self.peers.values().filter(|p| p.is_live(now, CLAIM_TTL)).flat_map(|p| {
             let instance_hash = xxh3_64(p.report.instance.as_bytes());
             p.report.claims.iter().filter_map(move |claim| {
                 let waited = Duration::from_millis(claim.waited_ms.into());
@@ -280,7 +280,7 @@
                 })
             })
         });
-        let mut all: Vec<_> = mine.chain(others).collect();
+        let mut all: Vec<_> = own.chain(reported).collect();
         all.sort_by_key(|c| c.priority);
         all
     }
@@ -292,7 +292,7 @@
             *load = (load.0 + reported.running, load.1.saturating_add(reported.unread));
         }
         let LatencyCache { ns_per_unit, median_ns, .. } = &self.latency_cache;
-        let open = self.sites.iter().filter(|(key, s)| self.is_available(now, **key, s));
+        let available = self.sites.iter().filter(|(key, s)| self.is_available(now, **key, s));
         let usage = |key: &EndpointKey, s: &'_ super::Site| {
             let (running, pending_tokens) = loads.get(key).copied().unwrap_or_default();
             let load = s.running + running;
@@ -300,30 +300,32 @@
             let slots = if s.health.is_on_trial() { 1 } else { usable };
             (load, slots.saturating_sub(load), s.unread.saturating_add(pending_tokens))
         };
-        open.map(|(key, s)| {
-            let (load, free_slots, pending_tokens) = usage(key, s);
-            let measured = ns_per_unit.get(key).copied();
-            let (ns_per_unit, is_unmeasured) = (measured.unwrap_or(*median_ns), measured.is_none());
-            Target {
-                endpoint: &s.endpoint,
-                hash: s.hash,
-                load,
-                free_slots,
-                pending_tokens,
-                ns_per_unit,
-                median_ns: *median_ns,
-                is_unmeasured,
-                allowance: allowances.get(key).copied(),
-            }
-        })
-        .collect()
+        available
+            .map(|(key, s)| {
+                let (load, free_slots, pending_tokens) = usage(key, s);
+                let measured = ns_per_unit.get(key).copied();
+                let (ns_per_unit, is_unmeasured) =
+                    (measured.unwrap_or(*median_ns), measured.is_none());
+                Target {
+                    endpoint: &s.endpoint,
+                    hash: s.hash,
+                    load,
+                    free_slots,
+                    pending_tokens,
+                    ns_per_unit,
+                    median_ns: *median_ns,
+                    is_unmeasured,
+                    allowance: allowances.get(key).copied(),
+                }
+            })
+            .collect()
     }
 
     /// Works out the paces anew if they are old, or if there are none.
     fn refresh_latency_cache(&mut self, now: Instant) {
-        let is_old = |at: Instant| now.saturating_duration_since(at) >= LATENCY_CACHE_TTL;
+        let is_expired = |at: Instant| now.saturating_duration_since(at) >= LATENCY_CACHE_TTL;
         if self.latency_cache.ns_per_unit.is_empty()
-            || self.latency_cache.updated_at.is_none_or(is_old)
+            || self.latency_cache.updated_at.is_none_or(is_expired)
         {
             let ns_per_unit = self.paces(now);
             let median_ns = median(ns_per_unit.values().copied());
@@ -335,25 +337,25 @@
     /// end of a request took 3 in 100 of an instance's processor time; without a late failure there is
     /// nothing to find.
     fn eject_failing_endpoints(&mut self, now: Instant) {
-        let is_old = |at: Instant| now.saturating_duration_since(at) > super::health::WINDOW;
-        if self.last_bad.is_none_or(is_old) {
+        let is_expired = |at: Instant| now.saturating_duration_since(at) > super::health::WINDOW;
+        if self.last_bad.is_none_or(is_expired) {
             return;
         }
         let mut services: HashMap<ServiceId, (usize, usize)> = HashMap::new();
         for (_, site) in self.sites.iter().filter(|(key, s)| !self.is_draining(**key, s)) {
-            let (all, aside) = services.entry(site.endpoint.service.clone()).or_default();
+            let (all, ejected) = services.entry(site.endpoint.service.clone()).or_default();
             *all += 1;
-            *aside += usize::from(site.health.is_aside(now));
+            *ejected += usize::from(site.health.is_aside(now));
         }
         for site in self.sites.values_mut() {
             if site.health.is_aside(now) || !site.health.is_failing(now) {
                 continue;
             }
-            let Some((all, aside)) = services.get_mut(&site.endpoint.service) else { continue };
-            if (*aside + 1) * 2 > *all {
+            let Some((all, ejected)) = services.get_mut(&site.endpoint.service) else { continue };
+            if (*ejected + 1) * 2 > *all {
                 continue;
             }
-            *aside += 1;
+            *ejected += 1;
             let pause = site.health.set_aside(now);
             self.news.push(super::SetAside { endpoint: site.endpoint.id.clone(), pause });
         }
@@ -368,21 +370,22 @@
     candidate: &Candidate<'_>,
     now: Instant,
 ) -> Option<(&'b mut Target<'a>, Duration)> {
-    let left = candidate.priority.deadline.saturating_duration_since(now);
+    let time_left = candidate.priority.deadline.saturating_duration_since(now);
     let fits = |t: &Target<'_>| {
         t.endpoint.service == *candidate.service
             && !candidate.avoid.contains(&t.endpoint.id)
             && (t.allowance.is_none() || candidate.ticket.is_some())
     };
-    let in_time = targets.iter().any(|t| fits(t) && time_to_first_event(t, candidate) <= left);
-    let is_patient = left > candidate.objective.mul_f64(STALL_WAIT_MIN_SHARE)
+    let can_meet_deadline =
+        targets.iter().any(|t| fits(t) && time_to_first_event(t, candidate) <= time_left);
+    let can_wait = time_left > candidate.objective.mul_f64(STALL_WAIT_MIN_SHARE)
         && targets.iter().any(|t| fits(t) && !would_stall(t, candidate, 1));
     let free = targets.iter_mut().filter(|t| t.free_slots > 0 && fits(t));
     let best =
-        free.min_by_key(|t| (would_stall(t, candidate, t.load), cost(t, candidate, left)))?;
+        free.min_by_key(|t| (would_stall(t, candidate, t.load), cost(t, candidate, time_left)))?;
     let expected_first_event = time_to_first_event(best, candidate);
-    if expected_first_event > left && in_time
-        || is_patient && would_stall(best, candidate, best.load)
+    if expected_first_event > time_left && can_meet_deadline
+        || can_wait && would_stall(best, candidate, best.load)
     {
         return None;
     }
@@ -392,8 +395,8 @@
 /// Whether reading the prompt would hold up so many streams beside it for too long.
 fn would_stall(target: &Target<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
     let Stall { tokens, pause_ms } = candidate.stall;
-    let takes_ms = f64::from(tokens) * target.ns_per_unit / 1e6;
-    load > 0 && pause_ms > 0 && takes_ms > f64::from(pause_ms) * STALL_TOLERANCE_SHARE
+    let prefill_ms = f64::from(tokens) * target.ns_per_unit / 1e6;
+    load > 0 && pause_ms > 0 && prefill_ms > f64::from(pause_ms) * STALL_TOLERANCE_SHARE
 }
 
 /// Expected time to the first event.
@@ -404,12 +407,12 @@
 }
 
 /// Free places by service.
-fn free<'a>(targets: &[Target<'a>]) -> HashMap<&'a ServiceId, u32> {
-    let mut free = HashMap::new();
+fn free_slots_by_service<'a>(targets: &[Target<'a>]) -> HashMap<&'a ServiceId, u32> {
+    let mut free_slots_by_service = HashMap::new();
     for target in targets {
-        *free.entry(&target.endpoint.service).or_default() += target.free_slots;
+        *free_slots_by_service.entry(&target.endpoint.service).or_default() += target.free_slots;
     }
-    free
+    free_slots_by_service
 }
 
 /// Endpoints by service that have a place and want no request.
@@ -426,13 +429,13 @@
     1.0 + LOAD_SLOWDOWN * f64::from(target.load) / f64::from(target.endpoint.slots.max(1))
 }
 
-fn cost(target: &Target<'_>, candidate: &Candidate<'_>, left: Duration) -> Duration {
-    let zone =
+fn cost(target: &Target<'_>, candidate: &Candidate<'_>, time_left: Duration) -> Duration {
+    let zone_penalty =
         if target.endpoint.zone == *candidate.zone { Duration::ZERO } else { CROSS_ZONE_PENALTY };
-    let early = candidate.objective.mul_f64(FIRST_EVENT_FLOOR_SHARE * load_factor(target));
-    let time = assumed_first_event(target, candidate, left).max(early);
-    time.mul_f64(1.0 + MAX_PREFERENCE_PENALTY * preference(target, candidate))
-        + zone
+    let floor = candidate.objective.mul_f64(FIRST_EVENT_FLOOR_SHARE * load_factor(target));
+    let first_event = assumed_first_event(target, candidate, time_left).max(floor);
+    first_event.mul_f64(1.0 + MAX_PREFERENCE_PENALTY * preference_penalty(target, candidate))
+        + zone_penalty
         + excess_generation(target, candidate)
 }
 
@@ -450,30 +453,34 @@
 
 /// How much longer the whole answer takes at a slow endpoint than at the usual one.
 fn excess_generation(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
-    let slower = (target.ns_per_unit - target.median_ns * SIMILAR_SPEED_RATIO).max(0.0);
-    generation_time(candidate.output_tokens, slower)
+    let excess_ns_per_unit = (target.ns_per_unit - target.median_ns * SIMILAR_SPEED_RATIO).max(0.0);
+    generation_time(candidate.output_tokens, excess_ns_per_unit)
 }
 
 /// The time to the first event that is taken for the choice.
-fn assumed_first_event(target: &Target<'_>, candidate: &Candidate<'_>, left: Duration) -> Duration {
+fn assumed_first_event(
+    target: &Target<'_>,
+    candidate: &Candidate<'_>,
+    time_left: Duration,
+) -> Duration {
     let time_to_first_event = time_to_first_event(target, candidate);
     if !target.is_unmeasured {
         return time_to_first_event;
     }
-    let at_worst = time_to_first_event.mul_f64(UNMEASURED_SLOWDOWN);
-    let is_harmless = at_worst <= left.mul_f64(EXPLORATION_MAX_SHARE);
+    let worst_case = time_to_first_event.mul_f64(UNMEASURED_SLOWDOWN);
+    let is_harmless = worst_case <= time_left.mul_f64(EXPLORATION_MAX_SHARE);
     if is_harmless {
         time_to_first_event.mul_f64(EXPLORATION_FACTOR)
     } else {
-        at_worst
+        worst_case
     }
 }
 
 /// From 0 to 1, how little the candidate's instance likes a place: the same at all instances, and other
 /// for each of them, so that they do not all prefer the same place.
-fn preference(target: &Target<'_>, candidate: &Candidate<'_>) -> f64 {
-    let mixed = xxh3_64(&(target.hash ^ candidate.instance_hash).to_le_bytes());
-    (mixed >> 40) as f64 / (1_u64 << 24) as f64
+fn preference_penalty(target: &Target<'_>, candidate: &Candidate<'_>) -> f64 {
+    let hash = xxh3_64(&(target.hash ^ candidate.instance_hash).to_le_bytes());
+    (hash >> 40) as f64 / (1_u64 << 24) as f64
 }
 
 /// The middle of what has been measured, for endpoints that have not been.
