--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -212,7 +212,7 @@
             if let Some(ticket) = candidate.ticket {
                 let (endpoint, load) = (target.endpoint.clone(), target.load);
                 let expected_total = (candidate.output_tokens > 0)
-                    .then(|| expected_first_event + expected_generation(target, &candidate));
+                    .then(|| expected_first_event + expected_generation_time(target, &candidate));
                 assignments.push(Assignment {
                     ticket,
                     endpoint,
@@ -436,11 +436,11 @@
     let first_event = assumed_first_event(target, candidate, time_left).max(floor);
     first_event.mul_f64(1.0 + MAX_PREFERENCE_PENALTY * preference_penalty(target, candidate))
         + zone_penalty
-        + excess_generation(target, candidate)
+        + excess_generation_time(target, candidate)
 }
 
 /// Expected time from the first event to the end of the answer.
-fn expected_generation(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
+fn expected_generation_time(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
     generation_time(candidate.output_tokens, target.ns_per_unit)
 }
 
@@ -452,7 +452,7 @@
 }
 
 /// How much longer the whole answer takes at a slow endpoint than at the usual one.
-fn excess_generation(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
+fn excess_generation_time(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
     let excess_ns_per_unit = (target.ns_per_unit - target.median_ns * SIMILAR_SPEED_RATIO).max(0.0);
     generation_time(candidate.output_tokens, excess_ns_per_unit)
 }
