--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -103,9 +103,9 @@
         &self,
         now: Instant,
         audience: Audience,
-        is_for: impl Fn(&EndpointKey) -> bool,
+        is_relevant: impl Fn(&EndpointKey) -> bool,
     ) -> ToldEndpoints {
-        let limits = self.limits.to_report(now, audience, is_for);
+        let limits = self.limits.to_report(now, audience, is_relevant);
         let leaving = self.draining.to_report(now, audience, |key| self.is_listed(*key));
         ToldEndpoints { limits, leaving }
     }
@@ -141,10 +141,10 @@
         if allowances.is_empty() {
             return None;
         }
-        let open = self.sites.iter().filter(|(key, s)| self.is_available(now, **key, s));
-        let of_service = open.filter(|(_, s)| s.endpoint.service == *service);
+        let available = self.sites.iter().filter(|(key, s)| self.is_available(now, **key, s));
+        let of_service = available.filter(|(_, s)| s.endpoint.service == *service);
         let keys: Vec<_> = of_service.map(|(key, s)| (*key, self.scope(s))).collect();
-        if keys.iter().any(|(key, _)| allowances.get(key).is_none_or(|room| *room > 0)) {
+        if keys.iter().any(|(key, _)| allowances.get(key).is_none_or(|allowance| *allowance > 0)) {
             return None;
         }
         let available_in = |(key, scope)| {
@@ -162,8 +162,9 @@
         let mut allowances = Allowances::new();
         for key in self.limits.limited_endpoints() {
             let Some(scope) = self.sites.get(&key).map(|s| self.scope(s)) else { continue };
-            allowances
-                .extend(self.limits.available_requests(now, key, scope).map(|room| (key, room)));
+            allowances.extend(
+                self.limits.available_requests(now, key, scope).map(|allowance| (key, allowance)),
+            );
         }
         // Who sent to an endpoint that rests would be turned away again, and be taken for the reason of its need.
         allowances.extend(self.backoffs.active(now).map(|key| (key, 0)));
--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -218,13 +218,13 @@
         &self,
         now: Instant,
         audience: Audience,
-        is_for: impl Fn(&EndpointKey) -> bool,
+        is_relevant: impl Fn(&EndpointKey) -> bool,
     ) -> Vec<ReportedLimit> {
         let age = |known: &KnownLimit| now.saturating_duration_since(known.answered_at);
         let should_report = |(key, known): &(&EndpointKey, &KnownLimit)| {
             audience.is_told(known.origin)
                 && (known.per_s.is_some() || age(known) < REPORT_REMOVAL_FOR)
-                && is_for(key)
+                && is_relevant(key)
         };
         let mut reported: Vec<_> = self.known_limits.iter().filter(should_report).collect();
         reported.sort_by_key(|(key, known)| (age(known), **key));
