--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -9,7 +9,7 @@
 use oxbowbend_core::routes::Endpoint;
 
 #[test]
-fn rank_goes_before_age() {
+fn higher_rank_precedes_older_request() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1)]);
     let _old = cell.arrive(want(2, 100, now - 50 * MS));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn slots_are_never_passed_and_return_at_the_end() {
+fn slots_are_not_exceeded_and_are_released_on_finish() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 2)]);
     for _ in 0..3 {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_others_run_takes_places_until_they_are_silent() {
+fn peer_load_occupies_slots_until_the_peer_times_out() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn two_instances_give_one_place_to_the_first_in_order() {
+fn two_instances_agree_who_gets_the_last_slot() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     for (rank_a, rank_b, first) in [(0, 1, "a"), (1, 0, "b")] {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_silent_instance_holds_nobody_back() {
+fn claims_of_a_silent_instance_expire() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_old_report_changes_nothing() {
+fn stale_report_is_ignored() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_faster_endpoint_is_chosen() {
+fn faster_endpoint_is_chosen() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
     (0..10).for_each(|_| cell.began(now, key("e0"), 1000, 0, 300 * MS));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_request_waits_for_the_place_that_is_in_time() {
+fn request_waits_for_a_slot_that_meets_its_deadline() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1), endpoint(2, 1)]);
     (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 300 * MS));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_and_one_already_tried_get_nothing() {
+fn draining_and_already_tried_endpoints_are_skipped() {
     let now = Instant::now();
     let leaving = Endpoint { leaving: true, ..endpoint(0, 1) };
     let mut cell = cell("a", &[leaving, endpoint(2, 1)]);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn failures_that_another_instance_reports_set_an_endpoint_aside() {
+fn failures_reported_by_a_peer_eject_an_endpoint() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 8), endpoint(2, 8)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn at_most_half_of_a_service_is_set_aside() {
+fn at_most_half_of_a_service_is_ejected() {
     let now = Instant::now();
     let endpoints: Vec<_> = (0..5).map(|n| endpoint(n, 1)).collect();
     let mut cell = cell("a", &endpoints);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn an_endpoint_on_trial_gets_one_request_at_a_time() {
+fn reinstated_endpoint_gets_one_request_at_a_time() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 4), endpoint(2, 0)];
     let mut cell = cell("a", &endpoints);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn failures_as_users_requests_have_them_are_no_reason() {
+fn background_failure_rate_does_not_eject_an_endpoint() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
     for n in 0..50 {
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn what_a_new_acquaintance_spent_before_is_not_drawn_again() {
+fn usage_before_the_first_report_is_not_counted() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn counters_go_on_from_the_first_full_report() {
+fn counters_start_at_the_first_full_report() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 1), endpoint(2, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_report_of_changes_tells_only_what_has_just_changed() {
+fn changes_report_contains_only_recent_changes() {
     let now = Instant::now();
     let mut a = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
     a.judge(now, key("e0"), Outcome::Good);
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_tally_left_out_of_a_report_of_changes_is_not_counted_again() {
+fn tally_omitted_from_a_changes_report_is_not_counted_again() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 4), endpoint(2, 4), endpoint(4, 4)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
@@ -244,7 +244,7 @@
 
 /// What waits for a version that is rolled back is served by the others.
 #[test]
-fn what_waits_for_one_service_can_wait_for_another() {
+fn waiting_requests_can_move_to_another_service() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1)]);
     let ticket = cell.arrive(Want { service: "t".into(), ..want(0, 100, now) });
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn of_another_cell_only_its_speaker_s_sums_count() {
+fn only_the_representative_reports_totals_of_another_cell() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
@@ -277,7 +277,7 @@
 /// Reports take some milliseconds, in which instances that all prefer the same place take it twice
 /// (kalemdar-tutanak-grown scale-1: a third of all placements).
 #[test]
-fn instances_do_not_all_prefer_the_same_of_equal_places() {
+fn instances_prefer_different_endpoints_among_equals() {
     let now = Instant::now();
     let endpoints: Vec<_> = (0..12).map(|n| endpoint(2 * n, 4)).collect();
     let first = |name: String| {
@@ -291,7 +291,7 @@
 
 /// What an instance prefers is known to the others, who leave it that place.
 #[test]
-fn others_know_what_an_instance_prefers() {
+fn instances_leave_endpoints_to_the_peers_that_prefer_them() {
     let now = Instant::now();
     let endpoints: Vec<_> = (0..12).map(|n| endpoint(2 * n, 1)).collect();
     let names: Vec<_> = (0..12).map(|n| format!("i{n}")).collect();
@@ -311,7 +311,7 @@
 /// The last free places go to requests that all instances know of, or instances that cannot know of
 /// each other's arrivals take them twice (kalemdar-tutanak-grown scale-1).
 #[test]
-fn the_last_places_are_left_to_requests_that_others_know_of() {
+fn last_free_slots_go_to_reported_requests() {
     let now = Instant::now();
     // Free places, age in milliseconds, whether anybody else is heard, placed or not.
     for (free, age, has_peer, placed) in
@@ -329,7 +329,7 @@
 
 /// An endpoint that moves to another cell brings along what runs there.
 #[test]
-fn what_runs_at_an_endpoint_that_was_taken_away_is_still_told() {
+fn load_on_a_removed_endpoint_is_still_reported() {
     let now = Instant::now();
     let mut a = cell("a", &[endpoint(0, 4)]);
     a.arrive(want(0, 100, now));
