--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -25,13 +25,13 @@
     cell
 }
 
-fn says(limit: Option<f64>) -> Signals {
+fn limit_signal(limit: Option<f64>) -> Signals {
     Signals { rate_limit: limit.map_or(Said::Nothing, Said::Value), ..Signals::default() }
 }
 
-/// Sends all that may be sent, up to `most`; returns how many.
-fn press(cell: &mut Cell, now: Instant, most: usize) -> usize {
-    let tickets: Vec<_> = (0..most).map(|_| cell.arrive(want(0, 1, now - 20 * MS))).collect();
+/// Sends all that may be sent, up to `max_sent`; returns how many.
+fn send_all(cell: &mut Cell, now: Instant, max_sent: usize) -> usize {
+    let tickets: Vec<_> = (0..max_sent).map(|_| cell.arrive(want(0, 1, now - 20 * MS))).collect();
     let sent = cell.assign(now).len();
     tickets.into_iter().for_each(|ticket| _ = cell.withdraw(ticket));
     (0..sent).for_each(|_| cell.finish(now, key("e0"), 1, Outcome::Good));
@@ -39,7 +39,7 @@
 }
 
 /// The most that there is in any 4 s.
-fn most_in_window(sent: &[(Duration, usize)]) -> usize {
+fn max_in_window(sent: &[(Duration, usize)]) -> usize {
     let window = Duration::from_secs(4);
     let sum = |from: Duration| {
         let within = sent.iter().filter(|(at, _)| *at >= from && *at < from + window);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn fleets_of_all_sizes_keep_a_limit_and_use_it() {
+fn fleets_of_all_sizes_respect_and_use_a_limit() {
     for n in [1, 7, 13, 74, 295] {
         for limit in [0.0, 0.5, 1.5, 5.0, 20.0, 50.0] {
             let all = names(n);
@@ -58,7 +58,7 @@
             // They hear of it one after the other.
             for (i, cell) in cells.iter_mut().enumerate() {
                 let heard = start + 2000 * MS * i as u32 / n as u32;
-                cell.apply_signals(heard, key("e0"), heard, says(Some(limit)));
+                cell.apply_signals(heard, key("e0"), heard, limit_signal(Some(limit)));
             }
             // A limit of 0 is tried now and then, so that its end is heard of.
             let length = Duration::from_secs(if limit > 0.0 { 14 } else { 40 });
@@ -66,20 +66,20 @@
             let mut at = 2000 * MS;
             while at < length {
                 let now = start + at;
-                sent.push((at, cells.iter_mut().map(|cell| press(cell, now, 8)).sum::<usize>()));
+                sent.push((at, cells.iter_mut().map(|cell| send_all(cell, now, 8)).sum::<usize>()));
                 at += 100 * MS;
             }
-            let most = most_in_window(&sent);
+            let max_sent = max_in_window(&sent);
             let steady = sent.iter().filter(|(at, _)| *at >= 6000 * MS).map(|(_, n)| n);
             let steady = steady.sum::<usize>();
             let used = steady as f64 / (8.0 * limit);
             println!(
-                "{n} instances, {limit} a second: {most} of {} in 4 s, used {used:.2}",
+                "{n} instances, {limit} a second: {max_sent} of {} in 4 s, used {used:.2}",
                 allowed(limit)
             );
             assert!(
-                most as f64 <= allowed(limit),
-                "{n} instances, {limit} a second: {most} in 4 s"
+                max_sent as f64 <= allowed(limit),
+                "{n} instances, {limit} a second: {max_sent} in 4 s"
             );
             let is_used = if limit > 0.0 { used >= 0.7 } else { steady > 0 };
             assert!(is_used, "{n} instances, {limit} a second: only {steady} sent");
@@ -97,24 +97,24 @@
             let start = Instant::now() + Duration::from_secs(60);
             let mut cells: Vec<_> = (0..n).map(|i| instance(i, &all)).collect();
             for cell in &mut cells {
-                cell.apply_signals(start, key("e0"), start, says(Some(limit)));
+                cell.apply_signals(start, key("e0"), start, limit_signal(Some(limit)));
             }
             let chance = 3.0 * limit / n as f64 * 0.1;
             let mut sent = Vec::new();
             for step in 0..200 {
                 let at = 100 * MS * step;
                 let mut wanted = || usize::from(rng.random_bool(f64::min(chance, 1.0)));
-                let all = cells.iter_mut().map(|cell| press(cell, start + at, wanted()));
+                let all = cells.iter_mut().map(|cell| send_all(cell, start + at, wanted()));
                 sent.push((at, all.sum::<usize>()));
             }
-            let most = most_in_window(&sent);
+            let max_sent = max_in_window(&sent);
             let used = sent.iter().map(|(_, n)| n).sum::<usize>() as f64 / (20.0 * limit);
             println!(
-                "{n} instances, {limit} a second, few requests each: {most} in 4 s, used {used:.2}"
+                "{n} instances, {limit} a second, few requests each: {max_sent} in 4 s, used {used:.2}"
             );
             assert!(
-                most as f64 <= allowed(limit),
-                "{n} instances, {limit} a second: {most} in 4 s"
+                max_sent as f64 <= allowed(limit),
+                "{n} instances, {limit} a second: {max_sent} in 4 s"
             );
             if used < 0.5 {
                 unused.push(format!("{n} instances, {limit} a second: {used:.2} used"));
@@ -125,33 +125,36 @@
 }
 
 #[test]
-fn the_bound_holds_whatever_is_saved_up() {
+fn bound_holds_after_an_idle_period() {
     for n in [3, 7, 74, 295] {
         for limit in [0.5, 1.5, 5.0, 20.0] {
             let all = names(n);
             let start = Instant::now() + Duration::from_secs(60);
             let mut cells: Vec<_> = (0..n).map(|i| instance(i, &all)).collect();
             for cell in &mut cells {
-                cell.apply_signals(start, key("e0"), start, says(Some(limit)));
+                cell.apply_signals(start, key("e0"), start, limit_signal(Some(limit)));
             }
             // Nobody has a request for a minute, then all have many.
             let mut sent = Vec::new();
             for step in 0..45 {
                 let at = Duration::from_secs(60) + 100 * MS * step;
                 let now = start + at;
-                sent.push((at, cells.iter_mut().map(|cell| press(cell, now, 100)).sum::<usize>()));
+                sent.push((
+                    at,
+                    cells.iter_mut().map(|cell| send_all(cell, now, 100)).sum::<usize>(),
+                ));
             }
-            let most = most_in_window(&sent);
+            let max_sent = max_in_window(&sent);
             assert!(
-                most as f64 <= allowed(limit),
-                "{n} instances, {limit} a second: {most} in 4 s"
+                max_sent as f64 <= allowed(limit),
+                "{n} instances, {limit} a second: {max_sent} in 4 s"
             );
         }
     }
 }
 
 #[test]
-fn what_is_stricter_holds_at_once_and_what_is_looser_from_a_later_request() {
+fn stricter_limit_applies_at_once_and_looser_only_from_a_later_request() {
     let now = Instant::now() + Duration::from_secs(60);
     let at = |ms: u64| now + Duration::from_millis(ms);
     // When each request was sent and answered, what the answer says, and what is believed then.
@@ -165,31 +168,31 @@
     ] {
         let mut cell = instance(0, &names(1));
         for (sent, answered, limit) in answers {
-            cell.apply_signals(at(*answered), key("e0"), at(*sent), says(*limit));
+            cell.apply_signals(at(*answered), key("e0"), at(*sent), limit_signal(*limit));
         }
         let believed = cell.take_limit_changes().last().and_then(|change| change.per_s);
         assert_eq!(believed, expected, "{answers:?}");
     }
     let mut cell = instance(0, &names(1));
-    cell.apply_signals(at(0), key("e0"), at(0), says(Some(1.0)));
+    cell.apply_signals(at(0), key("e0"), at(0), limit_signal(Some(1.0)));
     let unreadable = Signals { rate_limit: Said::Unreadable, ..Signals::default() };
     cell.apply_signals(at(20), key("e0"), at(10), unreadable);
     assert_eq!(cell.limited_count(), 1, "what cannot be read ends no limit");
 }
 
 #[test]
-fn an_instance_knows_from_others_and_others_know_the_end() {
+fn limits_and_their_removal_propagate_between_instances() {
     let all = names(2);
     let now = Instant::now() + Duration::from_secs(60);
     let (mut a, mut b) = (instance(0, &all), instance(1, &all));
-    a.apply_signals(now, key("e0"), now, says(Some(1.0)));
+    a.apply_signals(now, key("e0"), now, limit_signal(Some(1.0)));
     b.hear(now + 50 * MS, a.report(now + 40 * MS, Extent::Changes), true);
     let change = b.take_limit_changes()[0];
     assert_eq!((change.per_s, change.origin, change.age), (Some(1.0), Origin::Cell, 40 * MS));
     // What it was told it tells nobody of its cell.
     assert!(b.report(now + 60 * MS, Extent::Changes).said.limits.is_empty());
     assert_eq!(b.signals_for_other_cells(now + 60 * MS).limits.len(), 1);
-    b.apply_signals(now + 200 * MS, key("e0"), now + 100 * MS, says(None));
+    b.apply_signals(now + 200 * MS, key("e0"), now + 100 * MS, limit_signal(None));
     a.hear(now + 250 * MS, b.report(now + 240 * MS, Extent::Changes), true);
     assert_eq!((a.limited_count(), b.limited_count()), (0, 0));
     // An old word does not bring it back.
@@ -204,10 +207,10 @@
 }
 
 #[test]
-fn requests_go_to_others_or_are_told_when_to_come_back() {
+fn requests_use_other_endpoints_or_get_a_retry_delay() {
     let now = Instant::now() + Duration::from_secs(60);
     let mut cell = cell("i0", &[endpoint(0, 4), endpoint(2, 4)]);
-    cell.apply_signals(now, key("e0"), now, says(Some(0.5)));
+    cell.apply_signals(now, key("e0"), now, limit_signal(Some(0.5)));
     let later = now + 20 * MS;
     (0..10).for_each(|_| _ = cell.arrive(want(0, 1, now)));
     let placed = cell.assign(later);
@@ -215,7 +218,7 @@
     assert!(at_limited <= 4, "{at_limited} at once");
     assert!(placed.len() - at_limited == 4, "the other one takes all that it has room for");
     assert_eq!(cell.available_in(later, &"s".into()), None, "the other one wants any number");
-    cell.apply_signals(now, key("e2"), now, says(Some(0.5)));
+    cell.apply_signals(now, key("e2"), now, limit_signal(Some(0.5)));
     while !cell.assign(later).is_empty() {
         (0..4).for_each(|_| cell.finish(later, key("e0"), 1, Outcome::Good));
         (0..4).for_each(|_| cell.finish(later, key("e2"), 1, Outcome::Good));
