--- a/oxbowbend-core/tests/limit_exploration.rs
+++ b/oxbowbend-core/tests/limit_exploration.rs
@@ -12,57 +12,57 @@
 
 const INSTANCES: usize = 3;
 /// Requests that each instance would like to send in each step.
-const WANTED: usize = 3;
+const REQUESTS_PER_STEP: usize = 3;
 const STEP: Duration = Duration::from_millis(500);
 /// Steps of a history that are all explored, and calm ones after them.
-const EXPLORED: u32 = 4;
-const CALM: usize = 14;
+const EXPLORED_STEPS: u32 = 4;
+const QUIET_STEPS: usize = 14;
 const LIMIT: f64 = 1.5;
 
 /// What happens in a step. What strikes an instance strikes the first one: they are all alike.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
-    Calm,
-    AnswersLost,
+    Quiet,
+    ResponsesLost,
     /// Answers arrive a step later, after newer ones.
-    AnswersLate,
+    ResponsesDelayed,
     /// Reports to and from it are lost.
-    Cut,
+    Partition,
     Restart,
-    Falls,
-    Rises,
+    LimitLowered,
+    LimitRaised,
     /// The limit ends, or is named again.
-    Toggles,
+    LimitToggled,
 }
 
 const EVENTS: [Event; 8] = [
-    Event::Calm,
-    Event::AnswersLost,
-    Event::AnswersLate,
-    Event::Cut,
+    Event::Quiet,
+    Event::ResponsesLost,
+    Event::ResponsesDelayed,
+    Event::Partition,
     Event::Restart,
-    Event::Falls,
-    Event::Rises,
-    Event::Toggles,
+    Event::LimitLowered,
+    Event::LimitRaised,
+    Event::LimitToggled,
 ];
 
-struct Answer {
+struct Response {
     instance: usize,
     sent: Instant,
     limit: Option<f64>,
 }
 
-struct World {
+struct Simulation {
     cells: Vec<Cell>,
-    lives: u64,
+    next_life: u64,
     start: Instant,
     now: Instant,
     limit: Option<f64>,
     /// Each limit with the moment from which it was named.
     limits: Vec<(Instant, Option<f64>)>,
-    late: Vec<Answer>,
+    delayed: Vec<Response>,
     /// When each instance passed an answer on that named a limit, since it started.
-    told: Vec<Option<Instant>>,
+    signalled_at: Vec<Option<Instant>>,
     sent: Vec<(Instant, usize)>,
 }
 
@@ -77,23 +77,23 @@
     cell
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let start = Instant::now() + Duration::from_secs(60);
-        World {
+        Simulation {
             cells: (0..INSTANCES).map(|n| instance(n, 0)).collect(),
-            lives: 1,
+            next_life: 1,
             start,
             now: start,
             limit: Some(LIMIT),
             limits: vec![(start, Some(LIMIT))],
-            late: Vec::new(),
-            told: vec![None; INSTANCES],
+            delayed: Vec::new(),
+            signalled_at: vec![None; INSTANCES],
             sent: Vec::new(),
         }
     }
 
-    fn name(&mut self, limit: Option<f64>) {
+    fn set_limit(&mut self, limit: Option<f64>) {
         self.limit = limit;
         self.limits.push((self.now, limit));
     }
@@ -101,51 +101,54 @@
     fn step(&mut self, event: Event) {
         self.now += STEP;
         match event {
-            Event::Falls => self.name(self.limit.map(|_| 0.5)),
-            Event::Rises => self.name(self.limit.map(|_| 4.0)),
-            Event::Toggles => self.name(if self.limit.is_some() { None } else { Some(LIMIT) }),
+            Event::LimitLowered => self.set_limit(self.limit.map(|_| 0.5)),
+            Event::LimitRaised => self.set_limit(self.limit.map(|_| 4.0)),
+            Event::LimitToggled => {
+                self.set_limit(if self.limit.is_some() { None } else { Some(LIMIT) })
+            }
             Event::Restart => {
-                self.cells[0] = instance(0, self.lives);
-                self.lives += 1;
-                self.told[0] = None;
+                self.cells[0] = instance(0, self.next_life);
+                self.next_life += 1;
+                self.signalled_at[0] = None;
             }
             _ => {}
         }
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for n in 0..INSTANCES {
-            for _ in 0..self.press(n) {
+            for _ in 0..self.send_all(n) {
                 self.sent.push((self.now, n));
-                answers.push(Answer { instance: n, sent: self.now, limit: self.limit });
+                responses.push(Response { instance: n, sent: self.now, limit: self.limit });
             }
         }
-        if event == Event::AnswersLost {
-            answers.retain(|a| a.instance != 0);
+        if event == Event::ResponsesLost {
+            responses.retain(|a| a.instance != 0);
         }
-        let late = std::mem::take(&mut self.late);
-        if event == Event::AnswersLate {
-            let (held, arrive) = answers.into_iter().partition(|a| a.instance == 0);
-            (self.late, answers) = (held, arrive);
+        let delayed = std::mem::take(&mut self.delayed);
+        if event == Event::ResponsesDelayed {
+            let (held, arrive) = responses.into_iter().partition(|a| a.instance == 0);
+            (self.delayed, responses) = (held, arrive);
         }
-        answers.into_iter().chain(late).for_each(|answer| self.answer(&answer));
+        responses.into_iter().chain(delayed).for_each(|response| self.response(&response));
         self.report(event);
     }
 
-    fn press(&mut self, n: usize) -> usize {
+    fn send_all(&mut self, n: usize) -> usize {
         let (cell, now) = (&mut self.cells[n], self.now);
-        let tickets: Vec<_> = (0..WANTED).map(|_| cell.arrive(want(0, 1, now - 20 * MS))).collect();
+        let tickets: Vec<_> =
+            (0..REQUESTS_PER_STEP).map(|_| cell.arrive(want(0, 1, now - 20 * MS))).collect();
         let sent = cell.assign(now).len();
         tickets.into_iter().for_each(|ticket| _ = cell.withdraw(ticket));
         (0..sent).for_each(|_| cell.finish(now, key("e0"), 1, Outcome::Good));
         sent
     }
 
-    fn answer(&mut self, answer: &Answer) {
+    fn response(&mut self, response: &Response) {
         let at = self.now + 100 * MS;
-        let rate_limit = answer.limit.map_or(Said::Nothing, Said::Value);
+        let rate_limit = response.limit.map_or(Said::Nothing, Said::Value);
         let signals = Signals { rate_limit, ..Signals::default() };
-        self.cells[answer.instance].apply_signals(at, key("e0"), answer.sent, signals);
-        if answer.limit.is_some() {
-            self.told[answer.instance].get_or_insert(at);
+        self.cells[response.instance].apply_signals(at, key("e0"), response.sent, signals);
+        if response.limit.is_some() {
+            self.signalled_at[response.instance].get_or_insert(at);
         }
     }
 
@@ -154,7 +157,7 @@
         for from in 0..INSTANCES {
             let report = self.cells[from].report(at, Extent::Full);
             for to in (0..INSTANCES).filter(|to| *to != from) {
-                if event != Event::Cut || (from != 0 && to != 0) {
+                if event != Event::Partition || (from != 0 && to != 0) {
                     self.cells[to].hear(at + 5 * MS, report.clone(), true);
                 }
             }
@@ -184,11 +187,14 @@
     }
 
     fn check(&self, history: &[Event]) {
-        let told = |n: usize, at: Instant| self.told[n].is_some_and(|told| told + 500 * MS <= at);
+        let signalled_at = |n: usize, at: Instant| {
+            self.signalled_at[n].is_some_and(|signalled_at| signalled_at + 500 * MS <= at)
+        };
         for (from, _) in &self.sent {
             let Some(allowed) = self.allowed(*from) else { continue };
             let to = *from + Duration::from_secs(4);
-            let within = self.sent.iter().filter(|(at, n)| at >= from && *at < to && told(*n, *at));
+            let within =
+                self.sent.iter().filter(|(at, n)| at >= from && *at < to && signalled_at(*n, *at));
             let count = within.count();
             let at = from.duration_since(self.start);
             assert!(count as f64 <= allowed, "{history:?}: {count} from {at:?}; allowed {allowed}");
@@ -196,29 +202,29 @@
     }
 }
 
-fn play(history: &[Event]) {
-    let mut world = World::new();
-    history.iter().for_each(|event| world.step(*event));
-    (0..CALM).for_each(|_| world.step(Event::Calm));
-    world.check(history);
-    let is_known = |cell: &Cell| cell.limited_count() == usize::from(world.limit.is_some());
-    assert!(world.cells.iter().all(is_known), "{history:?}: not known to all");
+fn run_history(history: &[Event]) {
+    let mut simulation = Simulation::new();
+    history.iter().for_each(|event| simulation.step(*event));
+    (0..QUIET_STEPS).for_each(|_| simulation.step(Event::Quiet));
+    simulation.check(history);
+    let is_known = |cell: &Cell| cell.limited_count() == usize::from(simulation.limit.is_some());
+    assert!(simulation.cells.iter().all(is_known), "{history:?}: not known to all");
 }
 
 #[test]
-fn no_history_brings_an_endpoint_more_than_is_allowed() {
+fn limit_holds_in_every_short_history() {
     let kinds = EVENTS.len();
-    for number in 0..kinds.pow(EXPLORED) {
+    for number in 0..kinds.pow(EXPLORED_STEPS) {
         let event = |step: u32| EVENTS[number / kinds.pow(step) % kinds];
-        play(&(0..EXPLORED).map(event).collect::<Vec<_>>());
+        run_history(&(0..EXPLORED_STEPS).map(event).collect::<Vec<_>>());
     }
 }
 
 #[test]
-fn nor_does_a_long_one() {
+fn limit_holds_in_random_long_histories() {
     let mut rng = rand_pcg::Pcg64::seed_from_u64(38);
     for _ in 0..1500 {
         let event = |_| EVENTS[rng.random_range(0..EVENTS.len())];
-        play(&(0..20).map(event).collect::<Vec<_>>());
+        run_history(&(0..20).map(event).collect::<Vec<_>>());
     }
 }
