--- a/oxbowbend-core/tests/backoff.rs
+++ b/oxbowbend-core/tests/backoff.rs
@@ -7,12 +7,12 @@
 use cells::{cell, endpoint, key, placed, want, MS};
 use oxbowbend_core::cell::{Cell, Extent, Outcome, RetryPolicy, Said, Signals};
 
-fn asks_for_rest(cell: &mut Cell, now: Instant, name: &str, ms: u64) {
+fn request_backoff(cell: &mut Cell, now: Instant, name: &str, ms: u64) {
     let backoff = Said::Value(Duration::from_millis(ms));
     cell.apply_signals(now, key(name), now, Signals { backoff, ..Signals::default() });
 }
 
-fn is_used(cell: &mut Cell, now: Instant) -> bool {
+fn is_assigned(cell: &mut Cell, now: Instant) -> bool {
     let ticket = cell.arrive(want(0, 1, now - 20 * MS));
     let is_placed = !placed(cell, now).is_empty();
     cell.withdraw(ticket);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn it_gets_the_time_it_asks_for_and_no_more() {
+fn backoff_lasts_as_long_as_requested() {
     let now = Instant::now() + Duration::from_secs(10);
     // When it asks for how long, and until when it rests.
     for (asked, until) in [
@@ -35,27 +35,27 @@
     ] {
         let mut cell = cell("a", &[endpoint(0, 4)]);
         for (at, ms) in asked {
-            asks_for_rest(&mut cell, now + MS * *at, "e0", *ms);
+            request_backoff(&mut cell, now + MS * *at, "e0", *ms);
         }
         if until > 0 {
             assert!(!cell.may_send(now + MS * (until - 1), key("e0")), "{asked:?}");
-            assert!(!is_used(&mut cell, now + MS * (until - 1)), "{asked:?}");
+            assert!(!is_assigned(&mut cell, now + MS * (until - 1)), "{asked:?}");
         }
         assert!(cell.may_send(now + MS * until, key("e0")), "{asked:?}");
-        assert!(is_used(&mut cell, now + MS * until), "{asked:?}");
+        assert!(is_assigned(&mut cell, now + MS * until), "{asked:?}");
     }
 }
 
 #[test]
-fn others_go_on_and_callers_are_told_when_it_is_over() {
+fn backoff_affects_one_instance_and_sets_the_retry_delay() {
     let now = Instant::now() + Duration::from_secs(10);
     let (mut a, mut b) = (cell("a", &[endpoint(0, 4)]), cell("b", &[endpoint(0, 4)]));
-    asks_for_rest(&mut a, now, "e0", 1000);
+    request_backoff(&mut a, now, "e0", 1000);
     b.hear(now, a.report(now, Extent::Full), true);
-    assert!(is_used(&mut b, now) && !is_used(&mut a, now));
+    assert!(is_assigned(&mut b, now) && !is_assigned(&mut a, now));
     let policy =
         RetryPolicy { objective: 100 * MS, max_delay: Duration::from_secs(3), jitter: 0.0 };
-    let told = a.refuse(now + 400 * MS, &"s".into(), 0, policy);
-    assert_eq!((told.delay, told.is_throttled), (600 * MS, true));
+    let refused = a.refuse(now + 400 * MS, &"s".into(), 0, policy);
+    assert_eq!((refused.delay, refused.is_throttled), (600 * MS, true));
     assert!(!b.refuse(now + 400 * MS, &"s".into(), 0, policy).is_throttled);
 }
