--- a/oxbowbend-core/tests/draining.rs
+++ b/oxbowbend-core/tests/draining.rs
@@ -8,57 +8,57 @@
 use oxbowbend_core::cell::{Cell, Extent, Origin, Outcome, Signals};
 use oxbowbend_core::routes::Endpoint;
 
-const LEAVES: Signals = Signals {
+const DRAINING: Signals = Signals {
     rate_limit: oxbowbend_core::cell::Said::Nothing,
     is_draining: true,
     backoff: oxbowbend_core::cell::Said::Nothing,
 };
 
-fn hears_from(to: &mut Cell, from: &mut Cell, now: Instant) {
+fn deliver_report(to: &mut Cell, from: &mut Cell, now: Instant) {
     to.hear(now, from.report(now, Extent::Changes), true);
 }
 
 #[test]
-fn it_gets_nothing_more_and_what_runs_there_ends() {
+fn draining_endpoint_gets_no_new_requests_and_finishes_running_ones() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
     cell.arrive(want(0, 1, now));
     let first = placed(&mut cell, now);
-    let (leaver, other) = if first[0].1 == "e0" { ("e0", "e2") } else { ("e2", "e0") };
-    cell.apply_signals(now, key(leaver), now, LEAVES);
-    assert_eq!((cell.draining_count(), cell.load(now, key(leaver))), (1, 1));
-    assert!(!cell.may_send(now, key(leaver)) && cell.may_send(now, key(other)));
+    let (draining, other) = if first[0].1 == "e0" { ("e0", "e2") } else { ("e2", "e0") };
+    cell.apply_signals(now, key(draining), now, DRAINING);
+    assert_eq!((cell.draining_count(), cell.load(now, key(draining))), (1, 1));
+    assert!(!cell.may_send(now, key(draining)) && cell.may_send(now, key(other)));
     (0..6).for_each(|_| _ = cell.arrive(want(0, 1, now)));
     let placed = placed(&mut cell, now + 20 * MS);
     assert_eq!(placed.len(), 4, "two wait");
     assert!(placed.iter().all(|(_, endpoint)| endpoint == other));
-    cell.finish(now, key(leaver), 1, Outcome::Good);
-    assert_eq!(cell.load(now, key(leaver)), 0);
+    cell.finish(now, key(draining), 1, Outcome::Good);
+    assert_eq!(cell.load(now, key(draining)), 0);
 }
 
 #[test]
-fn an_entry_is_told_like_an_answer() {
+fn draining_entry_is_reported_like_a_response() {
     let now = Instant::now();
-    let (mut reader, mut copier) = (cell("a", &[endpoint(0, 4)]), cell("b", &[endpoint(0, 4)]));
+    let (mut reader, mut follower) = (cell("a", &[endpoint(0, 4)]), cell("b", &[endpoint(0, 4)]));
     reader.mark_draining(now, key("e0"));
-    hears_from(&mut copier, &mut reader, now);
-    assert!(!copier.may_send(now, key("e0")));
-    assert_eq!(copier.take_drain_notices()[0].origin, Origin::Cell);
+    deliver_report(&mut follower, &mut reader, now);
+    assert!(!follower.may_send(now, key("e0")));
+    assert_eq!(follower.take_drain_notices()[0].origin, Origin::Cell);
 }
 
 #[test]
-fn all_tell_it_and_a_new_start_is_not_meant() {
+fn draining_is_relayed_and_does_not_apply_to_a_restarted_endpoint() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 4)];
     let mut cells: Vec<_> = ["a", "b", "c"].map(|name| cell(name, &endpoints)).into();
-    cells[0].apply_signals(now, key("e0"), now, LEAVES);
+    cells[0].apply_signals(now, key("e0"), now, DRAINING);
     let (a, rest) = cells.split_at_mut(1);
-    hears_from(&mut rest[0], &mut a[0], now);
-    let leaver = rest[0].take_drain_notices()[0];
-    assert_eq!((leaver.endpoint, leaver.origin), (key("e0"), Origin::Cell));
+    deliver_report(&mut rest[0], &mut a[0], now);
+    let draining = rest[0].take_drain_notices()[0];
+    assert_eq!((draining.endpoint, draining.origin), (key("e0"), Origin::Cell));
     // The first one may be gone when another one starts.
     let (b, c) = rest.split_at_mut(1);
-    hears_from(&mut c[0], &mut b[0], now);
+    deliver_report(&mut c[0], &mut b[0], now);
     c[0].arrive(want(0, 1, now));
     assert!(c[0].assign(now + 20 * MS).is_empty());
     assert!(!c[0].serves(&"s".into()));
@@ -73,7 +73,7 @@
     }
     // Of one that is not listed nothing is told, and it is forgotten.
     assert!(c[0].report(now, Extent::Changes).said.leaving.is_empty());
-    hears_from(&mut c[0], &mut b[0], now + 10 * MS);
+    deliver_report(&mut c[0], &mut b[0], now + 10 * MS);
     c[0].forget(now + Duration::from_secs(61));
     assert_eq!(c[0].draining_count(), 0);
 }
