--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -8,7 +8,7 @@
 use oxbowbend_core::cell::{Extent, Outcome, Stall, Want};
 
 #[test]
-fn a_long_prompt_does_not_hold_up_streams_at_a_slow_endpoint() {
+fn long_prompt_does_not_stall_streams_at_a_slow_endpoint() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 4), endpoint(2, 1)]);
     (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 86 * MS));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_unknown_endpoint_is_tried_by_those_whom_it_costs_nothing() {
+fn unmeasured_endpoint_is_tried_by_requests_with_slack() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 4), endpoint(2, 4)];
     // Of 500 ms: 400 units at 50 us take 20 ms, and 60 at the worst; 5,000 take 250 and 750.
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_noted_pace_is_taken_until_there_is_a_measurement() {
+fn restored_latency_is_used_until_measured() {
     let now = Instant::now();
     let mut old = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
     old.began(now, key("e0"), 700, 0, 90 * MS);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_request_does_not_queue_behind_a_long_prompt() {
+fn request_does_not_queue_behind_a_long_prompt() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 4), endpoint(2, 4)];
     // So small an objective that differences of milliseconds matter.
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_long_answer_avoids_a_slow_endpoint_and_a_short_one_does_not() {
+fn long_answers_avoid_slow_endpoints_and_short_ones_do_not() {
     let now = Instant::now();
     // 400 tokens take 1.25 s at the fast endpoints and 4.5 s at the slow one.
     for (output, slow) in [(1, true), (400, false)] {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn of_one_rank_the_shorter_answer_goes_first_and_rank_before_it() {
+fn rank_then_answer_length_decides_the_order() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1)]);
     cell.began(now, key("e0"), 700, 0, 12 * MS);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn under_a_burst_more_callers_are_served_when_shorter_answers_go_first() {
+fn shortest_answer_first_serves_more_callers_under_a_burst() {
     // 60 requests for one place within 600 ms, every sixth of them thirty times as long: by age a
     // place that is taken by a long one is lost for all others.
     let start = Instant::now();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn who_hears_a_part_of_the_cell_takes_that_part_of_each_endpoint() {
+fn partitioned_instance_uses_its_share_of_each_endpoint() {
     let now = Instant::now();
     for (share, expected) in [(1.0, 20), (0.5, 10), (1.0 / 6.0, 4)] {
         let mut cell = cell("a", &[endpoint(0, 10), endpoint(2, 10)]);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn an_endpoint_that_answers_nobody_is_set_aside_before_its_requests_run_out_of_time() {
+fn unresponsive_endpoint_is_ejected_before_its_requests_time_out() {
     let start = Instant::now();
     for (is_dark, aside) in [(true, 1), (false, 0)] {
         let mut cell = cell("a", &[endpoint(0, 10), endpoint(2, 10)]);
