--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn where_a_rank_gets_nothing_few_wait_and_the_others_are_told_at_once() {
+fn starved_rank_keeps_few_waiting_and_sheds_the_rest() {
     let now = Instant::now();
     let mut cell = cell(1);
     cell.arrive(want(0, now));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn refusals_of_more_than_a_second_ago_do_not_count() {
+fn refusals_expire_after_a_second() {
     let now = Instant::now();
     let mut cell = cell(1);
     cell.arrive(want(0, now));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn who_will_probably_be_in_time_comes_back_soon_and_others_late() {
+fn retry_delay_depends_on_the_share_of_placed_requests() {
     let now = Instant::now();
     for (places, refused, soon) in [(9, 1, true), (5, 5, true), (2, 8, false), (0, 3, false)] {
         let mut cell = cell(places);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn times_to_come_back_are_spread_and_never_beyond_the_longest() {
+fn retry_delay_is_jittered_and_capped() {
     let now = Instant::now();
     let mut cell = cell(0);
     let at = |cell: &mut Cell, jitter| cell.refuse(now, &service(), 1, policy(jitter)).delay;
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_caller_that_has_waited_before_goes_first_while_it_can_be_in_time() {
+fn earlier_deadline_goes_first_unless_already_missed() {
     let now = Instant::now();
     let mut cell = cell(1);
     cell.arrive(want(0, now));
