--- a/oxbowbend-core/tests/backoff.rs
+++ b/oxbowbend-core/tests/backoff.rs
@@ -26,7 +26,7 @@
 fn backoff_lasts_as_long_as_requested() {
     let now = Instant::now() + Duration::from_secs(10);
     // When it asks for how long, and until when it rests.
-    for (asked, until) in [
+    for (requests, until) in [
         (&[(0, 1000)][..], 1000),
         (&[(0, 1000), (500, 1000)], 1500),
         (&[(0, 1000), (500, 100)], 1000),
@@ -34,15 +34,15 @@
         (&[(0, 3_600_000)], 3_600_000),
     ] {
         let mut cell = cell("a", &[endpoint(0, 4)]);
-        for (at, ms) in asked {
+        for (at, ms) in requests {
             request_backoff(&mut cell, now + MS * *at, "e0", *ms);
         }
         if until > 0 {
-            assert!(!cell.may_send(now + MS * (until - 1), key("e0")), "{asked:?}");
-            assert!(!is_assigned(&mut cell, now + MS * (until - 1)), "{asked:?}");
+            assert!(!cell.may_send(now + MS * (until - 1), key("e0")), "{requests:?}");
+            assert!(!is_assigned(&mut cell, now + MS * (until - 1)), "{requests:?}");
         }
-        assert!(cell.may_send(now + MS * until, key("e0")), "{asked:?}");
-        assert!(is_assigned(&mut cell, now + MS * until), "{asked:?}");
+        assert!(cell.may_send(now + MS * until, key("e0")), "{requests:?}");
+        assert!(is_assigned(&mut cell, now + MS * until), "{requests:?}");
     }
 }
 
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -55,8 +55,8 @@
         let (from_a, from_b) = (a.report(now, Extent::Full), b.report(now, Extent::Full));
         a.hear(now, from_b, true);
         b.hear(now, from_a, true);
-        let got = (a.assign(now).len(), b.assign(now).len());
-        assert_eq!(got, if first == "a" { (1, 0) } else { (0, 1) });
+        let assigned = (a.assign(now).len(), b.assign(now).len());
+        assert_eq!(assigned, if first == "a" { (1, 0) } else { (0, 1) });
     }
 }
 
@@ -77,11 +77,11 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    let idle = a.report(now, Extent::Full);
+    let stale = a.report(now, Extent::Full);
     a.arrive(want(0, 100, now));
     a.assign(now);
     assert!(b.hear(now, a.report(now, Extent::Full), true).is_some());
-    assert!(b.hear(now, idle, true).is_none());
+    assert!(b.hear(now, stale, true).is_none());
     assert_eq!(b.load(now, key("e0")), 1);
 }
 
@@ -185,13 +185,13 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    let with = |mut report: oxbowbend_core::cell::Report, units| {
+    let with_spent = |mut report: oxbowbend_core::cell::Report, units| {
         report.spent = vec![("acc".into(), units)];
         report
     };
-    let drawn = |heard: Option<Heard>| heard.expect("news").spent.near.first().map(|(_, u)| *u);
-    assert_eq!(drawn(b.hear(now, with(a.report(now, Extent::Full), 1000), true)), Some(0));
-    assert_eq!(drawn(b.hear(now, with(a.report(now, Extent::Full), 1200), true)), Some(200));
+    let spent = |heard: Option<Heard>| heard.expect("news").spent.near.first().map(|(_, u)| *u);
+    assert_eq!(spent(b.hear(now, with_spent(a.report(now, Extent::Full), 1000), true)), Some(0));
+    assert_eq!(spent(b.hear(now, with_spent(a.report(now, Extent::Full), 1200), true)), Some(200));
 }
 
 #[test]
@@ -203,8 +203,8 @@
     b.hear(now, a.report(now, Extent::Loads), true);
     let mut full = a.report(now, Extent::Full);
     full.spent = vec![("acc".into(), 1000)];
-    let drawn = b.hear(now, full, true).expect("news");
-    assert_eq!(drawn.spent.near[0].1, 0);
+    let heard = b.hear(now, full, true).expect("news");
+    assert_eq!(heard.spent.near[0].1, 0);
     b.assign(now);
     assert_eq!(b.take_news(), []);
 }
@@ -216,10 +216,10 @@
     a.judge(now, key("e0"), Outcome::Good);
     let later = now + 1000 * MS;
     a.judge(later, key("e2"), Outcome::Good);
-    let told = |report: oxbowbend_core::cell::Report| report.tallies.len();
-    assert_eq!(told(a.report(later, Extent::Loads)), 0);
-    assert_eq!(told(a.report(later, Extent::Changes)), 1);
-    assert_eq!(told(a.report(later, Extent::Full)), 2);
+    let tally_count = |report: oxbowbend_core::cell::Report| report.tallies.len();
+    assert_eq!(tally_count(a.report(later, Extent::Loads)), 0);
+    assert_eq!(tally_count(a.report(later, Extent::Changes)), 1);
+    assert_eq!(tally_count(a.report(later, Extent::Full)), 2);
 }
 
 #[test]
@@ -260,18 +260,18 @@
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     b.set_representative(true);
-    let mut told = |is_cell_told, speaks, cell_spent: u64| {
+    let mut added = |is_cell_told, is_representative, cell_spent: u64| {
         let mut report = a.report(now, Extent::Loads);
         report.is_cell_told = is_cell_told;
-        report.is_representative = speaks;
+        report.is_representative = is_representative;
         report.cell_spent = vec![("acc".into(), cell_spent)];
         let news = b.hear(now, report, false).expect("news");
         news.spent.far.first().map_or(0, |(_, units)| *units)
     };
-    assert_eq!(told(true, false, 1000), 0, "known from the start on");
-    assert_eq!(told(true, false, 1100), 0, "another one speaks");
-    assert_eq!(told(true, true, 1250), 0, "another one has told that");
-    assert_eq!(told(false, true, 1300), 50);
+    assert_eq!(added(true, false, 1000), 0, "known from the start on");
+    assert_eq!(added(true, false, 1100), 0, "another one speaks");
+    assert_eq!(added(true, true, 1250), 0, "another one has told that");
+    assert_eq!(added(false, true, 1300), 50);
 }
 
 /// Reports take some milliseconds, in which instances that all prefer the same place take it twice
@@ -300,12 +300,12 @@
         cell.arrive(want(0, 1000, now - MS * n as u32));
     }
     let reports: Vec<_> = cells.iter_mut().map(|c| c.report(now, Extent::Full)).collect();
-    let mut taken = std::collections::BTreeSet::new();
+    let mut used = std::collections::BTreeSet::new();
     for cell in &mut cells {
         reports.iter().for_each(|r| drop(cell.hear(now, r.clone(), true)));
-        taken.extend(placed(cell, now).into_iter().map(|(_, endpoint)| endpoint));
+        used.extend(placed(cell, now).into_iter().map(|(_, endpoint)| endpoint));
     }
-    assert_eq!(taken.len(), 12);
+    assert_eq!(used.len(), 12);
 }
 
 /// The last free places go to requests that all instances know of, or instances that cannot know of
--- a/oxbowbend-core/tests/draining.rs
+++ b/oxbowbend-core/tests/draining.rs
@@ -54,8 +54,8 @@
     cells[0].apply_signals(now, key("e0"), now, DRAINING);
     let (a, rest) = cells.split_at_mut(1);
     deliver_report(&mut rest[0], &mut a[0], now);
-    let draining = rest[0].take_drain_notices()[0];
-    assert_eq!((draining.endpoint, draining.origin), (key("e0"), Origin::Cell));
+    let notice = rest[0].take_drain_notices()[0];
+    assert_eq!((notice.endpoint, notice.origin), (key("e0"), Origin::Cell));
     // The first one may be gone when another one starts.
     let (b, c) = rest.split_at_mut(1);
     deliver_report(&mut c[0], &mut b[0], now);
--- a/oxbowbend-core/tests/limit_exploration.rs
+++ b/oxbowbend-core/tests/limit_exploration.rs
@@ -121,14 +121,15 @@
             }
         }
         if event == Event::ResponsesLost {
-            responses.retain(|a| a.instance != 0);
+            responses.retain(|response| response.instance != 0);
         }
         let delayed = std::mem::take(&mut self.delayed);
         if event == Event::ResponsesDelayed {
-            let (held, arrive) = responses.into_iter().partition(|a| a.instance == 0);
-            (self.delayed, responses) = (held, arrive);
+            let (later, on_time) =
+                responses.into_iter().partition(|response| response.instance == 0);
+            (self.delayed, responses) = (later, on_time);
         }
-        responses.into_iter().chain(delayed).for_each(|response| self.response(&response));
+        responses.into_iter().chain(delayed).for_each(|response| self.deliver(&response));
         self.report(event);
     }
 
@@ -142,7 +143,7 @@
         sent
     }
 
-    fn response(&mut self, response: &Response) {
+    fn deliver(&mut self, response: &Response) {
         let at = self.now + 100 * MS;
         let rate_limit = response.limit.map_or(Said::Nothing, Said::Value);
         let signals = Signals { rate_limit, ..Signals::default() };
@@ -187,14 +188,14 @@
     }
 
     fn check(&self, history: &[Event]) {
-        let signalled_at = |n: usize, at: Instant| {
-            self.signalled_at[n].is_some_and(|signalled_at| signalled_at + 500 * MS <= at)
+        let knows_limit = |n: usize, at: Instant| {
+            self.signalled_at[n].is_some_and(|since| since + 500 * MS <= at)
         };
         for (from, _) in &self.sent {
             let Some(allowed) = self.allowed(*from) else { continue };
             let to = *from + Duration::from_secs(4);
             let within =
-                self.sent.iter().filter(|(at, n)| at >= from && *at < to && signalled_at(*n, *at));
+                self.sent.iter().filter(|(at, n)| at >= from && *at < to && knows_limit(*n, *at));
             let count = within.count();
             let at = from.duration_since(self.start);
             assert!(count as f64 <= allowed, "{history:?}: {count} from {at:?}; allowed {allowed}");
@@ -213,9 +214,9 @@
 
 #[test]
 fn limit_holds_in_every_short_history() {
-    let kinds = EVENTS.len();
-    for number in 0..kinds.pow(EXPLORED_STEPS) {
-        let event = |step: u32| EVENTS[number / kinds.pow(step) % kinds];
+    let event_count = EVENTS.len();
+    for index in 0..event_count.pow(EXPLORED_STEPS) {
+        let event = |step: u32| EVENTS[index / event_count.pow(step) % event_count];
         run_history(&(0..EXPLORED_STEPS).map(event).collect::<Vec<_>>());
     }
 }
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -114,7 +114,7 @@
     // 60 requests for one place within 600 ms, every sixth of them thirty times as long: by age a
     // place that is taken by a long one is lost for all others.
     let start = Instant::now();
-    let served = |tell: bool| {
+    let served = |report_length: bool| {
         let mut cell = cell("a", &[endpoint(0, 1)]);
         cell.began(start, key("e0"), 700, 0, 10 * MS);
         let (mut free_at, mut served, mut runs) = (start, 0, std::collections::HashMap::new());
@@ -122,8 +122,8 @@
             let now = start + ms * MS;
             if ms % 10 == 0 {
                 let output = if (ms / 10) % 6 == 0 { 120 } else { 4 };
-                let told = if tell { output } else { 0 };
-                let ticket = cell.arrive(Want { output: told, ..want(0, 10, now) });
+                let reported_output = if report_length { output } else { 0 };
+                let ticket = cell.arrive(Want { output: reported_output, ..want(0, 10, now) });
                 runs.insert(ticket, output * 2);
             }
             if now < free_at {
@@ -159,7 +159,7 @@
 #[test]
 fn unresponsive_endpoint_is_ejected_before_its_requests_time_out() {
     let start = Instant::now();
-    for (is_dark, aside) in [(true, 1), (false, 0)] {
+    for (is_silent, ejected) in [(true, 1), (false, 0)] {
         let mut cell = cell("a", &[endpoint(0, 10), endpoint(2, 10)]);
         for id in ["e0", "e2"] {
             cell.began(start, key(id), 700, 0, 20 * MS);
@@ -170,11 +170,11 @@
             cell.arrive(want(0, 100, later));
         }
         cell.assign(later);
-        if !is_dark {
+        if !is_silent {
             cell.began(later + 100 * MS, key("e0"), 100, 0, 100 * MS);
         }
         (0..4).for_each(|_| cell.suspect(later + 500 * MS, key("e0"), later));
         cell.assign(later + 500 * MS);
-        assert_eq!(cell.take_news().len(), aside, "dark: {is_dark}");
+        assert_eq!(cell.take_news().len(), ejected, "dark: {is_silent}");
     }
 }
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -101,15 +101,15 @@
 #[test]
 fn retry_delay_depends_on_the_share_of_placed_requests() {
     let now = Instant::now();
-    for (places, refused, soon) in [(9, 1, true), (5, 5, true), (2, 8, false), (0, 3, false)] {
-        let mut cell = cell(places);
-        for _ in 0..places {
+    for (slots, refused, is_early) in [(9, 1, true), (5, 5, true), (2, 8, false), (0, 3, false)] {
+        let mut cell = cell(slots);
+        for _ in 0..slots {
             cell.arrive(want(1, now));
         }
-        assert_eq!(cell.assign(now).len() as u32, places);
-        let told = (0..refused).map(|_| refuse(&mut cell, now, 1)).last().expect("a refusal");
-        let expected = if soon { OBJECTIVE.mul_f64(0.15) } else { (4000 * MS).mul_f64(0.6) };
-        assert_eq!(told, expected, "{places} placed, {refused} refused");
+        assert_eq!(cell.assign(now).len() as u32, slots);
+        let delay = (0..refused).map(|_| refuse(&mut cell, now, 1)).last().expect("a refusal");
+        let expected = if is_early { OBJECTIVE.mul_f64(0.15) } else { (4000 * MS).mul_f64(0.6) };
+        assert_eq!(delay, expected, "{slots} placed, {refused} refused");
     }
 }
 
@@ -117,9 +117,9 @@
 fn retry_delay_is_jittered_and_capped() {
     let now = Instant::now();
     let mut cell = cell(0);
-    let at = |cell: &mut Cell, jitter| cell.refuse(now, &service(), 1, policy(jitter)).delay;
-    assert!(at(&mut cell, 0.2) < at(&mut cell, 0.7));
-    assert_eq!(at(&mut cell, 1.0), 4000 * MS);
+    let delay = |cell: &mut Cell, jitter| cell.refuse(now, &service(), 1, policy(jitter)).delay;
+    assert!(delay(&mut cell, 0.2) < delay(&mut cell, 0.7));
+    assert_eq!(delay(&mut cell, 1.0), 4000 * MS);
     let short = RetryPolicy { max_delay: 10 * MS, ..policy(1.0) };
     assert!(cell.refuse(now, &service(), 1, short).delay <= 10 * MS);
 }
@@ -131,9 +131,9 @@
     cell.arrive(want(0, now));
     cell.assign(now);
     let fresh = cell.arrive(want(1, now));
-    let back = cell.arrive(Want { objective: OBJECTIVE - 150 * MS, ..want(1, now) });
+    let retried = cell.arrive(Want { objective: OBJECTIVE - 150 * MS, ..want(1, now) });
     let late = cell.arrive(Want { objective: Duration::ZERO, ..want(1, now - MS) });
-    for expected in [back, fresh, late] {
+    for expected in [retried, fresh, late] {
         cell.finish(now, key("e"), 100, Outcome::Good);
         assert_eq!(cell.assign(now)[0].ticket, expected);
     }
