--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -201,10 +201,7 @@
             {
                 continue;
             }
-            let Some((target, expected_first_event)) = choose_target(&mut targets, &candidate, now)
-            else {
-                continue;
-            };
+            let Some((target, expected)) = choose(&mut targets, &candidate, now) else { continue };
             target.free_slots -= 1;
             target.load += 1;
             let (prompt_tokens, backlog_tokens) = (candidate.prompt_tokens, target.pending_tokens);
@@ -212,14 +209,14 @@
             if let Some(ticket) = candidate.ticket {
                 let (endpoint, load) = (target.endpoint.clone(), target.load);
                 let expected_total = (candidate.output_tokens > 0)
-                    .then(|| expected_first_event + expected_generation_time(target, &candidate));
+                    .then(|| expected + expected_generation_time(target, &candidate));
                 assignments.push(Assignment {
                     ticket,
                     endpoint,
                     load,
                     prompt_tokens,
                     backlog_tokens,
-                    expected_first_event,
+                    expected_first_event: expected,
                     expected_total,
                     throttled_endpoints: throttled_by_service
                         .get(candidate.service)
@@ -365,7 +362,7 @@
 /// The best place for a request, if there is one. A request that would miss its time at every free
 /// place, but not at one that is in use now, waits for that one; so does one that would hold up the
 /// streams at every free place, while it has time.
-fn choose_target<'a, 'b>(
+fn choose<'a, 'b>(
     targets: &'b mut [Target<'a>],
     candidate: &Candidate<'_>,
     now: Instant,
