--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -32,15 +32,15 @@
         self.listed = listed.collect();
     }
 
-    /// Takes in what an answer says of its endpoint, to a request that was sent at `sent`.
+    /// Takes in what an answer says of its endpoint, to a request that was sent at `sent_at`.
     pub fn apply_signals(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
-        sent: Instant,
+        sent_at: Instant,
         signals: Signals,
     ) {
-        self.limits.record_response(now, endpoint, sent, signals.rate_limit);
+        self.limits.record_response(now, endpoint, sent_at, signals.rate_limit);
         if signals.is_draining {
             self.draining.record(now, endpoint, Origin::Answer);
         }
@@ -56,23 +56,28 @@
     }
 
     /// Takes in what another instance tells of endpoints, whether they are listed here yet or not.
-    pub fn merge_endpoint_signals(&mut self, now: Instant, said: &ToldEndpoints, is_near: bool) {
-        let origin = if is_near { Origin::Cell } else { Origin::Fleet };
-        self.limits.merge_reported(now, &said.limits, origin);
-        said.leaving.iter().for_each(|key| self.draining.record(now, *key, origin));
+    pub fn merge_endpoint_signals(
+        &mut self,
+        now: Instant,
+        reported: &ToldEndpoints,
+        is_same_cell: bool,
+    ) {
+        let origin = if is_same_cell { Origin::Cell } else { Origin::Fleet };
+        self.limits.merge_reported(now, &reported.limits, origin);
+        reported.leaving.iter().for_each(|key| self.draining.record(now, *key, origin));
     }
 
     /// The same from a report. Of endpoints that are not listed nothing is believed: it would be told from one to the other for ever.
     pub(super) fn merge_reported_signals(
         &mut self,
         now: Instant,
-        said: &ToldEndpoints,
-        is_near: bool,
+        reported: &ToldEndpoints,
+        is_same_cell: bool,
     ) {
-        let listed = said.leaving.iter().filter(|key| self.is_listed(**key));
+        let listed = reported.leaving.iter().filter(|key| self.is_listed(**key));
         let leaving = listed.copied().collect();
-        let listed = ToldEndpoints { leaving, limits: said.limits.clone() };
-        self.merge_endpoint_signals(now, &listed, is_near);
+        let listed = ToldEndpoints { leaving, limits: reported.limits.clone() };
+        self.merge_endpoint_signals(now, &listed, is_same_cell);
     }
 
     /// What its cell is told of endpoints.
--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -148,16 +148,16 @@
         self.generation += 1;
     }
 
-    /// Takes in what an answer says to a request that was sent at `sent`. What is stricter holds at once; what is
+    /// Takes in what an answer says to a request that was sent at `sent_at`. What is stricter holds at once; what is
     /// looser only from an answer to a request that was sent after the stricter word, since answers overtake each other.
     pub(super) fn record_response(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
-        sent: Instant,
-        said: Said<f64>,
+        sent_at: Instant,
+        signal: Said<f64>,
     ) {
-        let per_s = match said {
+        let per_s = match signal {
             Said::Nothing => None,
             Said::Value(per_s) => Some(per_s),
             Said::Unreadable => return,
@@ -166,7 +166,7 @@
         let is_looser =
             |known: &KnownLimit| rate_or_infinity(per_s) > rate_or_infinity(known.per_s);
         if known.is_none() && per_s.is_none()
-            || known.is_some_and(|known| is_looser(known) && sent <= known.answered_at)
+            || known.is_some_and(|known| is_looser(known) && sent_at <= known.answered_at)
         {
             return;
         }
