--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -1,4 +1,7 @@
-//! The assignment of waiting requests to free places, the same at every instance of a cell.
+//! Assignment of waiting requests to free endpoint slots.
+//!
+//! Every instance of a cell runs the same deterministic computation over its own waiting requests and those
+//! that its peers report, and dispatches only its own share of the result.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -10,68 +13,60 @@
 use crate::ids::{EndpointId, EndpointKey, ServiceId, ZoneId};
 use crate::routes::Endpoint;
 
-/// Added to the first event's time for each place in use, as a share: a batch slows with its size.
+/// Relative slowdown of the first event at a fully loaded endpoint, since larger batches run slower.
 const LOAD_SLOWDOWN: f64 = 0.3;
-/// Extra time of an endpoint in another availability zone, also to save the traffic between zones.
+/// Cost of sending a request to another availability zone, which includes the price of the traffic.
 const CROSS_ZONE_PENALTY: Duration = Duration::from_millis(10);
-/// Largest part by which an instance's own taste for an endpoint adds to its time. Reports take 3 to 30 ms
-/// at the users' small machines; with a hundred requests a second in a cell, instances that all prefer
-/// the same place take it twice in a third of the cases (measured: kalemdar-tutanak-grown scale-1). It is
-/// far less than the factor of 4.4 between slow and fast engines.
+/// Largest relative penalty from [`preference_penalty`]. It must stay well below the difference between slow
+/// and fast endpoints.
 const MAX_PREFERENCE_PENALTY: f64 = 0.3;
-/// Part of the objective below which it does not matter how soon the first event comes. Without such a
-/// bound the differences of what was measured outweigh all taste.
+/// Fraction of the objective below which a faster first event brings no advantage, so that measurement noise
+/// does not outweigh [`preference_penalty`].
 const FIRST_EVENT_FLOOR_SHARE: f64 = 0.15;
-/// Part of a stream's longest pause that the reading of another prompt may take. What is learned of
-/// an endpoint's pace is a little slower than its reading alone.
+/// Fraction of a stream's maximum pause that the prefill of another prompt may take.
 const STALL_TOLERANCE_SHARE: f64 = 0.9;
-/// Part of the objective that must be left for a request to wait for a place where it holds nobody
-/// up. With less, its own time goes before the others' pauses.
+/// Minimum fraction of the objective that must be left for a request to wait for a slot where it stalls no
+/// other stream.
 const STALL_WAIT_MIN_SHARE: f64 = 0.5;
-/// How much slower than the usual an endpoint may be of which nothing is known. Engines at the users'
-/// sites differ by 3.0 to 0.68.
+/// Worst-case slowdown of an unmeasured endpoint relative to the median.
 const UNMEASURED_SLOWDOWN: f64 = 3.0;
-/// Part of the usual at which such an endpoint is taken for a request that would be in time even if
-/// it were so slow: it is tried first, by those whom that costs nothing.
+/// Factor on the estimate of an unmeasured endpoint for requests that would meet their deadline even in the
+/// worst case. Being below 1, it makes such requests explore unmeasured endpoints first.
 const EXPLORATION_FACTOR: f64 = 0.9;
-/// Part of the time left within which that is so.
+/// Fraction of the remaining time that the worst case may take for a request to explore.
 const EXPLORATION_MAX_SHARE: f64 = 0.5;
-/// Nanoseconds for a unit of work where nothing has been measured: 50 tokens in a millisecond.
+/// Estimate before anything has been measured: 50 tokens per millisecond.
 const DEFAULT_NS_PER_UNIT: f64 = 20_000.0;
 
-/// Units of work of a token of an answer: engines at the users' sites make one in the time in which
-/// they read 190 to 300 tokens.
+/// Generating a token takes about as long as the prefill of this many.
 const WORK_UNITS_PER_OUTPUT_TOKEN: f64 = 250.0;
-/// Times the usual pace up to which endpoints are alike for the length of an answer. What is learned of
-/// equal engines differs by up to a half.
+/// Slowdown relative to the median up to which endpoints count as equally fast for the length of an answer;
+/// estimates of identical endpoints differ by up to a half.
 const SIMILAR_SPEED_RATIO: f64 = 1.5;
 
-/// Time after its arrival for which the others cannot know of a request: 5 ms until the next report,
-/// and the way of that.
+/// Time after its arrival in which peers cannot know of a request: the report interval of 5 ms and the network
+/// delay.
 pub const REPORT_DELAY: Duration = Duration::from_millis(10);
-/// Free places of a service up to which a request that the others cannot know of leaves them to
-/// those that wait. With so few left, arrivals within the same 10 ms would all take the same ones
-/// (kalemdar-tutanak-grown scale-1: up to six requests above an endpoint's slots).
+/// Number of free slots of a service up to which a request waits for [`REPORT_DELAY`] first, since simultaneous
+/// arrivals at several instances would take the same slots.
 const CONTENDED_SLOTS: u32 = 3;
-/// Age up to which paces are used again. They change little from one request to the next, and working
-/// them out takes longer than all else in an assignment.
+/// Maximum age of cached estimates. Recomputing them is the most expensive part of an assignment.
 const LATENCY_CACHE_TTL: Duration = Duration::from_millis(50);
 
-/// Paces of endpoints, worked out from what all instances have measured.
+/// Latency estimates of all endpoints, combined from the measurements of all instances.
 #[derive(Debug, Default)]
 pub(super) struct LatencyCache {
     ns_per_unit: HashMap<EndpointKey, f64>,
-    /// The middle one.
     median_ns: f64,
     updated_at: Option<Instant>,
 }
 
-/// Place of a request in the order: rank, then the time at which it should be answered and would be
-/// done, so that of equal age the shorter one goes first.
+/// Scheduling priority of a request; smaller values go first. Orders by rank, then by expected completion, so
+/// that of two requests with the same deadline the shorter one goes first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Priority {
     rank: u16,
-    /// What is late already goes after what is not.
+    /// Requests that have missed their deadline go after all others of their rank.
     is_overdue: bool,
     expected_end: Instant,
     deadline: Instant,
@@ -94,35 +89,35 @@
     }
 }
 
-/// A request that has got a place.
+/// A request that has been assigned a slot.
 #[derive(Clone, Debug)]
 pub struct Assignment {
-    /// The request.
+    /// Identifies the request.
     pub ticket: Ticket,
-    /// Where it goes.
+    /// The endpoint to send it to.
     pub endpoint: Endpoint,
-    /// Requests at the endpoint, this one included.
+    /// Number of requests at the endpoint, including this one.
     pub load: u32,
-    /// Tokens of its prompt.
+    /// Length of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of prompts that the endpoint has to read before.
+    /// Prompt tokens queued at the endpoint ahead of this request.
     pub backlog_tokens: u32,
     /// Expected time to the first event.
     pub expected_first_event: Duration,
-    /// Expected time to the end of the answer; none if the caller gave no estimate.
+    /// Expected time to the end of the answer; `None` if the caller gave no estimate of its length.
     pub expected_total: Option<Duration>,
-    /// Endpoints of its service that would have had a place and want no request now.
+    /// Number of endpoints of the service that have a free slot but are throttled.
     pub throttled_endpoints: u32,
 }
 
-/// A waiting request of this instance or another one.
+/// A waiting request of this instance or of a peer.
 struct Candidate<'a> {
     priority: Priority,
     ticket: Option<Ticket>,
     arrived: Instant,
     service: &'a ServiceId,
     zone: &'a ZoneId,
-    /// Hash of the instance at which it waits.
+    /// Hash of the name of the instance where it waits.
     instance_hash: u64,
     objective: Duration,
     prompt_tokens: u32,
@@ -132,39 +127,38 @@
 }
 
 impl Candidate<'_> {
-    /// Whether it waits here and the others cannot know of it yet.
+    /// Whether this is a request of this instance that peers cannot know of yet.
     fn is_unreported(&self, now: Instant) -> bool {
         self.ticket.is_some() && now.saturating_duration_since(self.arrived) < REPORT_DELAY
     }
 }
 
-/// An endpoint with what it could still take.
+/// An endpoint that can receive requests.
 struct Target<'a> {
     endpoint: &'a Endpoint,
-    /// Hash of the endpoint.
+    /// Hash of the endpoint's id.
     hash: u64,
     load: u32,
     free_slots: u32,
     pending_tokens: u32,
     ns_per_unit: f64,
-    /// Nanoseconds for a unit of work at the usual endpoint.
+    /// Median of `ns_per_unit` over all measured endpoints.
     median_ns: f64,
-    /// Whether the pace is only a guess.
+    /// Whether `ns_per_unit` is the median for lack of measurements.
     is_unmeasured: bool,
-    /// Requests that it wants from this instance, if that is not any number. Others have parts of their own.
+    /// Number of requests that this instance may send now; `None` if the endpoint is not throttled.
     allowance: Option<u32>,
 }
 
 impl Cell {
-    /// Assigns what waits to free places and returns this instance's part of that, which counts
-    /// as running from now on.
+    /// Assigns waiting requests to free slots and returns the assignments of this instance, which count as
+    /// running from now on.
     pub fn assign(&mut self, now: Instant) -> Vec<Assignment> {
         self.eject_failing_endpoints(now);
         if self.waiting.is_empty() {
             return Vec::new();
         }
         self.refresh_latency_cache(now);
-        // An endpoint that names a limit gets no more than that from all instances together, by whatever way a request comes to it.
         let allowances = self.allowances(now);
         let assignments = self.compute_assignments(now, &allowances);
         for a in &assignments {
@@ -188,7 +182,7 @@
             .iter_mut()
             .for_each(|t| t.free_slots = t.free_slots.min(t.allowance.unwrap_or(t.free_slots)));
         let mut assignments = Vec::new();
-        // Most reports change no place, and there are many of both when there is most to do.
+        // Skips sorting the candidates in the common case under load.
         if targets.iter().all(|t| t.free_slots == 0) {
             return assignments;
         }
@@ -228,7 +222,7 @@
         assignments
     }
 
-    /// Place of a request of this instance.
+    /// Returns the priority of a request of this instance.
     pub(super) fn priority(&self, now: Instant, want: &Want) -> Priority {
         let deadline = want.arrived + want.objective;
         Priority::new(now, want.rank, deadline, want.output, self.latency_cache.median_ns)
@@ -318,7 +312,7 @@
             .collect()
     }
 
-    /// Works out the paces anew if they are old, or if there are none.
+    /// Recomputes the estimates if they have expired or there are none.
     fn refresh_latency_cache(&mut self, now: Instant) {
         let is_expired = |at: Instant| now.saturating_duration_since(at) >= LATENCY_CACHE_TTL;
         if self.latency_cache.ns_per_unit.is_empty()
@@ -330,9 +324,8 @@
         }
     }
 
-    /// Sets failing endpoints aside, at most half of a service. Looking at all of them at every report and every
-    /// end of a request took 3 in 100 of an instance's processor time; without a late failure there is
-    /// nothing to find.
+    /// Ejects failing endpoints, at most half of each service. Returns early unless there was a recent failure,
+    /// because this runs on every report and at the end of every request.
     fn eject_failing_endpoints(&mut self, now: Instant) {
         let is_expired = |at: Instant| now.saturating_duration_since(at) > super::health::WINDOW;
         if self.last_bad.is_none_or(is_expired) {
@@ -359,9 +352,10 @@
     }
 }
 
-/// The best place for a request, if there is one. A request that would miss its time at every free
-/// place, but not at one that is in use now, waits for that one; so does one that would hold up the
-/// streams at every free place, while it has time.
+/// Chooses the best endpoint with a free slot for a request.
+///
+/// Returns `None` if the request should keep waiting: it would miss its deadline at every free endpoint but not
+/// at a busy one, or it would stall other streams at every free endpoint and still has time.
 fn choose<'a, 'b>(
     targets: &'b mut [Target<'a>],
     candidate: &Candidate<'_>,
@@ -389,21 +383,20 @@
     Some((best, expected_first_event))
 }
 
-/// Whether reading the prompt would hold up so many streams beside it for too long.
+/// Whether the prefill of the prompt would pause the `load` other requests at the endpoint for too long.
 fn would_stall(target: &Target<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
     let Stall { tokens, pause_ms } = candidate.stall;
     let prefill_ms = f64::from(tokens) * target.ns_per_unit / 1e6;
     load > 0 && pause_ms > 0 && prefill_ms > f64::from(pause_ms) * STALL_TOLERANCE_SHARE
 }
 
-/// Expected time to the first event.
+/// Estimates the time to the first event, including the prompts queued ahead.
 fn time_to_first_event(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
     let units =
         f64::from(candidate.prompt_tokens + FIXED_WORK_UNITS) + f64::from(target.pending_tokens);
     Duration::from_nanos((target.ns_per_unit * units * load_factor(target)) as u64)
 }
 
-/// Free places by service.
 fn free_slots_by_service<'a>(targets: &[Target<'a>]) -> HashMap<&'a ServiceId, u32> {
     let mut free_slots_by_service = HashMap::new();
     for target in targets {
@@ -412,7 +405,7 @@
     free_slots_by_service
 }
 
-/// Endpoints by service that have a place and want no request.
+/// Counts the endpoints of each service that have a free slot but are throttled.
 fn throttled_by_service<'a>(targets: &[Target<'a>]) -> HashMap<&'a ServiceId, u32> {
     let mut throttled_by_service = HashMap::new();
     for target in targets.iter().filter(|t| t.free_slots > 0 && t.allowance == Some(0)) {
@@ -421,11 +414,12 @@
     throttled_by_service
 }
 
-/// How much slower an endpoint is for what runs there.
+/// Slowdown of an endpoint by the requests running there.
 fn load_factor(target: &Target<'_>) -> f64 {
     1.0 + LOAD_SLOWDOWN * f64::from(target.load) / f64::from(target.endpoint.slots.max(1))
 }
 
+/// Cost of a target; the lowest one is chosen.
 fn cost(target: &Target<'_>, candidate: &Candidate<'_>, time_left: Duration) -> Duration {
     let zone_penalty =
         if target.endpoint.zone == *candidate.zone { Duration::ZERO } else { CROSS_ZONE_PENALTY };
@@ -436,25 +430,25 @@
         + excess_generation_time(target, candidate)
 }
 
-/// Expected time from the first event to the end of the answer.
+/// Estimates the time from the first event to the end of the answer.
 fn expected_generation_time(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
     generation_time(candidate.output_tokens, target.ns_per_unit)
 }
 
-/// Time that the tokens of an answer take at a pace in nanoseconds for a unit of work.
 fn generation_time(output_tokens: u32, ns_per_unit: f64) -> Duration {
     Duration::from_nanos(
         (f64::from(output_tokens) * WORK_UNITS_PER_OUTPUT_TOKEN * ns_per_unit) as u64,
     )
 }
 
-/// How much longer the whole answer takes at a slow endpoint than at the usual one.
+/// Additional generation time at an endpoint that is slower than the median.
 fn excess_generation_time(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
     let excess_ns_per_unit = (target.ns_per_unit - target.median_ns * SIMILAR_SPEED_RATIO).max(0.0);
     generation_time(candidate.output_tokens, excess_ns_per_unit)
 }
 
-/// The time to the first event that is taken for the choice.
+/// Time to the first event as used in the cost: pessimistic for unmeasured endpoints, unless the request can
+/// afford to explore them.
 fn assumed_first_event(
     target: &Target<'_>,
     candidate: &Candidate<'_>,
@@ -473,14 +467,14 @@
     }
 }
 
-/// From 0 to 1, how little the candidate's instance likes a place: the same at all instances, and other
-/// for each of them, so that they do not all prefer the same place.
+/// Returns a pseudo-random penalty from 0 to 1 for a pair of instance and endpoint, so that instances that decide
+/// at the same time prefer different endpoints. All instances compute the same value for a pair.
 fn preference_penalty(target: &Target<'_>, candidate: &Candidate<'_>) -> f64 {
     let hash = xxh3_64(&(target.hash ^ candidate.instance_hash).to_le_bytes());
     (hash >> 40) as f64 / (1_u64 << 24) as f64
 }
 
-/// The middle of what has been measured, for endpoints that have not been.
+/// Returns the median, or [`DEFAULT_NS_PER_UNIT`] if there are no values.
 fn median(values: impl Iterator<Item = f64>) -> f64 {
     let mut values: Vec<_> = values.collect();
     values.sort_by(f64::total_cmp);
