--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -38,7 +38,7 @@
 /// Estimate before anything has been measured: 50 tokens per millisecond.
 const DEFAULT_NS_PER_UNIT: f64 = 20_000.0;
 
-/// Generating a token takes about as long as the prefill of this many.
+/// Work units of one generated token: the number of tokens read in the same time during prefill.
 const WORK_UNITS_PER_OUTPUT_TOKEN: f64 = 250.0;
 /// Slowdown relative to the median up to which endpoints count as equally fast for the length of an answer;
 /// estimates of identical endpoints differ by up to a half.
--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -1,5 +1,6 @@
-//! The one gate to endpoints that want fewer requests: no request gets a place that the endpoint does not want, whether it
-//! is sent for the first time or again, continues a stream, or is a trial.
+//! Backpressure from endpoints: rate limits, draining and backoff.
+//!
+//! Every dispatch is checked here, including retries, resumed streams and probes of ejected endpoints.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -11,12 +12,13 @@
 use super::{Cell, Site};
 use crate::ids::{EndpointKey, InstanceId, ServiceId};
 
-/// Requests that this instance may send to endpoints that want fewer; others take what they have places for.
+/// Number of requests that this instance may send to each throttled endpoint. Endpoints that are not listed take as many as they have
+/// free slots.
 pub(super) type Allowances = HashMap<EndpointKey, u32>;
 
 impl Cell {
-    /// Sets who shares the endpoints: the instances of this cell, and those of the fleet for services whose endpoints belong
-    /// to all cells.
+    /// Sets the instances that share the rate limits: those of this cell, and all of the fleet for the services in
+    /// `shared`, whose endpoints belong to all cells.
     pub fn set_sharing_instances<'a>(
         &mut self,
         cell: impl Iterator<Item = &'a InstanceId>,
@@ -27,12 +29,12 @@
         self.shared = shared;
     }
 
-    /// Sets which endpoints the platform lists, of all cells.
+    /// Sets the endpoints of all cells that the platform lists.
     pub fn set_listed_endpoints(&mut self, listed: impl Iterator<Item = EndpointKey>) {
         self.listed = listed.collect();
     }
 
-    /// Takes in what an answer says of its endpoint, to a request that was sent at `sent_at`.
+    /// Applies the signals in an endpoint's response to a request that was sent at `sent_at`.
     pub fn apply_signals(
         &mut self,
         now: Instant,
@@ -49,13 +51,13 @@
         }
     }
 
-    /// Takes in that an endpoint leaves by its entry. With it the word reaches all instances in beats, whoever of them
-    /// reads the store: those that copy another one's list learned it up to two seconds later.
+    /// Marks an endpoint as draining by its registry entry. Reports then pass this on to instances that do not read
+    /// the store themselves, which would otherwise learn it seconds later.
     pub fn mark_draining(&mut self, now: Instant, endpoint: EndpointKey) {
         self.draining.record(now, endpoint, Origin::Entry);
     }
 
-    /// Takes in what another instance tells of endpoints, whether they are listed here yet or not.
+    /// Merges signals from another instance, including those of endpoints that are not listed here yet.
     pub fn merge_endpoint_signals(
         &mut self,
         now: Instant,
@@ -67,7 +69,8 @@
         reported.leaving.iter().for_each(|key| self.draining.record(now, *key, origin));
     }
 
-    /// The same from a report. Of endpoints that are not listed nothing is believed: it would be told from one to the other for ever.
+    /// Merges signals from a report. Ignores unlisted draining endpoints, which instances would otherwise keep
+    /// reporting to each other forever.
     pub(super) fn merge_reported_signals(
         &mut self,
         now: Instant,
@@ -80,7 +83,7 @@
         self.merge_endpoint_signals(now, &listed, is_same_cell);
     }
 
-    /// What its cell is told of endpoints.
+    /// Returns the signals to report to other instances of this cell.
     pub(super) fn signals_for_cell(&self, now: Instant) -> ToldEndpoints {
         let audience = match self.is_representative {
             true => Audience::CellOfRepresentative,
@@ -89,8 +92,8 @@
         self.signals_for(now, audience, |key| self.sites.contains_key(key))
     }
 
-    /// What other cells are told: limits of endpoints that belong to all cells, and all who leave, since an endpoint may come to
-    /// another cell, and an instance that has just started asks any for the list of endpoints.
+    /// Returns the signals to report to other cells: limits of endpoints that belong to all cells, and all draining
+    /// endpoints, since an endpoint may move to another cell and a new instance may fetch the list from any.
     pub fn signals_for_other_cells(&self, now: Instant) -> ToldEndpoints {
         let is_shared = |key: &EndpointKey| {
             let service = self.sites.get(key).map(|s| &s.endpoint.service);
@@ -99,7 +102,7 @@
         self.signals_for(now, Audience::Others, is_shared)
     }
 
-    /// What an instance is told that has just started.
+    /// Returns the signals for an instance that has just started.
     pub fn signals_for_new_instance(&self, now: Instant) -> ToldEndpoints {
         self.signals_for(now, Audience::Newcomer, |key| self.is_listed(*key))
     }
@@ -115,32 +118,33 @@
         ToldEndpoints { limits, leaving }
     }
 
-    /// What was newly believed of limits since the last call.
+    /// Returns the changes of limits since the last call.
     pub fn take_limit_changes(&mut self) -> Vec<LimitChange> {
         self.limits.take_changes()
     }
 
-    /// Endpoints that are newly known to leave since the last call.
+    /// Returns the endpoints that have started draining since the last call.
     pub fn take_drain_notices(&mut self) -> Vec<DrainNotice> {
         self.draining.take_notices()
     }
 
-    /// Endpoints that have said that they leave.
+    /// Number of endpoints known to be draining.
     pub fn draining_count(&self) -> usize {
         self.draining.count()
     }
 
-    /// Endpoints that rest.
+    /// Number of endpoints that have asked this instance to back off.
     pub fn backing_off_count(&self, now: Instant) -> usize {
         self.backoffs.active(now).count()
     }
 
-    /// Endpoints that are believed to have a limit.
+    /// Number of endpoints with a known limit.
     pub fn limited_count(&self) -> usize {
         self.limits.limited_endpoints().len()
     }
 
-    /// Time until an endpoint of a service wants a request again, if all that could take one want none now.
+    /// Returns the time until an endpoint of a service accepts a request again, or `None` unless all available
+    /// endpoints of the service are throttled.
     pub fn available_in(&mut self, now: Instant, service: &ServiceId) -> Option<Duration> {
         let allowances = self.allowances(now);
         if allowances.is_empty() {
@@ -162,7 +166,7 @@
         keys.into_iter().filter_map(available_in).min()
     }
 
-    /// What this instance may send to endpoints that want fewer requests.
+    /// Returns the allowances of throttled endpoints.
     pub(super) fn allowances(&mut self, now: Instant) -> Allowances {
         let mut allowances = Allowances::new();
         for key in self.limits.limited_endpoints() {
@@ -171,23 +175,23 @@
                 self.limits.available_requests(now, key, scope).map(|allowance| (key, allowance)),
             );
         }
-        // Who sent to an endpoint that rests would be turned away again, and be taken for the reason of its need.
         allowances.extend(self.backoffs.active(now).map(|key| (key, 0)));
         allowances
     }
 
-    /// Notes that a request goes to an endpoint.
+    /// Counts a request against the rate limit of its endpoint.
     pub(super) fn record_dispatch(&mut self, now: Instant, endpoint: EndpointKey) {
         let Some(scope) = self.sites.get(&endpoint).map(|s| self.scope(s)) else { return };
         self.limits.take(now, endpoint, scope);
     }
 
-    /// Whether a request that has its place may still be sent: the endpoint may have said meanwhile that it leaves, or wants rest.
+    /// Whether an assigned request may still be sent. The endpoint may have started draining or asked for a backoff
+    /// since the assignment.
     pub fn may_send(&self, now: Instant, endpoint: EndpointKey) -> bool {
         !self.draining.contains(endpoint) && self.backoffs.remaining(now, endpoint).is_none()
     }
 
-    /// Forgets what was said by endpoints that are not listed any more.
+    /// Drops signals of endpoints that are no longer listed, and backoffs that have ended.
     pub(super) fn prune_endpoint_signals(&mut self, now: Instant) {
         let (sites, listed) = (&self.sites, &self.listed);
         let is_listed = |key: &EndpointKey| sites.contains_key(key) || listed.contains(key);
@@ -200,13 +204,13 @@
         self.sites.contains_key(&key) || self.listed.contains(&key)
     }
 
-    /// Whether an endpoint leaves, by its entry or its own word: one belief, whichever comes first. While the store is away only the
-    /// endpoint itself can say so.
+    /// Whether an endpoint is draining, by its registry entry or its own signal. While the store is unreachable, only
+    /// the signal is current.
     pub(super) fn is_draining(&self, key: EndpointKey, site: &Site) -> bool {
         site.endpoint.leaving || self.draining.contains(key)
     }
 
-    /// Whether an endpoint takes requests at all.
+    /// Whether an endpoint is neither draining nor ejected.
     pub(super) fn is_available(&self, now: Instant, key: EndpointKey, site: &Site) -> bool {
         !self.is_draining(key, site) && !site.health.is_aside(now)
     }
