--- a/oxbowbend-core/src/cell/draining.rs
+++ b/oxbowbend-core/src/cell/draining.rs
@@ -1,8 +1,11 @@
-//! Endpoints that have said in an answer that they leave.
+//! Endpoints known to be draining.
 //!
-//! The platform's list says the same, but not while the store is away, and later. What one instance has read all tell each other, so that
-//! nobody begins what the endpoint may not end, and that an instance that starts knows it too. A word is of one start of an endpoint and
-//! holds for good: one that comes back under its id has another key. So nothing is told of those that are not listed, and it ends with them.
+//! An endpoint signals in a response that it is draining. The platform's list of endpoints says so too, but later,
+//! and not while the store is unreachable. Instances report the signal to each other, so that none starts a
+//! request that the endpoint may not finish.
+//!
+//! Draining is final: an endpoint that restarts under the same id has a new key. Unlisted endpoints are neither
+//! reported nor remembered for long.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -10,19 +13,19 @@
 use super::signals::{Audience, Origin};
 use crate::ids::EndpointKey;
 
-/// Time after its word for which an endpoint that is not listed is remembered.
+/// Time after its last signal for which an unlisted endpoint is remembered.
 const UNLISTED_TTL: Duration = Duration::from_secs(60);
-/// Time for which an instance tells what it has learned: some 40 beats. Who starts later is told all.
+/// Time for which a new signal is included in reports, some 40 of them. Instances that start later get all.
 const REPORT_NEW_FOR: Duration = Duration::from_secs(5);
-/// Endpoints that are told at most, the last ones first.
+/// Maximum number of endpoints in a report, the latest first.
 const MAX_REPORTED: usize = 64;
 
-/// An endpoint that is newly known to leave.
+/// An endpoint that is newly known to be draining.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainNotice {
-    /// The endpoint.
+    /// Key of the endpoint.
     pub endpoint: EndpointKey,
-    /// From whom that is known.
+    /// Where the signal came from.
     pub origin: Origin,
 }
 
@@ -32,7 +35,7 @@
     last_heard: Instant,
 }
 
-/// All endpoints that have said that they leave.
+/// All endpoints that are known to be draining.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DrainingEndpoints {
     records: HashMap<EndpointKey, DrainRecord>,
@@ -40,7 +43,7 @@
 }
 
 impl DrainingEndpoints {
-    /// Takes in that an endpoint leaves.
+    /// Records that an endpoint is draining.
     pub(super) fn record(&mut self, now: Instant, endpoint: EndpointKey, origin: Origin) {
         if let Some(record) = self.records.get_mut(&endpoint) {
             record.last_heard = now;
@@ -50,17 +53,15 @@
         self.notices.push(DrainNotice { endpoint, origin });
     }
 
-    /// Whether an endpoint has said that it leaves.
     pub(super) fn contains(&self, endpoint: EndpointKey) -> bool {
         self.records.contains_key(&endpoint)
     }
 
-    /// How many have.
     pub(super) fn count(&self) -> usize {
         self.records.len()
     }
 
-    /// What to tell of listed endpoints: what is new, or everything to an instance that has just started.
+    /// Returns the listed endpoints to report: those newly known, or all of them to an instance that has just started.
     pub(super) fn to_report(
         &self,
         now: Instant,
@@ -78,13 +79,13 @@
         all.into_iter().take(MAX_REPORTED).map(|(key, _)| *key).collect()
     }
 
-    /// Forgets endpoints that are not listed any more.
+    /// Drops endpoints that are no longer listed.
     pub(super) fn prune(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
         let is_expired = |at: Instant| now.saturating_duration_since(at) > UNLISTED_TTL;
         self.records.retain(|key, record| !is_expired(record.last_heard) || is_listed(key));
     }
 
-    /// Those that are newly known since the last call.
+    /// Returns the notices since the last call.
     pub(super) fn take_notices(&mut self) -> Vec<DrainNotice> {
         std::mem::take(&mut self.notices)
     }
