--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -1,20 +1,18 @@
-//! Rate limits that endpoints name for all instances together.
+//! Rate limits that endpoints set for all instances together.
 //!
-//! The load that this answers: an endpoint in need takes a few requests a second or fewer, and up to hundreds of
-//! instances send to it. They hear of the limit one after the other, come and go and lose each other. What all of
-//! them send within [`WINDOW_SECS`] must stay below one and a half times the limit and [`BURST_REQUESTS`] requests.
+//! Each instance has a token bucket with its share of the limit and sends without asking others. Since a full
+//! bucket can be spent at once, the capacities of all buckets together stay within the burst that is allowed in
+//! a window of [`WINDOW_SECS`]: [`BURST_FRACTION`] of the limit and [`BURST_REQUESTS`] requests.
 //!
-//! Each instance has a part of the limit, a token bucket of its own, and asks nobody before it sends. A full
-//! bucket can be spent at once whatever its rate, so the buckets together hold no more than the users' bound has beyond the rate.
-//! Where that is less than one request for each instance, only the first ones by a hash of endpoint and instance have parts; all
-//! agree on who they are, from the list of instances. So the bound holds for any order in which requests, answers and reports arrive,
-//! and for any that are lost.
+//! If the burst is less than one request per instance, only the first instances in the order of a hash of
+//! endpoint and instance get a share. All instances compute this from the same list of instances, so the bound
+//! holds in whatever order requests, responses and reports arrive, and whichever are lost.
 //!
-//! Quotas of accounts are kept in another way, by counting what others tell that they have admitted. Their bounds are wide enough for what
-//! is not told yet; here one request of each instance before the first word of the others is too much.
+//! Quotas of client accounts instead count what other instances report. That does not work here: one request
+//! per instance before the first report would already exceed the limit.
 //!
-//! What was traded: the part of an instance with no request for the endpoint is not used by others, and that of one that is gone not before
-//! its entry has lapsed.
+//! The share of an idle instance is not used by others, nor is that of a terminated one until its registry
+//! entry expires.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -24,42 +22,42 @@
 use super::signals::{Audience, Origin, Said};
 use crate::ids::{EndpointKey, InstanceId};
 
-/// Seconds of the window in which the users count.
+/// Window in which the bound holds.
 const WINDOW_SECS: f64 = 4.0;
-/// Part of the limit that it may get beyond it in a window.
+/// Fraction of the limit that may be exceeded within a window.
 const BURST_FRACTION: f64 = 0.5;
-/// Requests that it may get beyond that.
+/// Requests that may be sent within a window beyond that.
 const BURST_REQUESTS: f64 = 5.0;
-/// Part of the overage, and requests of the slack, that are left to requests that are late on their way and to instances that
-/// start while others do not know of them.
+/// Fraction of [`BURST_FRACTION`] and number of [`BURST_REQUESTS`] kept in reserve for delayed requests and for
+/// instances that others do not know of yet.
 const BURST_MARGIN: (f64, f64) = (0.25, 1.0);
-/// Least rate that is used, so that an answer tells of the end of a limit of next to nothing.
+/// Minimum rate, even for a limit of 0, so that a response can signal that the limit has ended.
 const MIN_RATE_PER_S: f64 = 0.2;
-/// Time for which the end of a limit is told.
+/// Time for which the removal of a limit is reported.
 const REPORT_REMOVAL_FOR: Duration = Duration::from_secs(3);
-/// Time after the last word of an endpoint that is not listed for which its limit is kept.
+/// Time for which the limit of an unlisted endpoint is kept after its last response.
 const UNLISTED_TTL: Duration = Duration::from_secs(60);
-/// Limits that a report tells at most, the newest first.
+/// Maximum number of limits in a report, the latest first.
 const MAX_REPORTED: usize = 16;
 
-/// Who shares an endpoint.
+/// Set of instances that share the limit of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Scope {
-    /// The instances of one cell.
+    /// The instances of this cell.
     Cell,
     /// All instances of the fleet.
     Fleet,
 }
 
-/// A limit as instances tell it to each other. It travels as a list of its parts in this order.
+/// A limit in a report. Serialized as an array of its fields in this order.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(from = "(EndpointKey, Option<f64>, u32)", into = "(EndpointKey, Option<f64>, u32)")]
 pub struct ReportedLimit {
-    /// The endpoint.
+    /// Key of the endpoint.
     pub endpoint: EndpointKey,
-    /// Requests a second; none if it names no limit any more.
+    /// Requests per second; `None` if the limit has been removed.
     pub per_s: Option<f64>,
-    /// Milliseconds since an answer said so.
+    /// Milliseconds since the response that set it.
     pub age_ms: u32,
 }
 
@@ -75,25 +73,25 @@
     }
 }
 
-/// A change of what is believed of an endpoint's limit.
+/// A change of an endpoint's limit as known to this instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
-    /// The endpoint.
+    /// Key of the endpoint.
     pub endpoint: EndpointKey,
-    /// Requests a second; none if there is no limit any more.
+    /// Requests per second; `None` if the limit has been removed.
     pub per_s: Option<f64>,
-    /// The same before.
+    /// Previous value of `per_s`.
     pub previous: Option<f64>,
-    /// From whom that is known.
+    /// Where the change was learned from.
     pub origin: Origin,
-    /// Time since an answer said so.
+    /// Time since the response that made the change.
     pub age: Duration,
 }
 
-/// This instance's part of a limit.
+/// Token bucket with this instance's share of a limit.
 #[derive(Clone, Copy, Debug)]
 struct LimitShare {
-    /// What it was worked out from.
+    /// The whole limit. With `generation` and `scope`, it determines the share.
     limit: f64,
     generation: u64,
     scope: Scope,
@@ -106,20 +104,20 @@
 #[derive(Clone, Debug)]
 struct KnownLimit {
     per_s: Option<f64>,
-    /// When an answer said so.
+    /// Time of the response that set the limit.
     answered_at: Instant,
     origin: Origin,
     share: Option<LimitShare>,
 }
 
-/// What is believed of all endpoints' limits.
+/// Known limits of all endpoints.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RateLimits {
     own_hash: u64,
     /// Hashes of the names of all instances of the cell and of the fleet.
     cell_hashes: Vec<u64>,
     fleet_hashes: Vec<u64>,
-    /// Rises with each change of these.
+    /// Incremented whenever the instances change.
     generation: u64,
     known_limits: HashMap<EndpointKey, KnownLimit>,
     changes: Vec<LimitChange>,
@@ -136,7 +134,7 @@
         }
     }
 
-    /// Sets who shares the limits.
+    /// Sets the instances that share the limits.
     pub(super) fn set_instances<'a>(
         &mut self,
         cell: impl Iterator<Item = &'a InstanceId>,
@@ -148,8 +146,10 @@
         self.generation += 1;
     }
 
-    /// Takes in what an answer says to a request that was sent at `sent_at`. What is stricter holds at once; what is
-    /// looser only from an answer to a request that was sent after the stricter word, since answers overtake each other.
+    /// Applies the signal in a response to a request that was sent at `sent_at`.
+    ///
+    /// Responses may arrive out of order, so a stricter limit takes effect at once, but a looser one only if its
+    /// request was sent after the stricter one became known.
     pub(super) fn record_response(
         &mut self,
         now: Instant,
@@ -173,7 +173,7 @@
         self.set_limit(now, endpoint, per_s, now, Origin::Answer);
     }
 
-    /// Takes in what another instance tells.
+    /// Merges limits reported by another instance.
     pub(super) fn merge_reported(
         &mut self,
         now: Instant,
@@ -185,7 +185,7 @@
                 continue;
             };
             let is_newer = match self.known_limits.get(&endpoint) {
-                // A limit that is known would get younger with each time that it is told.
+                // An unchanged limit is not refreshed, or instances would keep each other's copies alive.
                 Some(known) => known.per_s != per_s && answered_at > known.answered_at,
                 None => per_s.is_some(),
             };
@@ -213,7 +213,7 @@
         self.known_limits.insert(endpoint, KnownLimit { per_s, answered_at, origin, share });
     }
 
-    /// What to tell of endpoints of which others are told.
+    /// Returns the relevant limits to report.
     pub(super) fn to_report(
         &self,
         now: Instant,
@@ -236,7 +236,7 @@
         reported.into_iter().take(MAX_REPORTED).map(to_reported).collect()
     }
 
-    /// Requests that this instance may send to an endpoint now; none if it has no limit.
+    /// Returns the number of requests that this instance may send to an endpoint now; `None` if it has no limit.
     pub(super) fn available_requests(
         &mut self,
         now: Instant,
@@ -246,14 +246,15 @@
         self.share(now, endpoint, scope).map(|share| share.tokens as u32)
     }
 
-    /// Takes a request from this instance's part.
+    /// Takes the token of one request from this instance's share.
     pub(super) fn take(&mut self, now: Instant, endpoint: EndpointKey, scope: Scope) {
         if let Some(share) = self.share(now, endpoint, scope) {
             share.tokens -= 1.0;
         }
     }
 
-    /// Time until this instance, or if it has no part another one, may send the next request; none if there is no limit.
+    /// Returns the time until this instance may send the next request, or, if it has no share, until another one
+    /// may; `None` if there is no limit.
     pub(super) fn time_to_next_request(
         &mut self,
         now: Instant,
@@ -268,7 +269,7 @@
         Some(Duration::from_secs_f64(seconds.min(UNLISTED_TTL.as_secs_f64())))
     }
 
-    /// This instance's part as of now; none if there is no limit.
+    /// Returns this instance's refilled share; `None` if there is no limit.
     fn share(
         &mut self,
         now: Instant,
@@ -313,7 +314,7 @@
         };
         let tokens = match previous {
             Some(previous) => previous.refilled(now).tokens.min(capacity),
-            // Parts that all began empty, or full, would let all send at the same moment.
+            // Starts at a level that depends on the instance, so that not all send at the same time.
             None => (own_order >> 11) as f64 / (1_u64 << 53) as f64 * capacity.min(1.0),
         };
         LimitShare {
@@ -327,13 +328,13 @@
         }
     }
 
-    /// Endpoints that have a limit.
+    /// Returns the endpoints that have a limit.
     pub(super) fn limited_endpoints(&self) -> Vec<EndpointKey> {
         let limited = self.known_limits.iter().filter(|(_, known)| known.per_s.is_some());
         limited.map(|(key, _)| *key).collect()
     }
 
-    /// Forgets endpoints that are not listed any more.
+    /// Drops limits of endpoints that are no longer listed, and expired removals.
     pub(super) fn prune(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
         let is_expired =
             |known: &KnownLimit| now.saturating_duration_since(known.answered_at) > UNLISTED_TTL;
@@ -341,7 +342,7 @@
             .retain(|key, known| !is_expired(known) || known.per_s.is_some() && is_listed(key));
     }
 
-    /// What is newly believed since the last call.
+    /// Returns the changes since the last call.
     pub(super) fn take_changes(&mut self) -> Vec<LimitChange> {
         std::mem::take(&mut self.changes)
     }
@@ -355,7 +356,6 @@
     }
 }
 
-/// Requests a second that are allowed.
 fn rate_or_infinity(per_s: Option<f64>) -> f64 {
     per_s.unwrap_or(f64::INFINITY)
 }
