--- a/oxbowbend-core/src/cell/shedding.rs
+++ b/oxbowbend-core/src/cell/shedding.rs
@@ -1,80 +1,75 @@
-//! What a request may expect that does not get a place at once: whether to wait, and when its caller
-//! should come back instead.
+//! Load shedding, and the retry delay of refused requests.
 //!
-//! The load that this answers: more requests than places for seconds, as in a burst or after the loss of
-//! engines. Then a rank gets what more urgent ones leave, often nothing. Both answers rest on one
-//! measurement, which part of the requests of a service and rank that came to this instance within the
-//! last second got a place.
+//! Both depend on the outcomes of the requests of the same service and rank at this instance within the last
+//! second:
 //!
-//! - While that is next to nothing, a few requests wait for what may come free, and the others hear at once
-//!   that they will not be served, instead of after most of their objective.
-//! - While a rank gets half of its places or more, a refused caller that comes back soon will probably still
-//!   be in time. Otherwise nothing drains before fewer requests come, and a caller that came back soon
-//!   would be refused for a second and mostly last time; so it is told to come back as late as it would.
+//! - If almost none were placed, only a few requests wait for a slot and all others are refused on arrival,
+//!   instead of after most of their objective.
+//! - If at least half were placed, a refused caller that retries soon will probably still meet its objective.
+//!   Otherwise the overload will last, so the caller is told to retry as late as it can.
 //!
-//! What was traded: the last second is behind at the beginning and the end of a burst. At its end places
-//! are free, and a request that finds one is asked nothing.
+//! The counts lag by up to a second at the start and the end of a burst. Requests that find a free slot are never
+//! shed, so the lag at the end does no harm.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use crate::ids::ServiceId;
 
-/// Time over which requests are counted. A rank has 5 to 20 of them a second at one instance of the
-/// users' sites, so less would count too few.
+/// Time over which outcomes are counted. A shorter window would hold too few requests of a rank.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Refusals within that time below which nothing follows: a few come with any small burst.
+/// Minimum number of refusals for shedding; a few occur in any small burst.
 const MIN_REFUSALS: usize = 4;
-/// Requests of a rank that wait at an instance all the same, so that a place that comes free is taken.
+/// Number of requests that always wait, so that a released slot is used at once.
 const MIN_WAITING: usize = 2;
-/// Placements for each refusal below which a rank gets next to nothing.
+/// Ratio of placed to refused requests below which a rank is starved.
 const STARVED_RATIO: f64 = 0.1;
-/// Part that must get places for refused callers to come back soon.
+/// Minimum fraction of placed requests for an early retry.
 const EARLY_RETRY_MIN_SHARE: f64 = 0.5;
-/// Parts of the objective between which these come back.
+/// Range of the delay of an early retry, as fractions of the objective.
 const EARLY_RETRY: (f64, f64) = (0.15, 0.4);
-/// Parts of the longest time between which the others do. The spread keeps them from returning as one.
+/// Range of the delay of a late retry, as fractions of the maximum delay.
 const LATE_RETRY: (f64, f64) = (0.6, 1.0);
 
-/// Requests of one service and rank.
+/// Times of the recent outcomes of one service and rank.
 #[derive(Debug, Default)]
 struct RecentOutcomes {
     placed: VecDeque<Instant>,
     refused: VecDeque<Instant>,
 }
 
-/// What has lately become of requests, by service and rank.
+/// Recent outcomes by service and rank.
 #[derive(Debug, Default)]
 pub(super) struct LoadShedder {
     recent: HashMap<(ServiceId, u16), RecentOutcomes>,
 }
 
-/// How long a caller waits when told to come back, and how much of that is chosen.
+/// Bounds of a caller's retry delay.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
-    /// Time from the first event's being asked for to its being due.
+    /// Time within which the first event is due.
     pub objective: Duration,
-    /// Longest time for which the caller would wait.
+    /// Longest delay after which the caller would still retry.
     pub max_delay: Duration,
-    /// From 0 to 1, chosen at random, so that refused callers do not return as one.
+    /// Random number from 0 to 1 that spreads the retries.
     pub jitter: f64,
 }
 
-/// What the caller of a refused request is told, and from what.
+/// Retry delay of a refused request, and what it was computed from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAfter {
-    /// Time to wait.
+    /// Time to wait before the retry.
     pub delay: Duration,
-    /// Requests of its service and rank that got places here within the last second.
+    /// Number of requests of its service and rank that this instance placed within the last second.
     pub placed: usize,
-    /// Those that were refused, this one included.
+    /// Number of those that were refused, including this one.
     pub refused: usize,
-    /// Whether all endpoints that could take it want no request now.
+    /// Whether all endpoints that could take it are throttled.
     pub is_throttled: bool,
 }
 
 impl RetryAfter {
-    /// For a caller for whom there is nothing before an endpoint wants a request again.
+    /// Replaces the delay for a request whose endpoints are all throttled for `available_in`.
     pub(super) fn throttled(self, available_in: Duration, policy: RetryPolicy) -> RetryAfter {
         let delay = available_in.mul_f64(1.0 + policy.jitter).min(policy.max_delay);
         RetryAfter { delay, is_throttled: true, ..self }
@@ -82,12 +77,12 @@
 }
 
 impl LoadShedder {
-    /// Notes that a request got a place.
+    /// Records that a request was assigned a slot.
     pub(super) fn record_placed(&mut self, now: Instant, service: &ServiceId, rank: u16) {
         self.recent(now, service, rank).placed.push_back(now);
     }
 
-    /// Whether a further request is not to get a place, with so many of its rank waiting already.
+    /// Whether to refuse a request on arrival while `waiting` others of its service and rank are waiting.
     pub(super) fn should_shed(
         &mut self,
         now: Instant,
@@ -102,7 +97,7 @@
         waiting >= MIN_WAITING && is_starved
     }
 
-    /// Notes that a request was refused, and tells when its caller should come back.
+    /// Records that a request was refused and returns its retry delay.
     pub(super) fn record_refused(
         &mut self,
         now: Instant,
