--- a/oxbowbend-core/src/cell/latency.rs
+++ b/oxbowbend-core/src/cell/latency.rs
@@ -1,20 +1,19 @@
-//! How fast an endpoint gets to its first event, learned from the requests sent to it.
+//! Estimates of the time to the first event at an endpoint.
 //!
-//! The work of a request is told in units: the tokens of its prompt and a fixed number for all
-//! else. What is learned is the time for one unit. Instances tell each other their measurements
-//! and the number of them, so that a restarted one starts with the others' experience.
+//! The estimate is the time per unit of work, where a request has one unit for each token of its prompt and
+//! [`FIXED_WORK_UNITS`] for everything else. Instances report their estimates with the number of samples to
+//! each other, so that a restarted instance does not begin from nothing.
 
 use std::time::Duration;
 
-/// Units of work of a request beside its prompt. On the users' engines a first event costs about
-/// as much as reading 300 tokens.
+/// Units of work of a request besides its prompt: the fixed cost of a first event, in prompt tokens.
 pub const FIXED_WORK_UNITS: u32 = 300;
-/// Weight of a new measurement.
+/// Weight of a new sample in the exponentially weighted moving average.
 const EWMA_WEIGHT: f64 = 0.2;
-/// Measurements beyond which more add no confidence.
+/// Maximum weight of an estimate when combined with others.
 const MAX_SAMPLES: u32 = 20;
 
-/// What one instance has measured at one endpoint.
+/// Exponentially weighted moving average of one instance's measurements at one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LatencyEstimate {
     ns_per_unit: f64,
@@ -22,12 +21,12 @@
 }
 
 impl LatencyEstimate {
-    /// What another instance reports.
+    /// Restores an estimate from a report of another instance.
     pub fn from_report(ns_per_unit: u64, samples: u32) -> LatencyEstimate {
         LatencyEstimate { ns_per_unit: ns_per_unit as f64, samples: samples.min(MAX_SAMPLES) }
     }
 
-    /// Takes a measurement.
+    /// Adds a sample: the time to the first event of a request with `prompt` tokens to read.
     pub fn record(&mut self, prompt: u32, first: Duration) {
         let ns_per_unit = first.as_nanos() as f64 / f64::from(prompt + FIXED_WORK_UNITS);
         self.ns_per_unit = if self.samples == 0 {
@@ -38,12 +37,12 @@
         self.samples = (self.samples + 1).min(MAX_SAMPLES);
     }
 
-    /// Nanoseconds for a unit, and the measurements behind that.
+    /// Returns the nanoseconds per unit and the number of samples.
     pub fn as_parts(self) -> (u64, u32) {
         (self.ns_per_unit as u64, self.samples)
     }
 
-    /// All measurements together; none if there are none.
+    /// Combines estimates, weighted by their samples; `None` if there are no samples.
     pub fn weighted_mean(estimates: impl IntoIterator<Item = LatencyEstimate>) -> Option<f64> {
         let (mut sum, mut n) = (0.0, 0.0);
         for estimate in estimates {
