--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -158,7 +158,7 @@
     let now = Instant::now() + Duration::from_secs(60);
     let at = |ms: u64| now + Duration::from_millis(ms);
     // When each request was sent and answered, what the answer says, and what is believed then.
-    for (answers, expected) in [
+    for (responses, expected) in [
         (&[(0, 10, Some(2.0)), (5, 20, Some(1.0))][..], Some(1.0)),
         (&[(0, 10, Some(1.0)), (5, 20, Some(2.0))], Some(1.0)),
         (&[(0, 10, Some(1.0)), (11, 20, Some(2.0))], Some(2.0)),
@@ -167,11 +167,11 @@
         (&[(0, 10, Some(1.0)), (11, 20, None), (12, 30, Some(1.0))], Some(1.0)),
     ] {
         let mut cell = instance(0, &names(1));
-        for (sent, answered, limit) in answers {
+        for (sent, answered, limit) in responses {
             cell.apply_signals(at(*answered), key("e0"), at(*sent), limit_signal(*limit));
         }
-        let believed = cell.take_limit_changes().last().and_then(|change| change.per_s);
-        assert_eq!(believed, expected, "{answers:?}");
+        let known_limit = cell.take_limit_changes().last().and_then(|change| change.per_s);
+        assert_eq!(known_limit, expected, "{responses:?}");
     }
     let mut cell = instance(0, &names(1));
     cell.apply_signals(at(0), key("e0"), at(0), limit_signal(Some(1.0)));
