--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -1,4 +1,4 @@
-//! The decisions of a cell: order, choice, agreement between instances, endpoints that fail.
+//! Scheduling order, choice of endpoints, agreement between instances, and ejection of failing endpoints.
 
 mod cells;
 
@@ -103,10 +103,10 @@
     (0..10).for_each(|_| cell.began(now, key("e2"), 700, 0, 50 * MS));
     cell.arrive(want(0, 700, now));
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
-    // 4,700 tokens take 1.5 s at e0 and 0.3 s at e2, of 0.5 s.
+    // 4,700 tokens take 1.5 s at e0 and 0.3 s at e2; the objective is 0.5 s.
     cell.arrive(want(0, 4700, now));
     assert_eq!(placed(&mut cell, now).len(), 0);
-    // When it is late anywhere it takes what is free.
+    // Once it would miss its deadline at both, it takes the free slot.
     assert_eq!(placed(&mut cell, now + 400 * MS)[0].1, "e0");
 }
 
@@ -189,7 +189,8 @@
         report.spent = vec![("acc".into(), units)];
         report
     };
-    let spent = |heard: Option<Heard>| heard.expect("news").spent.near.first().map(|(_, u)| *u);
+    let spent =
+        |heard: Option<Heard>| heard.expect("report is new").spent.near.first().map(|(_, u)| *u);
     assert_eq!(spent(b.hear(now, with_spent(a.report(now, Extent::Full), 1000), true)), Some(0));
     assert_eq!(spent(b.hear(now, with_spent(a.report(now, Extent::Full), 1200), true)), Some(200));
 }
@@ -203,7 +204,7 @@
     b.hear(now, a.report(now, Extent::Loads), true);
     let mut full = a.report(now, Extent::Full);
     full.spent = vec![("acc".into(), 1000)];
-    let heard = b.hear(now, full, true).expect("news");
+    let heard = b.hear(now, full, true).expect("report is new");
     assert_eq!(heard.spent.near[0].1, 0);
     b.assign(now);
     assert_eq!(b.take_news(), []);
@@ -227,7 +228,7 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 4), endpoint(2, 4), endpoint(4, 4)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    // Failures of long ago, heard first in a report with all tallies, do not count.
+    // Failures from before the first full report do not count.
     (0..9).for_each(|_| a.judge(now, key("e0"), Outcome::Bad));
     let later = now + 1000 * MS;
     a.judge(later, key("e2"), Outcome::Good);
@@ -235,14 +236,14 @@
     b.hear(later, a.report(later, Extent::Full), true);
     b.assign(later);
     assert_eq!(b.take_news(), []);
-    // New ones do.
+    // Later ones do.
     (0..9).for_each(|_| a.judge(later, key("e0"), Outcome::Bad));
     b.hear(later, a.report(later, Extent::Changes), true);
     b.assign(later);
     assert_eq!(b.take_news().len(), 1);
 }
 
-/// What waits for a version that is rolled back is served by the others.
+/// Requests that wait for a version that is rolled back move to another version.
 #[test]
 fn waiting_requests_can_move_to_another_service() {
     let now = Instant::now();
@@ -265,17 +266,16 @@
         report.is_cell_told = is_cell_told;
         report.is_representative = is_representative;
         report.cell_spent = vec![("acc".into(), cell_spent)];
-        let news = b.hear(now, report, false).expect("news");
+        let news = b.hear(now, report, false).expect("report is new");
         news.spent.far.first().map_or(0, |(_, units)| *units)
     };
-    assert_eq!(added(true, false, 1000), 0, "known from the start on");
-    assert_eq!(added(true, false, 1100), 0, "another one speaks");
-    assert_eq!(added(true, true, 1250), 0, "another one has told that");
+    assert_eq!(added(true, false, 1000), 0, "total of the first report");
+    assert_eq!(added(true, false, 1100), 0, "not the representative");
+    assert_eq!(added(true, true, 1250), 0, "counted by another representative");
     assert_eq!(added(false, true, 1300), 50);
 }
 
-/// Reports take some milliseconds, in which instances that all prefer the same place take it twice
-/// (kalemdar-tutanak-grown scale-1: a third of all placements).
+/// Guards against instances overloading one endpoint while their reports are in flight.
 #[test]
 fn instances_prefer_different_endpoints_among_equals() {
     let now = Instant::now();
@@ -289,7 +289,7 @@
     assert!(chosen.len() >= 6, "{chosen:?}");
 }
 
-/// What an instance prefers is known to the others, who leave it that place.
+/// Guards against two instances assigning requests to the same slot.
 #[test]
 fn instances_leave_endpoints_to_the_peers_that_prefer_them() {
     let now = Instant::now();
@@ -308,12 +308,11 @@
     assert_eq!(used.len(), 12);
 }
 
-/// The last free places go to requests that all instances know of, or instances that cannot know of
-/// each other's arrivals take them twice (kalemdar-tutanak-grown scale-1).
+/// Guards against instances taking the same slot for requests that have not been reported yet.
 #[test]
 fn last_free_slots_go_to_reported_requests() {
     let now = Instant::now();
-    // Free places, age in milliseconds, whether anybody else is heard, placed or not.
+    // Free slots, age in milliseconds, whether there is a peer, number of placed requests.
     for (free, age, has_peer, placed) in
         [(1, 0, true, 0), (3, 9, true, 0), (3, 10, true, 1), (4, 0, true, 1), (1, 0, false, 1)]
     {
@@ -323,11 +322,11 @@
             a.hear(now, b.report(now, Extent::Loads), true);
         }
         a.arrive(want(0, 100, now - MS * age));
-        assert_eq!(a.assign(now).len(), placed, "{free} free, {age} ms, heard: {has_peer}");
+        assert_eq!(a.assign(now).len(), placed, "{free} free, {age} ms, peer: {has_peer}");
     }
 }
 
-/// An endpoint that moves to another cell brings along what runs there.
+/// Guards against losing the load of an endpoint that moves to another cell.
 #[test]
 fn load_on_a_removed_endpoint_is_still_reported() {
     let now = Instant::now();
