--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints name: what all instances together send stays within the users' bound, and uses the limit.
+//! Rate limits set by endpoints: all instances together stay within the bound and use most of the limit.
 
 mod cells;
 
@@ -9,7 +9,7 @@
 use oxbowbend_core::ids::InstanceId;
 use rand::{Rng, SeedableRng};
 
-/// What the users allow in any 4 s, in requests: half as much again as the limit, and five.
+/// Maximum number of requests in any window of 4 s.
 fn allowed(limit: f64) -> f64 {
     1.5 * limit * 4.0 + 5.0
 }
@@ -18,7 +18,7 @@
     (0..n).map(|i| format!("i{i}").as_str().into()).collect()
 }
 
-/// An instance of a fleet whose endpoints belong to all.
+/// Returns an instance of a fleet whose endpoints belong to all cells.
 fn instance(n: usize, all: &[InstanceId]) -> Cell {
     let mut cell = cell(&all[n], &[endpoint(0, 1000)]);
     cell.set_sharing_instances(all.iter().take(12), all.iter(), ["s".into()].into());
@@ -29,7 +29,7 @@
     Signals { rate_limit: limit.map_or(Said::Nothing, Said::Value), ..Signals::default() }
 }
 
-/// Sends all that may be sent, up to `max_sent`; returns how many.
+/// Sends as many requests as allowed, up to `max_sent`, and returns their number.
 fn send_all(cell: &mut Cell, now: Instant, max_sent: usize) -> usize {
     let tickets: Vec<_> = (0..max_sent).map(|_| cell.arrive(want(0, 1, now - 20 * MS))).collect();
     let sent = cell.assign(now).len();
@@ -38,7 +38,7 @@
     sent
 }
 
-/// The most that there is in any 4 s.
+/// Returns the maximum number of requests in any window of 4 s.
 fn max_in_window(sent: &[(Duration, usize)]) -> usize {
     let window = Duration::from_secs(4);
     let sum = |from: Duration| {
@@ -55,12 +55,12 @@
             let all = names(n);
             let start = Instant::now() + Duration::from_secs(60);
             let mut cells: Vec<_> = (0..n).map(|i| instance(i, &all)).collect();
-            // They hear of it one after the other.
+            // Instances learn of the limit one after the other.
             for (i, cell) in cells.iter_mut().enumerate() {
                 let heard = start + 2000 * MS * i as u32 / n as u32;
                 cell.apply_signals(heard, key("e0"), heard, limit_signal(Some(limit)));
             }
-            // A limit of 0 is tried now and then, so that its end is heard of.
+            // With a limit of 0, occasional requests probe whether it has ended.
             let length = Duration::from_secs(if limit > 0.0 { 14 } else { 40 });
             let mut sent = Vec::new();
             let mut at = 2000 * MS;
@@ -74,20 +74,21 @@
             let steady = steady.sum::<usize>();
             let used = steady as f64 / (8.0 * limit);
             println!(
-                "{n} instances, {limit} a second: {max_sent} of {} in 4 s, used {used:.2}",
+                "{n} instances, {limit} per second: {max_sent} of {} in 4 s, used {used:.2}",
                 allowed(limit)
             );
             assert!(
                 max_sent as f64 <= allowed(limit),
-                "{n} instances, {limit} a second: {max_sent} in 4 s"
+                "{n} instances, {limit} per second: {max_sent} in 4 s"
             );
             let is_used = if limit > 0.0 { used >= 0.7 } else { steady > 0 };
-            assert!(is_used, "{n} instances, {limit} a second: only {steady} sent");
+            assert!(is_used, "{n} instances, {limit} per second: only {steady} sent");
         }
     }
 }
 
-/// Requests come at random, three times as many as the limit in all, spread over the instances: of an instance without one its part is not used.
+/// Guards against losing the shares of idle instances: requests arrive at random at three times the limit, spread
+/// over all instances.
 #[test]
 fn most_of_a_limit_is_used_where_each_instance_has_few_requests() {
     let (mut rng, mut unused) = (rand_pcg::Pcg64::seed_from_u64(74), Vec::new());
@@ -110,14 +111,14 @@
             let max_sent = max_in_window(&sent);
             let used = sent.iter().map(|(_, n)| n).sum::<usize>() as f64 / (20.0 * limit);
             println!(
-                "{n} instances, {limit} a second, few requests each: {max_sent} in 4 s, used {used:.2}"
+                "{n} instances, {limit} per second, few requests each: {max_sent} in 4 s, used {used:.2}"
             );
             assert!(
                 max_sent as f64 <= allowed(limit),
-                "{n} instances, {limit} a second: {max_sent} in 4 s"
+                "{n} instances, {limit} per second: {max_sent} in 4 s"
             );
             if used < 0.5 {
-                unused.push(format!("{n} instances, {limit} a second: {used:.2} used"));
+                unused.push(format!("{n} instances, {limit} per second: {used:.2} used"));
             }
         }
     }
@@ -134,7 +135,7 @@
             for cell in &mut cells {
                 cell.apply_signals(start, key("e0"), start, limit_signal(Some(limit)));
             }
-            // Nobody has a request for a minute, then all have many.
+            // A minute without requests, then many at all instances.
             let mut sent = Vec::new();
             for step in 0..45 {
                 let at = Duration::from_secs(60) + 100 * MS * step;
@@ -147,7 +148,7 @@
             let max_sent = max_in_window(&sent);
             assert!(
                 max_sent as f64 <= allowed(limit),
-                "{n} instances, {limit} a second: {max_sent} in 4 s"
+                "{n} instances, {limit} per second: {max_sent} in 4 s"
             );
         }
     }
@@ -157,7 +158,8 @@
 fn stricter_limit_applies_at_once_and_looser_only_from_a_later_request() {
     let now = Instant::now() + Duration::from_secs(60);
     let at = |ms: u64| now + Duration::from_millis(ms);
-    // When each request was sent and answered, what the answer says, and what is believed then.
+    // Times in milliseconds at which each request was sent and answered, the limit in the response, and the limit
+    // known in the end.
     for (responses, expected) in [
         (&[(0, 10, Some(2.0)), (5, 20, Some(1.0))][..], Some(1.0)),
         (&[(0, 10, Some(1.0)), (5, 20, Some(2.0))], Some(1.0)),
@@ -177,7 +179,7 @@
     cell.apply_signals(at(0), key("e0"), at(0), limit_signal(Some(1.0)));
     let unreadable = Signals { rate_limit: Said::Unreadable, ..Signals::default() };
     cell.apply_signals(at(20), key("e0"), at(10), unreadable);
-    assert_eq!(cell.limited_count(), 1, "what cannot be read ends no limit");
+    assert_eq!(cell.limited_count(), 1, "an unreadable limit does not end the known one");
 }
 
 #[test]
@@ -189,13 +191,13 @@
     b.hear(now + 50 * MS, a.report(now + 40 * MS, Extent::Changes), true);
     let change = b.take_limit_changes()[0];
     assert_eq!((change.per_s, change.origin, change.age), (Some(1.0), Origin::Cell, 40 * MS));
-    // What it was told it tells nobody of its cell.
+    // A limit learned from the cell is not reported back to it.
     assert!(b.report(now + 60 * MS, Extent::Changes).said.limits.is_empty());
     assert_eq!(b.signals_for_other_cells(now + 60 * MS).limits.len(), 1);
     b.apply_signals(now + 200 * MS, key("e0"), now + 100 * MS, limit_signal(None));
     a.hear(now + 250 * MS, b.report(now + 240 * MS, Extent::Changes), true);
     assert_eq!((a.limited_count(), b.limited_count()), (0, 0));
-    // An old word does not bring it back.
+    // An older report does not restore the limit.
     let mut late = a.report(now + 260 * MS, Extent::Changes);
     late.said.limits = vec![oxbowbend_core::cell::ReportedLimit {
         endpoint: key("e0"),
@@ -216,15 +218,15 @@
     let placed = cell.assign(later);
     let at_limited = placed.iter().filter(|a| &*a.endpoint.id == "e0").count();
     assert!(at_limited <= 4, "{at_limited} at once");
-    assert!(placed.len() - at_limited == 4, "the other one takes all that it has room for");
-    assert_eq!(cell.available_in(later, &"s".into()), None, "the other one wants any number");
+    assert!(placed.len() - at_limited == 4, "the other one fills all of its slots");
+    assert_eq!(cell.available_in(later, &"s".into()), None, "the other one is not throttled");
     cell.apply_signals(now, key("e2"), now, limit_signal(Some(0.5)));
     while !cell.assign(later).is_empty() {
         (0..4).for_each(|_| cell.finish(later, key("e0"), 1, Outcome::Good));
         (0..4).for_each(|_| cell.finish(later, key("e2"), 1, Outcome::Good));
         (0..10).for_each(|_| _ = cell.arrive(want(0, 1, now)));
     }
-    let available_in = cell.available_in(later, &"s".into()).expect("both want none");
+    let available_in = cell.available_in(later, &"s".into()).expect("both are throttled");
     assert!(
         available_in > Duration::ZERO && available_in <= Duration::from_secs(2),
         "{available_in:?}"
