--- a/oxbowbend-core/tests/limit_exploration.rs
+++ b/oxbowbend-core/tests/limit_exploration.rs
@@ -1,5 +1,5 @@
-//! All histories of three instances and an endpoint that names a limit: answers that are lost, late and overtaken, reports that are lost,
-//! restarts, limits that fall, rise, end and come back. However they follow each other, the endpoint gets no more than the users allow.
+//! Explores histories of three instances and an endpoint with a rate limit: lost and reordered responses, lost
+//! reports, restarts, and limits that change, end and return. No history may exceed the bound.
 
 mod cells;
 
@@ -11,27 +11,27 @@
 use rand::{Rng, SeedableRng};
 
 const INSTANCES: usize = 3;
-/// Requests that each instance would like to send in each step.
+/// Requests that each instance tries to send in each step.
 const REQUESTS_PER_STEP: usize = 3;
 const STEP: Duration = Duration::from_millis(500);
-/// Steps of a history that are all explored, and calm ones after them.
+/// Steps that are explored exhaustively, and quiet ones after them.
 const EXPLORED_STEPS: u32 = 4;
 const QUIET_STEPS: usize = 14;
 const LIMIT: f64 = 1.5;
 
-/// What happens in a step. What strikes an instance strikes the first one: they are all alike.
+/// What happens in a step. Instances are interchangeable, so faults affect the first one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
     Quiet,
     ResponsesLost,
-    /// Answers arrive a step later, after newer ones.
+    /// Responses arrive a step later, after newer ones.
     ResponsesDelayed,
-    /// Reports to and from it are lost.
+    /// Reports to and from the first instance are lost.
     Partition,
     Restart,
     LimitLowered,
     LimitRaised,
-    /// The limit ends, or is named again.
+    /// The limit ends or returns.
     LimitToggled,
 }
 
@@ -58,10 +58,10 @@
     start: Instant,
     now: Instant,
     limit: Option<f64>,
-    /// Each limit with the moment from which it was named.
+    /// Each limit with the time from which it applied.
     limits: Vec<(Instant, Option<f64>)>,
     delayed: Vec<Response>,
-    /// When each instance passed an answer on that named a limit, since it started.
+    /// When each instance first received a limit since its last start.
     signalled_at: Vec<Option<Instant>>,
     sent: Vec<(Instant, usize)>,
 }
@@ -165,8 +165,8 @@
         }
     }
 
-    /// The most that may be sent in a window, by the highest limit named in it; none if there was none meanwhile, or it has been
-    /// named for less than 3 s.
+    /// Returns the maximum number of requests in the window from `from`, by the highest limit that applied; `None`
+    /// if there was no limit at some time in the window, or it had applied for less than 3 s before.
     fn allowed(&self, from: Instant) -> Option<f64> {
         let to = from + Duration::from_secs(4);
         let mut since = None;
@@ -209,7 +209,7 @@
     (0..QUIET_STEPS).for_each(|_| simulation.step(Event::Quiet));
     simulation.check(history);
     let is_known = |cell: &Cell| cell.limited_count() == usize::from(simulation.limit.is_some());
-    assert!(simulation.cells.iter().all(is_known), "{history:?}: not known to all");
+    assert!(simulation.cells.iter().all(is_known), "{history:?}: instances disagree on the limit");
 }
 
 #[test]
