--- a/oxbowbend-core/tests/backoff.rs
+++ b/oxbowbend-core/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Endpoints that ask an instance for rest get it from that instance, and are not taken for failing ones.
+//! Backoff requested by endpoints: its duration, its scope, and the retry delay of refused callers.
 
 mod cells;
 
@@ -25,7 +25,7 @@
 #[test]
 fn backoff_lasts_as_long_as_requested() {
     let now = Instant::now() + Duration::from_secs(10);
-    // When it asks for how long, and until when it rests.
+    // Times of the requests with the durations asked for, and the end of the backoff, in milliseconds.
     for (requests, until) in [
         (&[(0, 1000)][..], 1000),
         (&[(0, 1000), (500, 1000)], 1500),
--- a/oxbowbend-core/tests/draining.rs
+++ b/oxbowbend-core/tests/draining.rs
@@ -1,4 +1,4 @@
-//! Endpoints that say in an answer that they leave get nothing more from anybody, and runs there end in peace.
+//! Draining endpoints get no new requests from any instance, and running ones finish.
 
 mod cells;
 
@@ -30,7 +30,7 @@
     assert!(!cell.may_send(now, key(draining)) && cell.may_send(now, key(other)));
     (0..6).for_each(|_| _ = cell.arrive(want(0, 1, now)));
     let placed = placed(&mut cell, now + 20 * MS);
-    assert_eq!(placed.len(), 4, "two wait");
+    assert_eq!(placed.len(), 4, "two requests wait");
     assert!(placed.iter().all(|(_, endpoint)| endpoint == other));
     cell.finish(now, key(draining), 1, Outcome::Good);
     assert_eq!(cell.load(now, key(draining)), 0);
@@ -56,7 +56,7 @@
     deliver_report(&mut rest[0], &mut a[0], now);
     let notice = rest[0].take_drain_notices()[0];
     assert_eq!((notice.endpoint, notice.origin), (key("e0"), Origin::Cell));
-    // The first one may be gone when another one starts.
+    // A third instance learns it from the second one.
     let (b, c) = rest.split_at_mut(1);
     deliver_report(&mut c[0], &mut b[0], now);
     c[0].arrive(want(0, 1, now));
@@ -64,14 +64,14 @@
     assert!(!c[0].serves(&"s".into()));
     c[0].set_endpoints([Endpoint { born: 1, ..endpoint(0, 4) }]);
     assert_eq!(c[0].assign(now + 20 * MS).len(), 1);
-    // One of another cell is told on to whoever starts, if the platform lists it.
+    // A draining endpoint of another cell is passed on to new instances only if it is listed.
     let mut other = cell("d", &[endpoint(2, 4)]);
     for listed in [0, 1] {
         other.set_listed_endpoints([key("e0")].into_iter().take(listed));
         other.hear(now + 20 * MS * listed as u32, b[0].report(now, Extent::Changes), false);
         assert_eq!(other.signals_for_new_instance(now).leaving.len(), listed);
     }
-    // Of one that is not listed nothing is told, and it is forgotten.
+    // An unlisted endpoint is not reported, and is forgotten.
     assert!(c[0].report(now, Extent::Changes).said.leaving.is_empty());
     deliver_report(&mut c[0], &mut b[0], now + 10 * MS);
     c[0].forget(now + Duration::from_secs(61));
