--- a/oxbowbend-core/tests/cells/mod.rs
+++ b/oxbowbend-core/tests/cells/mod.rs
@@ -1,4 +1,4 @@
-//! Cells of a few endpoints, for the tests of their decisions.
+//! Fixtures for tests with small cells.
 
 #![allow(dead_code)]
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// The start of an endpoint that does not say when it began.
+/// Returns the key of an endpoint without a start time.
 pub fn key(id: &str) -> EndpointKey {
     let id = id.into();
     Endpoint { id, ..endpoint(0, 1) }.key()
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where a cell puts requests, and in which order, by what it has learned of endpoints.
+//! Placement and order of requests by latency estimates.
 
 mod cells;
 
@@ -17,11 +17,11 @@
     let long = Want { stall, objective: 1000 * MS, ..want(0, 3000, now) };
     cell.arrive(want(0, 100, now));
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
-    // 3,000 tokens take 258 ms at e0: alone there it holds up nobody.
+    // 3,000 tokens take 258 ms at e0, where no other stream would stall.
     cell.arrive(long.clone());
     assert_eq!(placed(&mut cell, now)[0].1, "e0");
     cell.began(now, key("e0"), 3000, 0, 258 * MS);
-    // It streams now. The next one waits for e2, but not beyond half of its time.
+    // Now it would stall that stream, so the next request waits for e2, for up to half of its objective.
     cell.arrive(long);
     assert_eq!(placed(&mut cell, now).len(), 0);
     assert_eq!(placed(&mut cell, now + 510 * MS)[0].1, "e0");
@@ -31,7 +31,8 @@
 fn unmeasured_endpoint_is_tried_by_requests_with_slack() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 4), endpoint(2, 4)];
-    // Of 500 ms: 400 units at 50 us take 20 ms, and 60 at the worst; 5,000 take 250 and 750.
+    // At 50 us per unit, 400 units take 20 ms, or 60 ms in the worst case, and 5,000 take 250 ms or 750 ms. The
+    // objective is 500 ms.
     for (prompt, expected) in [(100, "e2"), (4700, "e0")] {
         let mut cell = cell("a", &endpoints);
         (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 50 * MS));
@@ -58,7 +59,7 @@
 fn request_does_not_queue_behind_a_long_prompt() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 4), endpoint(2, 4)];
-    // So small an objective that differences of milliseconds matter.
+    // An objective so short that differences of milliseconds matter.
     let short = Want { objective: 50 * MS, ..want(0, 100, now) };
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     for cell in [&mut a, &mut b] {
@@ -70,7 +71,7 @@
     b.hear(now, a.report(now, Extent::Loads), true);
     b.arrive(short.clone());
     assert_eq!(placed(&mut b, now)[0].1, "e2");
-    // Once it is read, and when it ends unread, the endpoint is as good as before.
+    // After its prefill, the long prompt no longer counts.
     a.began(now, key("e0"), 30_000, 0, 600 * MS);
     b.hear(now, a.report(now, Extent::Loads), true);
     b.arrive(short.clone());
@@ -111,8 +112,7 @@
 
 #[test]
 fn shortest_answer_first_serves_more_callers_under_a_burst() {
-    // 60 requests for one place within 600 ms, every sixth of them thirty times as long: by age a
-    // place that is taken by a long one is lost for all others.
+    // 60 requests for one slot within 600 ms, every sixth of them thirty times as long as the others.
     let start = Instant::now();
     let served = |report_length: bool| {
         let mut cell = cell("a", &[endpoint(0, 1)]);
@@ -175,6 +175,6 @@
         }
         (0..4).for_each(|_| cell.suspect(later + 500 * MS, key("e0"), later));
         cell.assign(later + 500 * MS);
-        assert_eq!(cell.take_news().len(), ejected, "dark: {is_silent}");
+        assert_eq!(cell.take_news().len(), ejected, "silent: {is_silent}");
     }
 }
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -1,4 +1,4 @@
-//! What requests without a place are told while there are more requests than places.
+//! Load shedding and retry delays while there are more requests than slots.
 
 mod cells;
 
@@ -48,10 +48,10 @@
     RetryPolicy { objective: OBJECTIVE, max_delay: 4000 * MS, jitter }
 }
 
-/// A request that is refused for want of a place.
+/// Refuses a request for lack of a free slot and returns its retry delay.
 fn refuse(cell: &mut Cell, now: Instant, rank: u16) -> Duration {
     let ticket = cell.arrive(want(rank, now));
-    assert!(cell.assign(now).is_empty(), "a place came free");
+    assert!(cell.assign(now).is_empty(), "there is a free slot");
     cell.withdraw(ticket);
     cell.refuse(now, &service(), rank, policy(0.0)).delay
 }
@@ -63,7 +63,7 @@
     cell.arrive(want(0, now));
     assert_eq!(cell.assign(now).len(), 1);
     let waiting: Vec<Ticket> = (0..3).map(|_| cell.arrive(want(1, now))).collect();
-    // Nothing is known yet, so all wait.
+    // Without recent refusals, all wait.
     assert!(waiting.iter().all(|ticket| !cell.should_shed(now, *ticket)));
     for _ in 0..4 {
         refuse(&mut cell, now, 1);
@@ -71,7 +71,7 @@
     let one_more = cell.arrive(want(1, now));
     assert!(cell.should_shed(now, one_more));
     cell.withdraw(one_more);
-    // A more urgent one is not concerned, nor one of few.
+    // Neither a more urgent request nor one of few waiting ones is shed.
     let urgent = cell.arrive(want(0, now));
     assert!(!cell.should_shed(now, urgent));
     cell.withdraw(urgent);
@@ -79,7 +79,7 @@
         cell.withdraw(*ticket);
     }
     assert!(!cell.should_shed(now, waiting[0]));
-    // A place that comes free goes to the one that stayed.
+    // The remaining one gets the released slot.
     cell.finish(now, key("e"), 100, Outcome::Good);
     assert_eq!(cell.assign(now)[0].ticket, waiting[0]);
 }
