--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -1,7 +1,7 @@
 //! Assignment of waiting requests to free endpoint slots.
 //!
-//! Every instance of a cell runs the same deterministic computation over its own waiting requests and those
-//! that its peers report, and dispatches only its own share of the result.
+//! Every instance of a cell runs the same deterministic computation over its own waiting requests
+//! and those that its peers report, and dispatches only its own share of the result.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -13,25 +13,27 @@
 use crate::ids::{EndpointId, EndpointKey, ServiceId, ZoneId};
 use crate::routes::Endpoint;
 
-/// Relative slowdown of the first event at a fully loaded endpoint, since larger batches run slower.
+/// Relative slowdown of the first event at a fully loaded endpoint, since larger batches run
+/// slower.
 const LOAD_SLOWDOWN: f64 = 0.3;
 /// Cost of sending a request to another availability zone, which includes the price of the traffic.
 const CROSS_ZONE_PENALTY: Duration = Duration::from_millis(10);
-/// Largest relative penalty from [`preference_penalty`]. It must stay well below the difference between slow
-/// and fast endpoints.
+/// Largest relative penalty from [`preference_penalty`]. It must stay well below the difference
+/// between slow and fast endpoints.
 const MAX_PREFERENCE_PENALTY: f64 = 0.3;
-/// Fraction of the objective below which a faster first event brings no advantage, so that measurement noise
-/// does not outweigh [`preference_penalty`].
+/// Fraction of the objective below which a faster first event brings no advantage, so that
+/// measurement noise does not outweigh [`preference_penalty`].
 const FIRST_EVENT_FLOOR_SHARE: f64 = 0.15;
 /// Fraction of a stream's maximum pause that the prefill of another prompt may take.
 const STALL_TOLERANCE_SHARE: f64 = 0.9;
-/// Minimum fraction of the objective that must be left for a request to wait for a slot where it stalls no
-/// other stream.
+/// Minimum fraction of the objective that must be left for a request to wait for a slot where it
+/// stalls no other stream.
 const STALL_WAIT_MIN_SHARE: f64 = 0.5;
 /// Worst-case slowdown of an unmeasured endpoint relative to the median.
 const UNMEASURED_SLOWDOWN: f64 = 3.0;
-/// Factor on the estimate of an unmeasured endpoint for requests that would meet their deadline even in the
-/// worst case. Being below 1, it makes such requests explore unmeasured endpoints first.
+/// Factor on the estimate of an unmeasured endpoint for requests that would meet their deadline
+/// even in the worst case. Being below 1, it makes such requests explore unmeasured endpoints
+/// first.
 const EXPLORATION_FACTOR: f64 = 0.9;
 /// Fraction of the remaining time that the worst case may take for a request to explore.
 const EXPLORATION_MAX_SHARE: f64 = 0.5;
@@ -40,15 +42,15 @@
 
 /// Work units of one generated token: the number of tokens read in the same time during prefill.
 const WORK_UNITS_PER_OUTPUT_TOKEN: f64 = 250.0;
-/// Slowdown relative to the median up to which endpoints count as equally fast for the length of an answer;
-/// estimates of identical endpoints differ by up to a half.
+/// Slowdown relative to the median up to which endpoints count as equally fast for the length of an
+/// answer; estimates of identical endpoints differ by up to a half.
 const SIMILAR_SPEED_RATIO: f64 = 1.5;
 
-/// Time after its arrival in which peers cannot know of a request: the report interval of 5 ms and the network
-/// delay.
+/// Time after its arrival in which peers cannot know of a request: the report interval of 5 ms and
+/// the network delay.
 pub const REPORT_DELAY: Duration = Duration::from_millis(10);
-/// Number of free slots of a service up to which a request waits for [`REPORT_DELAY`] first, since simultaneous
-/// arrivals at several instances would take the same slots.
+/// Number of free slots of a service up to which a request waits for [`REPORT_DELAY`] first, since
+/// simultaneous arrivals at several instances would take the same slots.
 const CONTENDED_SLOTS: u32 = 3;
 /// Maximum age of cached estimates. Recomputing them is the most expensive part of an assignment.
 const LATENCY_CACHE_TTL: Duration = Duration::from_millis(50);
@@ -61,8 +63,8 @@
     updated_at: Option<Instant>,
 }
 
-/// Scheduling priority of a request; smaller values go first. Orders by rank, then by expected completion, so
-/// that of two requests with the same deadline the shorter one goes first.
+/// Scheduling priority of a request; smaller values go first. Orders by rank, then by expected
+/// completion, so that of two requests with the same deadline the shorter one goes first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Priority {
     rank: u16,
@@ -151,8 +153,8 @@
 }
 
 impl Cell {
-    /// Assigns waiting requests to free slots and returns the assignments of this instance, which count as
-    /// running from now on.
+    /// Assigns waiting requests to free slots and returns the assignments of this instance, which
+    /// count as running from now on.
     pub fn assign(&mut self, now: Instant) -> Vec<Assignment> {
         self.eject_failing_endpoints(now);
         if self.waiting.is_empty() {
@@ -324,8 +326,8 @@
         }
     }
 
-    /// Ejects failing endpoints, at most half of each service. Returns early unless there was a recent failure,
-    /// because this runs on every report and at the end of every request.
+    /// Ejects failing endpoints, at most half of each service. Returns early unless there was a
+    /// recent failure, because this runs on every report and at the end of every request.
     fn eject_failing_endpoints(&mut self, now: Instant) {
         let is_expired = |at: Instant| now.saturating_duration_since(at) > super::health::WINDOW;
         if self.last_bad.is_none_or(is_expired) {
@@ -354,8 +356,9 @@
 
 /// Chooses the best endpoint with a free slot for a request.
 ///
-/// Returns `None` if the request should keep waiting: it would miss its deadline at every free endpoint but not
-/// at a busy one, or it would stall other streams at every free endpoint and still has time.
+/// Returns `None` if the request should keep waiting: it would miss its deadline at every free
+/// endpoint but not at a busy one, or it would stall other streams at every free endpoint and still
+/// has time.
 fn choose<'a, 'b>(
     targets: &'b mut [Target<'a>],
     candidate: &Candidate<'_>,
@@ -383,7 +386,8 @@
     Some((best, expected_first_event))
 }
 
-/// Whether the prefill of the prompt would pause the `load` other requests at the endpoint for too long.
+/// Whether the prefill of the prompt would pause the `load` other requests at the endpoint for too
+/// long.
 fn would_stall(target: &Target<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
     let Stall { tokens, pause_ms } = candidate.stall;
     let prefill_ms = f64::from(tokens) * target.ns_per_unit / 1e6;
@@ -447,8 +451,8 @@
     generation_time(candidate.output_tokens, excess_ns_per_unit)
 }
 
-/// Time to the first event as used in the cost: pessimistic for unmeasured endpoints, unless the request can
-/// afford to explore them.
+/// Time to the first event as used in the cost: pessimistic for unmeasured endpoints, unless the
+/// request can afford to explore them.
 fn assumed_first_event(
     target: &Target<'_>,
     candidate: &Candidate<'_>,
@@ -467,8 +471,9 @@
     }
 }
 
-/// Returns a pseudo-random penalty from 0 to 1 for a pair of instance and endpoint, so that instances that decide
-/// at the same time prefer different endpoints. All instances compute the same value for a pair.
+/// Returns a pseudo-random penalty from 0 to 1 for a pair of instance and endpoint, so that
+/// instances that decide at the same time prefer different endpoints. All instances compute the
+/// same value for a pair.
 fn preference_penalty(target: &Target<'_>, candidate: &Candidate<'_>) -> f64 {
     let hash = xxh3_64(&(target.hash ^ candidate.instance_hash).to_le_bytes());
     (hash >> 40) as f64 / (1_u64 << 24) as f64
--- a/oxbowbend-core/src/cell/backoff.rs
+++ b/oxbowbend-core/src/cell/backoff.rs
@@ -1,7 +1,7 @@
 //! Endpoints that have rejected a request and asked this instance to back off.
 //!
-//! A backoff applies to one instance only, so it is not reported to others, and it does not count as a failure of
-//! the endpoint.
+//! A backoff applies to one instance only, so it is not reported to others, and it does not count
+//! as a failure of the endpoint.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/backpressure.rs
@@ -1,6 +1,7 @@
 //! Backpressure from endpoints: rate limits, draining and backoff.
 //!
-//! Every dispatch is checked here, including retries, resumed streams and probes of ejected endpoints.
+//! Every dispatch is checked here, including retries, resumed streams and probes of ejected
+//! endpoints.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -12,13 +13,13 @@
 use super::{Cell, Site};
 use crate::ids::{EndpointKey, InstanceId, ServiceId};
 
-/// Number of requests that this instance may send to each throttled endpoint. Endpoints that are not listed take as many as they have
-/// free slots.
+/// Number of requests that this instance may send, by endpoint. Endpoints without a rate limit or
+/// backoff have no entry.
 pub(super) type Allowances = HashMap<EndpointKey, u32>;
 
 impl Cell {
-    /// Sets the instances that share the rate limits: those of this cell, and all of the fleet for the services in
-    /// `shared`, whose endpoints belong to all cells.
+    /// Sets the instances that share the rate limits: those of this cell, and all of the fleet for
+    /// the services in `shared`, whose endpoints belong to all cells.
     pub fn set_sharing_instances<'a>(
         &mut self,
         cell: impl Iterator<Item = &'a InstanceId>,
@@ -51,13 +52,14 @@
         }
     }
 
-    /// Marks an endpoint as draining by its registry entry. Reports then pass this on to instances that do not read
-    /// the store themselves, which would otherwise learn it seconds later.
+    /// Marks an endpoint as draining by its registry entry. Reports then pass this on to instances
+    /// that do not read the store themselves, which would otherwise learn it seconds later.
     pub fn mark_draining(&mut self, now: Instant, endpoint: EndpointKey) {
         self.draining.record(now, endpoint, Origin::Entry);
     }
 
-    /// Merges signals from another instance, including those of endpoints that are not listed here yet.
+    /// Merges signals from another instance, including those of endpoints that are not listed here
+    /// yet.
     pub fn merge_endpoint_signals(
         &mut self,
         now: Instant,
@@ -69,8 +71,8 @@
         reported.leaving.iter().for_each(|key| self.draining.record(now, *key, origin));
     }
 
-    /// Merges signals from a report. Ignores unlisted draining endpoints, which instances would otherwise keep
-    /// reporting to each other forever.
+    /// Merges signals from a report. Ignores unlisted draining endpoints, which instances would
+    /// otherwise keep reporting to each other forever.
     pub(super) fn merge_reported_signals(
         &mut self,
         now: Instant,
@@ -92,8 +94,9 @@
         self.signals_for(now, audience, |key| self.sites.contains_key(key))
     }
 
-    /// Returns the signals to report to other cells: limits of endpoints that belong to all cells, and all draining
-    /// endpoints, since an endpoint may move to another cell and a new instance may fetch the list from any.
+    /// Returns the signals to report to other cells: limits of endpoints that belong to all cells,
+    /// and all draining endpoints, since an endpoint may move to another cell and a new instance
+    /// may fetch the list from any.
     pub fn signals_for_other_cells(&self, now: Instant) -> ToldEndpoints {
         let is_shared = |key: &EndpointKey| {
             let service = self.sites.get(key).map(|s| &s.endpoint.service);
@@ -143,8 +146,8 @@
         self.limits.limited_endpoints().len()
     }
 
-    /// Returns the time until an endpoint of a service accepts a request again, or `None` unless all available
-    /// endpoints of the service are throttled.
+    /// Returns the time until an endpoint of a service accepts a request again, or `None` unless
+    /// all available endpoints of the service are throttled.
     pub fn available_in(&mut self, now: Instant, service: &ServiceId) -> Option<Duration> {
         let allowances = self.allowances(now);
         if allowances.is_empty() {
@@ -185,8 +188,8 @@
         self.limits.take(now, endpoint, scope);
     }
 
-    /// Whether an assigned request may still be sent. The endpoint may have started draining or asked for a backoff
-    /// since the assignment.
+    /// Whether an assigned request may still be sent. The endpoint may have started draining or
+    /// asked for a backoff since the assignment.
     pub fn may_send(&self, now: Instant, endpoint: EndpointKey) -> bool {
         !self.draining.contains(endpoint) && self.backoffs.remaining(now, endpoint).is_none()
     }
@@ -204,8 +207,8 @@
         self.sites.contains_key(&key) || self.listed.contains(&key)
     }
 
-    /// Whether an endpoint is draining, by its registry entry or its own signal. While the store is unreachable, only
-    /// the signal is current.
+    /// Whether an endpoint is draining, by its registry entry or its own signal. While the store is
+    /// unreachable, only the signal is current.
     pub(super) fn is_draining(&self, key: EndpointKey, site: &Site) -> bool {
         site.endpoint.leaving || self.draining.contains(key)
     }
--- a/oxbowbend-core/src/cell/draining.rs
+++ b/oxbowbend-core/src/cell/draining.rs
@@ -1,11 +1,11 @@
 //! Endpoints known to be draining.
 //!
-//! An endpoint signals in a response that it is draining. The platform's list of endpoints says so too, but later,
-//! and not while the store is unreachable. Instances report the signal to each other, so that none starts a
-//! request that the endpoint may not finish.
+//! An endpoint signals in a response that it is draining. The platform's list of endpoints says so
+//! too, but later, and not while the store is unreachable. Instances report the signal to each
+//! other, so that none starts a request that the endpoint may not finish.
 //!
-//! Draining is final: an endpoint that restarts under the same id has a new key. Unlisted endpoints are neither
-//! reported nor remembered for long.
+//! Draining is final: an endpoint that restarts under the same id has a new key. Unlisted endpoints
+//! are neither reported nor remembered for long.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -15,7 +15,8 @@
 
 /// Time after its last signal for which an unlisted endpoint is remembered.
 const UNLISTED_TTL: Duration = Duration::from_secs(60);
-/// Time for which a new signal is included in reports, some 40 of them. Instances that start later get all.
+/// Time for which a new signal is included in reports, some 40 of them. Instances that start later
+/// get all.
 const REPORT_NEW_FOR: Duration = Duration::from_secs(5);
 /// Maximum number of endpoints in a report, the latest first.
 const MAX_REPORTED: usize = 64;
@@ -61,7 +62,8 @@
         self.records.len()
     }
 
-    /// Returns the listed endpoints to report: those newly known, or all of them to an instance that has just started.
+    /// Returns the listed endpoints to report: those newly known, or all of them to an instance
+    /// that has just started.
     pub(super) fn to_report(
         &self,
         now: Instant,
--- a/oxbowbend-core/src/cell/latency.rs
+++ b/oxbowbend-core/src/cell/latency.rs
@@ -1,12 +1,13 @@
 //! Estimates of the time to the first event at an endpoint.
 //!
-//! The estimate is the time per unit of work, where a request has one unit for each token of its prompt and
-//! [`FIXED_WORK_UNITS`] for everything else. Instances report their estimates with the number of samples to
-//! each other, so that a restarted instance does not begin from nothing.
+//! The estimate is the time per unit of work, where a request has one unit for each token of its
+//! prompt and [`FIXED_WORK_UNITS`] for everything else. Instances report their estimates with the
+//! number of samples to each other, so that a restarted instance does not begin from nothing.
 
 use std::time::Duration;
 
-/// Units of work of a request besides its prompt: the fixed cost of a first event, in prompt tokens.
+/// Units of work of a request besides its prompt: the fixed cost of a first event, in prompt
+/// tokens.
 pub const FIXED_WORK_UNITS: u32 = 300;
 /// Weight of a new sample in the exponentially weighted moving average.
 const EWMA_WEIGHT: f64 = 0.2;
--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -1,18 +1,20 @@
 //! Rate limits that endpoints set for all instances together.
 //!
-//! Each instance has a token bucket with its share of the limit and sends without asking others. Since a full
-//! bucket can be spent at once, the capacities of all buckets together stay within the burst that is allowed in
-//! a window of [`WINDOW_SECS`]: [`BURST_FRACTION`] of the limit and [`BURST_REQUESTS`] requests.
+//! Each instance has a token bucket with its share of the limit and sends without asking others.
+//! Since a full bucket can be spent at once, the capacities of all buckets together stay within the
+//! burst that is allowed in a window of [`WINDOW_SECS`]: [`BURST_FRACTION`] of the limit and
+//! [`BURST_REQUESTS`] requests.
 //!
-//! If the burst is less than one request per instance, only the first instances in the order of a hash of
-//! endpoint and instance get a share. All instances compute this from the same list of instances, so the bound
-//! holds in whatever order requests, responses and reports arrive, and whichever are lost.
+//! If the burst is less than one request per instance, only the first instances in the order of a
+//! hash of endpoint and instance get a share. All instances compute this from the same list of
+//! instances, so the bound holds in whatever order requests, responses and reports arrive, and
+//! whichever are lost.
 //!
-//! Quotas of client accounts instead count what other instances report. That does not work here: one request
-//! per instance before the first report would already exceed the limit.
+//! Quotas of client accounts instead count what other instances report. That does not work here:
+//! one request per instance before the first report would already exceed the limit.
 //!
-//! The share of an idle instance is not used by others, nor is that of a terminated one until its registry
-//! entry expires.
+//! The share of an idle instance is not used by others, nor is that of a terminated one until its
+//! registry entry expires.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -28,8 +30,8 @@
 const BURST_FRACTION: f64 = 0.5;
 /// Requests that may be sent within a window beyond that.
 const BURST_REQUESTS: f64 = 5.0;
-/// Fraction of [`BURST_FRACTION`] and number of [`BURST_REQUESTS`] kept in reserve for delayed requests and for
-/// instances that others do not know of yet.
+/// Fraction of [`BURST_FRACTION`] and number of [`BURST_REQUESTS`] kept in reserve for delayed
+/// requests and for instances that others do not know of yet.
 const BURST_MARGIN: (f64, f64) = (0.25, 1.0);
 /// Minimum rate, even for a limit of 0, so that a response can signal that the limit has ended.
 const MIN_RATE_PER_S: f64 = 0.2;
@@ -148,8 +150,8 @@
 
     /// Applies the signal in a response to a request that was sent at `sent_at`.
     ///
-    /// Responses may arrive out of order, so a stricter limit takes effect at once, but a looser one only if its
-    /// request was sent after the stricter one became known.
+    /// Responses may arrive out of order, so a stricter limit takes effect at once, but a looser
+    /// one only if its request was sent after the stricter one became known.
     pub(super) fn record_response(
         &mut self,
         now: Instant,
@@ -185,7 +187,8 @@
                 continue;
             };
             let is_newer = match self.known_limits.get(&endpoint) {
-                // An unchanged limit is not refreshed, or instances would keep each other's copies alive.
+                // An unchanged limit is not refreshed, or instances would keep each other's copies
+                // alive.
                 Some(known) => known.per_s != per_s && answered_at > known.answered_at,
                 None => per_s.is_some(),
             };
@@ -236,7 +239,8 @@
         reported.into_iter().take(MAX_REPORTED).map(to_reported).collect()
     }
 
-    /// Returns the number of requests that this instance may send to an endpoint now; `None` if it has no limit.
+    /// Returns the number of requests that this instance may send to an endpoint now; `None` if it
+    /// has no limit.
     pub(super) fn available_requests(
         &mut self,
         now: Instant,
@@ -253,8 +257,8 @@
         }
     }
 
-    /// Returns the time until this instance may send the next request, or, if it has no share, until another one
-    /// may; `None` if there is no limit.
+    /// Returns the time until this instance may send the next request, or, if it has no share,
+    /// until another one may; `None` if there is no limit.
     pub(super) fn time_to_next_request(
         &mut self,
         now: Instant,
@@ -314,7 +318,8 @@
         };
         let tokens = match previous {
             Some(previous) => previous.refilled(now).tokens.min(capacity),
-            // Starts at a level that depends on the instance, so that not all send at the same time.
+            // Starts at a level that depends on the instance, so that not all send at the same
+            // time.
             None => (own_order >> 11) as f64 / (1_u64 << 53) as f64 * capacity.min(1.0),
         };
         LimitShare {
--- a/oxbowbend-core/src/cell/shedding.rs
+++ b/oxbowbend-core/src/cell/shedding.rs
@@ -1,15 +1,15 @@
 //! Load shedding, and the retry delay of refused requests.
 //!
-//! Both depend on the outcomes of the requests of the same service and rank at this instance within the last
-//! second:
+//! Both depend on the outcomes of the requests of the same service and rank at this instance within
+//! the last second:
 //!
-//! - If almost none were placed, only a few requests wait for a slot and all others are refused on arrival,
-//!   instead of after most of their objective.
-//! - If at least half were placed, a refused caller that retries soon will probably still meet its objective.
-//!   Otherwise the overload will last, so the caller is told to retry as late as it can.
+//! - If almost none were placed, only a few requests wait for a slot and all others are refused on
+//!   arrival, instead of after most of their objective.
+//! - If at least half were placed, a refused caller that retries soon will probably still meet its
+//!   objective. Otherwise the overload will last, so the caller is told to retry as late as it can.
 //!
-//! The counts lag by up to a second at the start and the end of a burst. Requests that find a free slot are never
-//! shed, so the lag at the end does no harm.
+//! The counts lag by up to a second at the start and the end of a burst. Requests that find a free
+//! slot are never shed, so the lag at the end does no harm.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -82,7 +82,8 @@
         self.recent(now, service, rank).placed.push_back(now);
     }
 
-    /// Whether to refuse a request on arrival while `waiting` others of its service and rank are waiting.
+    /// Whether to refuse a request on arrival while `waiting` others of its service and rank are
+    /// waiting.
     pub(super) fn should_shed(
         &mut self,
         now: Instant,
--- a/oxbowbend-core/tests/backoff.rs
+++ b/oxbowbend-core/tests/backoff.rs
@@ -25,7 +25,8 @@
 #[test]
 fn backoff_lasts_as_long_as_requested() {
     let now = Instant::now() + Duration::from_secs(10);
-    // Times of the requests with the durations asked for, and the end of the backoff, in milliseconds.
+    // Times of the requests with the durations asked for, and the end of the backoff, in
+    // milliseconds.
     for (requests, until) in [
         (&[(0, 1000)][..], 1000),
         (&[(0, 1000), (500, 1000)], 1500),
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -1,4 +1,5 @@
-//! Scheduling order, choice of endpoints, agreement between instances, and ejection of failing endpoints.
+//! Scheduling order, choice of endpoints, agreement between instances, and ejection of failing
+//! endpoints.
 
 mod cells;
 
@@ -271,7 +272,7 @@
     };
     assert_eq!(added(true, false, 1000), 0, "total of the first report");
     assert_eq!(added(true, false, 1100), 0, "not the representative");
-    assert_eq!(added(true, true, 1250), 0, "counted by another representative");
+    assert_eq!(added(true, true, 1250), 0, "reported by the previous representative");
     assert_eq!(added(false, true, 1300), 50);
 }
 
--- a/oxbowbend-core/tests/limit_exploration.rs
+++ b/oxbowbend-core/tests/limit_exploration.rs
@@ -1,5 +1,6 @@
-//! Explores histories of three instances and an endpoint with a rate limit: lost and reordered responses, lost
-//! reports, restarts, and limits that change, end and return. No history may exceed the bound.
+//! Explores histories of three instances and an endpoint with a rate limit: lost and reordered
+//! responses, lost reports, restarts, and limits that change, end and return. No history may exceed
+//! the bound.
 
 mod cells;
 
@@ -165,8 +166,9 @@
         }
     }
 
-    /// Returns the maximum number of requests in the window from `from`, by the highest limit that applied; `None`
-    /// if there was no limit at some time in the window, or it had applied for less than 3 s before.
+    /// Returns the maximum number of requests in the window from `from`, by the highest limit that
+    /// applied; `None` if there was no limit at some time in the window, or it had applied for less
+    /// than 3 s before.
     fn allowed(&self, from: Instant) -> Option<f64> {
         let to = from + Duration::from_secs(4);
         let mut since = None;
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Rate limits set by endpoints: all instances together stay within the bound and use most of the limit.
+//! Rate limits set by endpoints: all instances together stay within the bound and use most of the
+//! limit.
 
 mod cells;
 
@@ -87,8 +88,8 @@
     }
 }
 
-/// Guards against losing the shares of idle instances: requests arrive at random at three times the limit, spread
-/// over all instances.
+/// Guards against losing the shares of idle instances: requests arrive at random at three times the
+/// limit, spread over all instances.
 #[test]
 fn most_of_a_limit_is_used_where_each_instance_has_few_requests() {
     let (mut rng, mut unused) = (rand_pcg::Pcg64::seed_from_u64(74), Vec::new());
@@ -158,8 +159,8 @@
 fn stricter_limit_applies_at_once_and_looser_only_from_a_later_request() {
     let now = Instant::now() + Duration::from_secs(60);
     let at = |ms: u64| now + Duration::from_millis(ms);
-    // Times in milliseconds at which each request was sent and answered, the limit in the response, and the limit
-    // known in the end.
+    // Times in milliseconds at which each request was sent and answered, the limit in the response,
+    // and the limit known in the end.
     for (responses, expected) in [
         (&[(0, 10, Some(2.0)), (5, 20, Some(1.0))][..], Some(1.0)),
         (&[(0, 10, Some(1.0)), (5, 20, Some(2.0))], Some(1.0)),
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -21,7 +21,8 @@
     cell.arrive(long.clone());
     assert_eq!(placed(&mut cell, now)[0].1, "e0");
     cell.began(now, key("e0"), 3000, 0, 258 * MS);
-    // Now it would stall that stream, so the next request waits for e2, for up to half of its objective.
+    // Now it would stall that stream, so the next request waits for e2, for up to half of its
+    // objective.
     cell.arrive(long);
     assert_eq!(placed(&mut cell, now).len(), 0);
     assert_eq!(placed(&mut cell, now + 510 * MS)[0].1, "e0");
@@ -31,8 +32,8 @@
 fn unmeasured_endpoint_is_tried_by_requests_with_slack() {
     let now = Instant::now();
     let endpoints = [endpoint(0, 4), endpoint(2, 4)];
-    // At 50 us per unit, 400 units take 20 ms, or 60 ms in the worst case, and 5,000 take 250 ms or 750 ms. The
-    // objective is 500 ms.
+    // At 50 us per unit, 400 units take 20 ms, or 60 ms in the worst case, and 5,000 take 250 ms or
+    // 750 ms. The objective is 500 ms.
     for (prompt, expected) in [(100, "e2"), (4700, "e0")] {
         let mut cell = cell("a", &endpoints);
         (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 50 * MS));
@@ -112,7 +113,8 @@
 
 #[test]
 fn shortest_answer_first_serves_more_callers_under_a_burst() {
-    // 60 requests for one slot within 600 ms, every sixth of them thirty times as long as the others.
+    // 60 requests for one slot within 600 ms, every sixth of them thirty times as long as the
+    // others.
     let start = Instant::now();
     let served = |report_length: bool| {
         let mut cell = cell("a", &[endpoint(0, 1)]);
