--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -8,7 +8,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::backpressure::Allowances;
+use super::gate::Allowances;
 use super::{Cell, Stall, Ticket, Want, CLAIM_TTL, FIXED_WORK_UNITS};
 use crate::ids::{EndpointId, EndpointKey, ServiceId, ZoneId};
 use crate::routes::Endpoint;
--- a/oxbowbend-core/src/cell/backpressure.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use super::draining::DrainNotice;
+use super::leaving::DrainNotice;
 use super::limits::{LimitChange, Scope};
 use super::report::ToldEndpoints;
 use super::signals::{Audience, Origin, Said, Signals};
--- a/oxbowbend-core/src/cell/hear.rs
+++ b/oxbowbend-core/src/cell/hear.rs
@@ -6,7 +6,7 @@
 
 use super::peer::{count_on, Counted, Peer};
 use super::report::Report;
-use super::{latency, Cell, LOAD_TTL};
+use super::{pace, Cell, LOAD_TTL};
 use crate::ids::{AccountId, InstanceId};
 use crate::quota::{admitted_within, Lately};
 use crate::rollout::evidence::EvidenceKey;
@@ -128,7 +128,7 @@
         peer.is_counted |= report.in_full;
         for tally in &report.tallies {
             let told = (tally.good, tally.bad);
-            let pace = latency::LatencyEstimate::from_report(tally.ns_per_unit, tally.samples);
+            let pace = pace::LatencyEstimate::from_report(tally.ns_per_unit, tally.samples);
             peer.paces.insert(tally.endpoint, pace);
             // What a new acquaintance has counted so far is not of now.
             let old = peer.counted.insert(tally.endpoint, told);
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -9,18 +9,18 @@
 //! This stands in for the pool's [`crate::scheduler`] where slots are no promise of the endpoint.
 
 mod assign;
-mod backoff;
-mod backpressure;
-mod draining;
 mod fleet;
+mod gate;
 mod groups;
 mod health;
 mod hear;
-mod latency;
+mod leaving;
 mod limits;
+mod pace;
 mod peer;
 mod reach;
 mod report;
+mod rests;
 mod shedding;
 mod signals;
 
@@ -28,12 +28,12 @@
 use std::time::{Duration, Instant};
 
 pub use assign::{Assignment, REPORT_DELAY};
-pub use draining::DrainNotice;
 pub use fleet::{Beyond, FleetView};
 pub use groups::{Group, MAX_CELL};
 pub use hear::{Growth, Heard};
-pub use latency::FIXED_WORK_UNITS;
+pub use leaving::DrainNotice;
 pub use limits::{LimitChange, ReportedLimit};
+pub use pace::FIXED_WORK_UNITS;
 pub use reach::{Names, Reach};
 pub use report::{Claim, Load, Report, Tally, ToldEndpoints};
 pub use shedding::{RetryAfter, RetryPolicy};
@@ -139,7 +139,7 @@
     unread: u32,
     good: u64,
     bad: u64,
-    pace: latency::LatencyEstimate,
+    pace: pace::LatencyEstimate,
     health: health::Health,
     touched: Option<Instant>,
     /// When it last began or ended an answer.
@@ -179,9 +179,9 @@
     /// Limits that endpoints name.
     limits: limits::RateLimits,
     /// Endpoints that have said that they leave.
-    draining: draining::DrainingEndpoints,
+    draining: leaving::DrainingEndpoints,
     /// Those that have asked this instance for rest.
-    backoffs: backoff::Backoffs,
+    backoffs: rests::Backoffs,
     /// Services whose endpoints belong to all cells.
     shared: BTreeSet<ServiceId>,
     /// Endpoints that the platform lists, of all cells.
@@ -194,8 +194,8 @@
     pub fn new(me: InstanceId, zone: ZoneId, life: u64) -> Cell {
         Cell {
             limits: limits::RateLimits::new(&me),
-            draining: draining::DrainingEndpoints::default(),
-            backoffs: backoff::Backoffs::default(),
+            draining: leaving::DrainingEndpoints::default(),
+            backoffs: rests::Backoffs::default(),
             shared: BTreeSet::new(),
             listed: HashSet::new(),
             me,
@@ -237,7 +237,7 @@
                     unread: 0,
                     good: 0,
                     bad: 0,
-                    pace: latency::LatencyEstimate::default(),
+                    pace: pace::LatencyEstimate::default(),
                     health: health::Health::default(),
                     touched: None,
                     answered: None,
@@ -437,7 +437,7 @@
     pub fn restore_pace(&mut self, endpoint: EndpointKey, ns_per_unit: u64) {
         let site = self.sites.get_mut(&endpoint).filter(|s| s.pace.as_parts().1 == 0);
         if let Some(site) = site {
-            site.pace = latency::LatencyEstimate::from_report(ns_per_unit, NOTED_SAMPLES);
+            site.pace = pace::LatencyEstimate::from_report(ns_per_unit, NOTED_SAMPLES);
         }
     }
 
@@ -454,13 +454,13 @@
     }
 
     fn paces(&self, now: Instant) -> HashMap<EndpointKey, f64> {
-        let mut all: HashMap<EndpointKey, Vec<latency::LatencyEstimate>> = HashMap::new();
+        let mut all: HashMap<EndpointKey, Vec<pace::LatencyEstimate>> = HashMap::new();
         for (endpoint, pace) in self.live_peers(now).flat_map(|p| &p.paces) {
             all.entry(*endpoint).or_default().push(*pace);
         }
         let of = |(key, s): (&EndpointKey, &Site)| {
             let others = all.get(key).into_iter().flatten().copied();
-            Some((*key, latency::LatencyEstimate::weighted_mean(others.chain([s.pace]))?))
+            Some((*key, pace::LatencyEstimate::weighted_mean(others.chain([s.pace]))?))
         };
         self.sites.iter().filter_map(of).collect()
     }
--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::fleet::Beyond;
-use super::latency;
+use super::pace;
 use super::report::Report;
 use crate::ids::{AccountId, EndpointKey};
 use crate::rollout::evidence::EvidenceKey;
@@ -54,7 +54,7 @@
     /// Since when it has heard more of the cell than this instance.
     pub(super) wider_since: Option<Instant>,
     /// The paces told last.
-    pub(super) paces: HashMap<EndpointKey, latency::LatencyEstimate>,
+    pub(super) paces: HashMap<EndpointKey, pace::LatencyEstimate>,
 }
 
 impl Peer {
