--- a/oxbowbend-core/src/cell/leaving.rs
+++ b/oxbowbend-core/src/cell/leaving.rs
@@ -81,7 +81,7 @@
         all.into_iter().take(MAX_REPORTED).map(|(key, _)| *key).collect()
     }
 
-    /// Drops endpoints that are no longer listed.
+    /// Drops unlisted endpoints after [`UNLISTED_TTL`].
     pub(super) fn prune(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
         let is_expired = |at: Instant| now.saturating_duration_since(at) > UNLISTED_TTL;
         self.records.retain(|key, record| !is_expired(record.last_heard) || is_listed(key));
--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -2,7 +2,7 @@
 //!
 //! Each instance has a token bucket with its share of the limit and sends without asking others.
 //! Since a full bucket can be spent at once, the capacities of all buckets together stay within the
-//! burst that is allowed in a window of [`WINDOW_SECS`]: [`BURST_FRACTION`] of the limit and
+//! burst that is allowed in a window of [`WINDOW_SECS`] seconds: [`BURST_FRACTION`] of the limit and
 //! [`BURST_REQUESTS`] requests.
 //!
 //! If the burst is less than one request per instance, only the first instances in the order of a
@@ -339,7 +339,7 @@
         limited.map(|(key, _)| *key).collect()
     }
 
-    /// Drops limits of endpoints that are no longer listed, and expired removals.
+    /// Drops removed limits and limits of unlisted endpoints after [`UNLISTED_TTL`].
     pub(super) fn prune(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
         let is_expired =
             |known: &KnownLimit| now.saturating_duration_since(known.answered_at) > UNLISTED_TTL;
