--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -11,9 +11,9 @@
 mod assign;
 mod fleet;
 mod gate;
-mod groups;
 mod health;
 mod hear;
+mod layout;
 mod leaving;
 mod limits;
 mod pace;
@@ -29,8 +29,8 @@
 
 pub use assign::{Assignment, UNHEARD};
 pub use fleet::{Beyond, FleetView};
-pub use groups::{Group, MAX_CELL};
 pub use hear::{Growth, Heard};
+pub use layout::{Group, MAX_CELL};
 pub use leaving::Leaver;
 pub use limits::{LimitChange, ToldLimit};
 pub use pace::FIXED_UNITS;
