--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -17,7 +17,7 @@
 mod limits;
 mod pace;
 mod peer;
-mod reach;
+mod reachability;
 mod receive;
 mod report;
 mod rests;
@@ -33,7 +33,7 @@
 pub use leaving::Leaver;
 pub use limits::{LimitChange, ToldLimit};
 pub use pace::FIXED_UNITS;
-pub use reach::{Names, Reach};
+pub use reachability::{Names, Reach};
 pub use receive::{Growth, Heard};
 pub use report::{Claim, Load, Report, Tally, ToldEndpoints};
 pub use shedding::{Patience, RetryAfter};
@@ -169,7 +169,7 @@
     /// Instances of the cell that are heard, this one included.
     reach: u32,
     /// Their names.
-    heard_names: reach::Names,
+    heard_names: reachability::Names,
     shedding: shedding::Shedding,
     /// Whether this instance represents the cell.
     is_representative: bool,
@@ -212,7 +212,7 @@
             last_bad: None,
             share: 1.0,
             reach: 1,
-            heard_names: reach::Names::default(),
+            heard_names: reachability::Names::default(),
             shedding: shedding::Shedding::default(),
             is_representative: false,
             summed: BTreeMap::new(),
