--- a/oxbowbend-core/src/silence.rs
+++ b/oxbowbend-core/src/suspicion.rs
@@ -37,11 +37,11 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use oxbowbend_core::silence::{self, Silence};
+/// use oxbowbend_core::suspicion::{self, Silence};
 ///
-/// let due = silence::due(Duration::from_millis(100), Duration::from_millis(300));
+/// let due = suspicion::due(Duration::from_millis(100), Duration::from_millis(300));
 /// assert_eq!(due, Duration::from_millis(400));
-/// assert_eq!(silence::judge(due, Duration::from_secs(1), true), Silence::GivenUp);
+/// assert_eq!(suspicion::judge(due, Duration::from_secs(1), true), Silence::GivenUp);
 /// ```
 pub fn judge(due: Duration, limit: Duration, is_repeatable: bool) -> Silence {
     if due >= limit {
--- a/oxbowbend-core/tests/silence.rs
+++ b/oxbowbend-core/tests/suspicion.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oxbowbend_core::silence::{self, Silence};
+use oxbowbend_core::suspicion::{self, Silence};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -19,8 +19,8 @@
         (1, 1, 251, true, Silence::GivenUp),
         (1, 1, 250, true, Silence::TimedOut),
     ] {
-        let due = silence::due(expected * MS, objective * MS);
+        let due = suspicion::due(expected * MS, objective * MS);
         let case = format!("{expected} {objective} {left} {may_repeat}");
-        assert_eq!(silence::judge(due, left * MS, may_repeat), judged, "{case}");
+        assert_eq!(suspicion::judge(due, left * MS, may_repeat), judged, "{case}");
     }
 }
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -13,7 +13,7 @@
 use oxbowbend_core::cell::{Assignment, Outcome, FIXED_UNITS};
 use oxbowbend_core::rollout::evidence::Answer;
 use oxbowbend_core::routes::{Endpoint, Route};
-use oxbowbend_core::silence::{self, Silence};
+use oxbowbend_core::suspicion::{self, Silence};
 use oxbowbend_http::h1;
 use thiserror::Error;
 
@@ -259,7 +259,7 @@
         expected: Duration,
         after: Option<u64>,
     ) -> Result<Begun, Failure> {
-        let due = silence::due(expected, job.route.objective);
+        let due = suspicion::due(expected, job.route.objective);
         let limit = until(job.limit);
         let (endpoint, began) = (run.endpoint.key(), run.began);
         let beginning = self.begin(job, run, after);
@@ -267,7 +267,7 @@
         if let Ok(begun) = future::timeout(due.min(limit), &mut beginning).await {
             return begun;
         }
-        match silence::judge(due, limit, job.is_repeatable()) {
+        match suspicion::judge(due, limit, job.is_repeatable()) {
             Silence::TimedOut => return Err(Failure::Timeout),
             Silence::GivenUp => return Err(Failure::Hanging),
             Silence::Suspected => {
