--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -111,7 +111,7 @@
 
 /// A change in what this instance believes of an endpoint, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SetAside {
+pub struct Ejection {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// For how long.
@@ -161,7 +161,7 @@
     /// Instances of other cells: their representatives, and whoever has been heard for another reason.
     others: HashMap<InstanceId, peer::Peer>,
     known: assign::KnownPaces,
-    news: Vec<SetAside>,
+    news: Vec<Ejection>,
     /// When a failure was last noted.
     last_bad: Option<Instant>,
     /// Part of the fleet that is heard, this instance included.
@@ -411,7 +411,7 @@
         };
         if outcome == Outcome::Absent && !site.health.is_aside(now) {
             let pause = site.health.set_aside(now);
-            self.news.push(SetAside { endpoint: site.endpoint.id.clone(), pause });
+            self.news.push(Ejection { endpoint: site.endpoint.id.clone(), pause });
             return;
         }
         site.touched = Some(now);
@@ -442,7 +442,7 @@
     }
 
     /// What was newly believed of endpoints since the last call.
-    pub fn take_news(&mut self) -> Vec<SetAside> {
+    pub fn take_news(&mut self) -> Vec<Ejection> {
         std::mem::take(&mut self.news)
     }
 
