--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -325,7 +325,7 @@
             }
             *aside += 1;
             let pause = site.health.set_aside(now);
-            self.news.push(super::Ejection { endpoint: site.endpoint.id.clone(), pause });
+            self.news.push(super::Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
         }
     }
 }
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -115,7 +115,7 @@
     /// The endpoint.
     pub endpoint: EndpointId,
     /// For how long.
-    pub pause: Duration,
+    pub duration: Duration,
 }
 
 /// How much a report tells beside what runs and what waits.
@@ -411,7 +411,7 @@
         };
         if outcome == Outcome::Absent && !site.health.is_aside(now) {
             let pause = site.health.set_aside(now);
-            self.news.push(Ejection { endpoint: site.endpoint.id.clone(), pause });
+            self.news.push(Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
             return;
         }
         site.touched = Some(now);
--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -102,5 +102,5 @@
     assert_eq!(tried.len(), 1);
     assert_eq!(tried[0].1, "e0");
     cell.finish(later, absent.key(), 100, Outcome::Absent);
-    assert_eq!(cell.take_news()[0].pause, Duration::from_secs(2));
+    assert_eq!(cell.take_news()[0].duration, Duration::from_secs(2));
 }
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -401,7 +401,7 @@
         let mut state = self.lock();
         let assignments = state.cell.assign(now);
         for aside in state.cell.take_news() {
-            let pause = aside.pause.as_millis();
+            let pause = aside.duration.as_millis();
             log::warn!("event=endpoint_set_aside endpoint={} pause_ms={pause}", aside.endpoint);
         }
         let placed = !assignments.is_empty();
