--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::gate::Rooms;
-use super::{Cell, Stall, Ticket, Want, CLAIM_TTL, FIXED_UNITS};
+use super::{Cell, QueuedRequest, Stall, Ticket, CLAIM_TTL, FIXED_UNITS};
 use crate::ids::{EndpointId, EndpointKey, ServiceId, ZoneId};
 use crate::routes::Endpoint;
 
@@ -210,7 +210,7 @@
     }
 
     /// Place of a request of this instance.
-    pub(super) fn order(&self, now: Instant, want: &Want) -> Order {
+    pub(super) fn order(&self, now: Instant, want: &QueuedRequest) -> Order {
         let due = want.arrived + want.objective;
         Order::new(now, want.rank, due, want.output, self.known.usual)
     }
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -65,7 +65,7 @@
 
 /// What a request needs to be placed.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct QueuedRequest {
     /// Service that must execute it.
     pub service: ServiceId,
     /// Rank; 0 goes first.
@@ -154,7 +154,7 @@
     life: u64,
     number: u64,
     sites: BTreeMap<EndpointKey, Site>,
-    waiting: BTreeMap<Ticket, Want>,
+    waiting: BTreeMap<Ticket, QueuedRequest>,
     next: Ticket,
     /// Instances of this cell.
     peers: HashMap<InstanceId, peer::Peer>,
@@ -313,7 +313,7 @@
     }
 
     /// Brings in a request that waits for a place.
-    pub fn arrive(&mut self, want: Want) -> Ticket {
+    pub fn arrive(&mut self, want: QueuedRequest) -> Ticket {
         self.next += 1;
         self.waiting.insert(self.next, want);
         self.next
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, key, placed, want, MS};
-use oxbowbend_core::cell::{Extent, Heard, Load, Outcome, Want, CLAIM_TTL, LOAD_TTL, UNHEARD};
+use oxbowbend_core::cell::{
+    Extent, Heard, Load, Outcome, QueuedRequest, CLAIM_TTL, LOAD_TTL, UNHEARD,
+};
 use oxbowbend_core::routes::Endpoint;
 
 #[test]
@@ -115,7 +117,7 @@
     let now = Instant::now();
     let leaving = Endpoint { leaving: true, ..endpoint(0, 1) };
     let mut cell = cell("a", &[leaving, endpoint(2, 1)]);
-    cell.arrive(Want { avoid: vec!["e2".into()], ..want(0, 100, now) });
+    cell.arrive(QueuedRequest { avoid: vec!["e2".into()], ..want(0, 100, now) });
     assert_eq!(cell.assign(now).len(), 0);
 }
 
@@ -247,7 +249,7 @@
 fn what_waits_for_one_service_can_wait_for_another() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1)]);
-    let ticket = cell.arrive(Want { service: "t".into(), ..want(0, 100, now) });
+    let ticket = cell.arrive(QueuedRequest { service: "t".into(), ..want(0, 100, now) });
     assert!(cell.assign(now).is_empty());
     assert!(cell.serves(&"s".into()) && !cell.serves(&"t".into()));
     cell.move_waiting(&"t".into(), &"s".into());
--- a/oxbowbend-core/tests/cells/mod.rs
+++ b/oxbowbend-core/tests/cells/mod.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::cell::{Cell, Stall, Ticket, Want};
+use oxbowbend_core::cell::{Cell, QueuedRequest, Stall, Ticket};
 use oxbowbend_core::ids::EndpointKey;
 use oxbowbend_core::routes::Endpoint;
 
@@ -35,8 +35,8 @@
     cell
 }
 
-pub fn want(rank: u16, prompt: u32, arrived: Instant) -> Want {
-    Want {
+pub fn want(rank: u16, prompt: u32, arrived: Instant) -> QueuedRequest {
+    QueuedRequest {
         service: "s".into(),
         rank,
         prompt,
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use cells::{cell, endpoint, key, placed, want, MS};
-use oxbowbend_core::cell::{Extent, Outcome, Stall, Want};
+use oxbowbend_core::cell::{Extent, Outcome, QueuedRequest, Stall};
 
 #[test]
 fn a_long_prompt_does_not_hold_up_streams_at_a_slow_endpoint() {
@@ -14,7 +14,7 @@
     (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 86 * MS));
     (0..10).for_each(|_| cell.began(now, key("e2"), 700, 0, 25 * MS));
     let stall = Stall { tokens: 3000, pause_ms: 200 };
-    let long = Want { stall, objective: 1000 * MS, ..want(0, 3000, now) };
+    let long = QueuedRequest { stall, objective: 1000 * MS, ..want(0, 3000, now) };
     cell.arrive(want(0, 100, now));
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
     // 3,000 tokens take 258 ms at e0: alone there it holds up nobody.
@@ -59,13 +59,13 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 4), endpoint(2, 4)];
     // So small an objective that differences of milliseconds matter.
-    let short = Want { objective: 50 * MS, ..want(0, 100, now) };
+    let short = QueuedRequest { objective: 50 * MS, ..want(0, 100, now) };
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     for cell in [&mut a, &mut b] {
         (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 20 * MS));
         (0..10).for_each(|_| cell.began(now, key("e2"), 700, 0, 40 * MS));
     }
-    a.arrive(Want { objective: 5000 * MS, ..want(0, 30_000, now) });
+    a.arrive(QueuedRequest { objective: 5000 * MS, ..want(0, 30_000, now) });
     assert_eq!(placed(&mut a, now)[0].1, "e0");
     b.hear(now, a.report(now, Extent::Loads), true);
     b.arrive(short.clone());
@@ -88,7 +88,7 @@
         }
         for n in 0..40 {
             let prompt = 10 + n;
-            cell.arrive(Want { output, objective: 400 * MS, ..want(0, prompt, now) });
+            cell.arrive(QueuedRequest { output, objective: 400 * MS, ..want(0, prompt, now) });
         }
         let used = placed(&mut cell, now).iter().filter(|(_, e)| e == "e4").count();
         assert_eq!(used > 0, slow, "{output} tokens: {used} at the slow endpoint");
@@ -100,9 +100,9 @@
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1)]);
     cell.began(now, key("e0"), 700, 0, 12 * MS);
-    let long = cell.arrive(Want { output: 2000, ..want(0, 100, now - 10 * MS) });
-    let lower = cell.arrive(Want { output: 10, ..want(1, 100, now - 100 * MS) });
-    let short = cell.arrive(Want { output: 200, ..want(0, 100, now) });
+    let long = cell.arrive(QueuedRequest { output: 2000, ..want(0, 100, now - 10 * MS) });
+    let lower = cell.arrive(QueuedRequest { output: 10, ..want(1, 100, now - 100 * MS) });
+    let short = cell.arrive(QueuedRequest { output: 200, ..want(0, 100, now) });
     for expected in [short, long, lower] {
         assert_eq!(placed(&mut cell, now)[0].0, expected);
         cell.finish(now, key("e0"), 100, Outcome::Good);
@@ -123,7 +123,7 @@
             if ms % 10 == 0 {
                 let output = if (ms / 10) % 6 == 0 { 120 } else { 4 };
                 let told = if tell { output } else { 0 };
-                let ticket = cell.arrive(Want { output: told, ..want(0, 10, now) });
+                let ticket = cell.arrive(QueuedRequest { output: told, ..want(0, 10, now) });
                 runs.insert(ticket, output * 2);
             }
             if now < free_at {
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::key;
-use oxbowbend_core::cell::{Cell, Outcome, Patience, Stall, Ticket, Want};
+use oxbowbend_core::cell::{Cell, Outcome, Patience, QueuedRequest, Stall, Ticket};
 use oxbowbend_core::ids::ServiceId;
 use oxbowbend_core::routes::Endpoint;
 
@@ -27,8 +27,8 @@
     cell
 }
 
-fn want(rank: u16, arrived: Instant) -> Want {
-    Want {
+fn want(rank: u16, arrived: Instant) -> QueuedRequest {
+    QueuedRequest {
         service: "s".into(),
         rank,
         prompt: 100,
@@ -131,8 +131,8 @@
     cell.arrive(want(0, now));
     cell.assign(now);
     let fresh = cell.arrive(want(1, now));
-    let back = cell.arrive(Want { objective: OBJECTIVE - 150 * MS, ..want(1, now) });
-    let late = cell.arrive(Want { objective: Duration::ZERO, ..want(1, now - MS) });
+    let back = cell.arrive(QueuedRequest { objective: OBJECTIVE - 150 * MS, ..want(1, now) });
+    let late = cell.arrive(QueuedRequest { objective: Duration::ZERO, ..want(1, now - MS) });
     for expected in [back, fresh, late] {
         cell.finish(now, key("e"), 100, Outcome::Good);
         assert_eq!(cell.assign(now)[0].ticket, expected);
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -21,7 +21,7 @@
 use http_body_util::{Either, StreamBody};
 use hyper::body::{Frame, Incoming};
 use oxbowbend_clock as clock;
-use oxbowbend_core::cell::{Assignment, Outcome, Patience, Want};
+use oxbowbend_core::cell::{Assignment, Outcome, Patience, QueuedRequest};
 use oxbowbend_core::ids::EndpointId;
 use oxbowbend_core::shutdown::Shutdown;
 use oxbowbend_http::h1;
@@ -187,7 +187,7 @@
         if self.shared.lock().cell.opens_in(now, &service).is_some_and(|opens_in| opens_in > hold) {
             return Err(self.busy(job, true));
         }
-        let waiting = self.shared.arrive(Want {
+        let waiting = self.shared.arrive(QueuedRequest {
             service,
             rank: job.rank,
             prompt: job.ask.prompt,
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -11,7 +11,7 @@
 use oxbowbend_core::admission::Admission;
 use oxbowbend_core::ages::Ages;
 use oxbowbend_core::cell::{
-    Assignment, Beyond, Cell, Group, Outcome, Reach, Report, Ticket, Want, UNHEARD,
+    Assignment, Beyond, Cell, Group, Outcome, QueuedRequest, Reach, Report, Ticket, UNHEARD,
 };
 use oxbowbend_core::ids::{AccountId, EndpointKey, InstanceId, ZoneId};
 use oxbowbend_core::quarantine::Quarantine;
@@ -376,7 +376,7 @@
     }
 
     /// Brings in a request; the ticket gets its place.
-    pub(crate) fn arrive(&self, want: Want) -> Waiting {
+    pub(crate) fn arrive(&self, want: QueuedRequest) -> Waiting {
         let (tx, rx) = oneshot::channel();
         let mut state = self.lock();
         let ticket = state.cell.arrive(want);
