--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::gate::Rooms;
-use super::{Cell, QueuedRequest, Stall, Ticket, CLAIM_TTL, FIXED_UNITS};
+use super::{Cell, PrefillStall, QueuedRequest, Ticket, CLAIM_TTL, FIXED_UNITS};
 use crate::ids::{EndpointId, EndpointKey, ServiceId, ZoneId};
 use crate::routes::Endpoint;
 
@@ -116,7 +116,7 @@
     objective: Duration,
     prompt: u32,
     output: u32,
-    stall: Stall,
+    stall: PrefillStall,
     avoid: &'a [EndpointId],
 }
 
@@ -358,7 +358,7 @@
 
 /// Whether reading the prompt would hold up so many streams beside it for too long.
 fn stalls(place: &Place<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
-    let Stall { tokens, pause_ms } = candidate.stall;
+    let PrefillStall { tokens, pause_ms } = candidate.stall;
     let takes_ms = f64::from(tokens) * place.ns / 1e6;
     load > 0 && pause_ms > 0 && takes_ms > f64::from(pause_ms) * STALL_SHARE
 }
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -75,7 +75,7 @@
     /// Tokens that its answer is expected to have.
     pub output: u32,
     /// How it holds up the streams beside it.
-    pub stall: Stall,
+    pub stall: PrefillStall,
     /// When it arrived.
     pub arrived: Instant,
     /// Time from its arrival within which its first event should be there.
@@ -87,7 +87,7 @@
 /// How a request holds up the streams that run beside it while its prompt is read, and how much of
 /// that streams of its kind bear.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct Stall {
+pub struct PrefillStall {
     /// Tokens of the prompt that may be read between two events of another stream.
     #[serde(rename = "t")]
     pub tokens: u32,
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -228,7 +228,7 @@
     pub output: u32,
     /// How it holds up the streams beside it.
     #[serde(rename = "h")]
-    pub stall: super::Stall,
+    pub stall: super::PrefillStall,
 }
 
 fn is_zero_epoch(n: &u64) -> bool {
--- a/oxbowbend-core/tests/cells/mod.rs
+++ b/oxbowbend-core/tests/cells/mod.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::cell::{Cell, QueuedRequest, Stall, Ticket};
+use oxbowbend_core::cell::{Cell, PrefillStall, QueuedRequest, Ticket};
 use oxbowbend_core::ids::EndpointKey;
 use oxbowbend_core::routes::Endpoint;
 
@@ -41,7 +41,7 @@
         rank,
         prompt,
         output: 0,
-        stall: Stall::default(),
+        stall: PrefillStall::default(),
         arrived,
         objective: 500 * MS,
         avoid: Vec::new(),
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::key;
-use oxbowbend_core::cell::{Cell, Outcome, Patience, QueuedRequest, Stall, Ticket};
+use oxbowbend_core::cell::{Cell, Outcome, Patience, PrefillStall, QueuedRequest, Ticket};
 use oxbowbend_core::ids::ServiceId;
 use oxbowbend_core::routes::Endpoint;
 
@@ -33,7 +33,7 @@
         rank,
         prompt: 100,
         output: 0,
-        stall: Stall::default(),
+        stall: PrefillStall::default(),
         arrived,
         objective: OBJECTIVE,
         avoid: Vec::new(),
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -8,7 +8,7 @@
 use http::{request, Request};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
-use oxbowbend_core::cell::Stall;
+use oxbowbend_core::cell::PrefillStall;
 use oxbowbend_core::fingerprint::{fingerprint, Fingerprint};
 use oxbowbend_core::routes::{Account, Route, Table};
 use rand::Rng;
@@ -128,7 +128,7 @@
             age.as_millis()
         );
         let tokens_per_event = table.service(&service).map_or(0, |s| s.tokens_per_event);
-        let stall = Stall {
+        let stall = PrefillStall {
             tokens: ask.prompt.min(tokens_per_event.saturating_mul(READ_CHUNK)),
             pause_ms: route.pause.map_or(0, |p| p.as_millis() as u32),
         };
--- a/oxbowbend-gateway/src/relay/job.rs
+++ b/oxbowbend-gateway/src/relay/job.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, Method, Uri};
-use oxbowbend_core::cell::Stall;
+use oxbowbend_core::cell::PrefillStall;
 use oxbowbend_core::fingerprint::Fingerprint;
 use oxbowbend_core::ids::{AccountId, ServiceId};
 use oxbowbend_core::routes::{Repeat, Route};
@@ -25,7 +25,7 @@
     pub(crate) account: Option<AccountId>,
     pub(crate) units: u64,
     pub(crate) rank: u16,
-    pub(crate) stall: Stall,
+    pub(crate) stall: PrefillStall,
     /// Time since the caller's first try.
     pub(crate) age: Duration,
     pub(crate) arrived: Instant,
