--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -90,7 +90,7 @@
 pub struct PrefillStall {
     /// Tokens of the prompt that may be read between two events of another stream.
     #[serde(rename = "t")]
-    pub tokens: u32,
+    pub chunk_tokens: u32,
     /// Milliseconds between two events that are still in time; 0 if it does not matter.
     #[serde(rename = "p")]
     pub pause_ms: u32,
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -129,7 +129,7 @@
         );
         let tokens_per_event = table.service(&service).map_or(0, |s| s.tokens_per_event);
         let stall = PrefillStall {
-            tokens: ask.prompt.min(tokens_per_event.saturating_mul(READ_CHUNK)),
+            chunk_tokens: ask.prompt.min(tokens_per_event.saturating_mul(READ_CHUNK)),
             pause_ms: route.pause.map_or(0, |p| p.as_millis() as u32),
         };
         Ok(Job {
