--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -358,7 +358,7 @@
 
 /// Whether reading the prompt would hold up so many streams beside it for too long.
 fn stalls(place: &Place<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
-    let PrefillStall { chunk_tokens: tokens, pause_ms } = candidate.stall;
+    let PrefillStall { chunk_tokens: tokens, max_gap_ms: pause_ms } = candidate.stall;
     let takes_ms = f64::from(tokens) * place.ns / 1e6;
     load > 0 && pause_ms > 0 && takes_ms > f64::from(pause_ms) * STALL_SHARE
 }
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -93,7 +93,7 @@
     pub chunk_tokens: u32,
     /// Milliseconds between two events that are still in time; 0 if it does not matter.
     #[serde(rename = "p")]
-    pub pause_ms: u32,
+    pub max_gap_ms: u32,
 }
 
 /// How a run at an endpoint ended.
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -13,7 +13,7 @@
     let mut cell = cell("a", &[endpoint(0, 4), endpoint(2, 1)]);
     (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 86 * MS));
     (0..10).for_each(|_| cell.began(now, key("e2"), 700, 0, 25 * MS));
-    let stall = PrefillStall { chunk_tokens: 3000, pause_ms: 200 };
+    let stall = PrefillStall { chunk_tokens: 3000, max_gap_ms: 200 };
     let long = QueuedRequest { stall, objective: 1000 * MS, ..want(0, 3000, now) };
     cell.arrive(want(0, 100, now));
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
