--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -120,7 +120,7 @@
 
 /// How much a report tells beside what runs and what waits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Extent {
+pub enum ReportDetail {
     /// Nothing more.
     Loads,
     /// Counters that have just changed.
@@ -254,12 +254,12 @@
 
     /// What to tell the others, but for what only the caller knows: revision, version, address and
     /// peers.
-    pub fn report(&mut self, now: Instant, extent: Extent) -> Report {
+    pub fn report(&mut self, now: Instant, extent: ReportDetail) -> Report {
         self.number += 1;
         let mention = match extent {
-            Extent::Loads => Duration::ZERO,
-            Extent::Changes => MENTION,
-            Extent::Full => MENTION_ALL,
+            ReportDetail::Loads => Duration::ZERO,
+            ReportDetail::Changes => MENTION,
+            ReportDetail::Full => MENTION_ALL,
         };
         let running = self.sites.iter().filter(|(_, s)| s.running > 0);
         let load = |(key, s): (&EndpointKey, &Site)| Load {
@@ -277,7 +277,7 @@
         let tallies = tallies.collect();
         let mut waiting: Vec<_> = self.waiting.values().collect();
         waiting.sort_by_key(|w| self.order(now, w));
-        let is_beat = extent != Extent::Loads;
+        let is_beat = extent != ReportDetail::Loads;
         let claims = waiting.into_iter().take(MAX_CLAIMS).map(|w| Claim {
             service: w.service.clone(),
             rank: w.rank,
@@ -292,7 +292,7 @@
             zone: self.zone.clone(),
             life: self.life,
             number: self.number,
-            in_full: extent == Extent::Full,
+            in_full: extent == ReportDetail::Full,
             reach: is_beat.then_some(self.reach),
             heard_names: is_beat.then_some(self.heard_names),
             loads,
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -23,7 +23,7 @@
 pub use told::{Told, ToldAnswer, ToldEnd, ToldVerdict};
 pub use verdict::ENDS;
 
-use crate::cell::Extent;
+use crate::cell::ReportDetail;
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointId, EndpointKey, InstanceId};
 use answered::Answered;
@@ -213,11 +213,11 @@
     /// What to tell other instances in a report of an extent: what is new, and in full ones also older decisions in
     /// turn. What others have seen is told on by those who pass it on: in a fleet of several cells, their
     /// representatives.
-    pub fn tell(&mut self, now: Instant, extent: Extent, passes_on: bool) -> Told {
-        let in_full = extent == Extent::Full;
+    pub fn tell(&mut self, now: Instant, extent: ReportDetail, passes_on: bool) -> Told {
+        let in_full = extent == ReportDetail::Full;
         let (ends_for, rest_for) = match extent {
-            Extent::Loads => (TOLD_AT_ONCE, TOLD_AT_ONCE),
-            Extent::Changes | Extent::Full => (ENDS_TOLD_FOR, TOLD_FOR),
+            ReportDetail::Loads => (TOLD_AT_ONCE, TOLD_AT_ONCE),
+            ReportDetail::Changes | ReportDetail::Full => (ENDS_TOLD_FOR, TOLD_FOR),
         };
         Told {
             ends: self.ends.tell(now, ends_for, passes_on, in_full),
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -6,7 +6,7 @@
 
 use cells::{cell, endpoint, key, placed, want, MS};
 use oxbowbend_core::cell::{
-    Extent, Heard, Load, Outcome, QueuedRequest, CLAIM_TTL, LOAD_TTL, UNHEARD,
+    Heard, Load, Outcome, QueuedRequest, ReportDetail, CLAIM_TTL, LOAD_TTL, UNHEARD,
 };
 use oxbowbend_core::routes::Endpoint;
 
@@ -40,7 +40,7 @@
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     a.arrive(want(0, 100, now));
     assert_eq!(a.assign(now).len(), 1);
-    b.hear(now, a.report(now, Extent::Full), true);
+    b.hear(now, a.report(now, ReportDetail::Full), true);
     b.arrive(want(0, 100, now));
     assert_eq!(b.assign(now).len(), 0);
     assert_eq!(b.assign(now + LOAD_TTL).len(), 1);
@@ -54,7 +54,8 @@
         let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
         a.arrive(want(rank_a, 100, now - UNHEARD));
         b.arrive(want(rank_b, 100, now - UNHEARD));
-        let (from_a, from_b) = (a.report(now, Extent::Full), b.report(now, Extent::Full));
+        let (from_a, from_b) =
+            (a.report(now, ReportDetail::Full), b.report(now, ReportDetail::Full));
         a.hear(now, from_b, true);
         b.hear(now, from_a, true);
         let got = (a.assign(now).len(), b.assign(now).len());
@@ -68,7 +69,7 @@
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     a.arrive(want(0, 100, now));
-    b.hear(now, a.report(now, Extent::Full), true);
+    b.hear(now, a.report(now, ReportDetail::Full), true);
     b.arrive(want(1, 100, now));
     assert_eq!(b.assign(now).len(), 0);
     assert_eq!(b.assign(now + CLAIM_TTL).len(), 1);
@@ -79,10 +80,10 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    let idle = a.report(now, Extent::Full);
+    let idle = a.report(now, ReportDetail::Full);
     a.arrive(want(0, 100, now));
     a.assign(now);
-    assert!(b.hear(now, a.report(now, Extent::Full), true).is_some());
+    assert!(b.hear(now, a.report(now, ReportDetail::Full), true).is_some());
     assert!(b.hear(now, idle, true).is_none());
     assert_eq!(b.load(now, key("e0")), 1);
 }
@@ -126,9 +127,9 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 8), endpoint(2, 8)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    b.hear(now, a.report(now, Extent::Full), true);
+    b.hear(now, a.report(now, ReportDetail::Full), true);
     (0..4).for_each(|_| a.judge(now, key("e0"), Outcome::Bad));
-    b.hear(now, a.report(now, Extent::Full), true);
+    b.hear(now, a.report(now, ReportDetail::Full), true);
     let ticket = b.arrive(want(0, 100, now));
     assert_eq!(placed(&mut b, now), [(ticket, "e2".to_owned())]);
     assert_eq!(b.take_news().len(), 1);
@@ -192,8 +193,8 @@
         report
     };
     let drawn = |heard: Option<Heard>| heard.expect("news").spent.near.first().map(|(_, u)| *u);
-    assert_eq!(drawn(b.hear(now, with(a.report(now, Extent::Full), 1000), true)), Some(0));
-    assert_eq!(drawn(b.hear(now, with(a.report(now, Extent::Full), 1200), true)), Some(200));
+    assert_eq!(drawn(b.hear(now, with(a.report(now, ReportDetail::Full), 1000), true)), Some(0));
+    assert_eq!(drawn(b.hear(now, with(a.report(now, ReportDetail::Full), 1200), true)), Some(200));
 }
 
 #[test]
@@ -202,8 +203,8 @@
     let endpoints = [endpoint(0, 1), endpoint(2, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     (0..9).for_each(|_| a.judge(now, key("e0"), Outcome::Bad));
-    b.hear(now, a.report(now, Extent::Loads), true);
-    let mut full = a.report(now, Extent::Full);
+    b.hear(now, a.report(now, ReportDetail::Loads), true);
+    let mut full = a.report(now, ReportDetail::Full);
     full.spent = vec![("acc".into(), 1000)];
     let drawn = b.hear(now, full, true).expect("news");
     assert_eq!(drawn.spent.near[0].1, 0);
@@ -219,9 +220,9 @@
     let later = now + 1000 * MS;
     a.judge(later, key("e2"), Outcome::Good);
     let told = |report: oxbowbend_core::cell::Report| report.tallies.len();
-    assert_eq!(told(a.report(later, Extent::Loads)), 0);
-    assert_eq!(told(a.report(later, Extent::Changes)), 1);
-    assert_eq!(told(a.report(later, Extent::Full)), 2);
+    assert_eq!(told(a.report(later, ReportDetail::Loads)), 0);
+    assert_eq!(told(a.report(later, ReportDetail::Changes)), 1);
+    assert_eq!(told(a.report(later, ReportDetail::Full)), 2);
 }
 
 #[test]
@@ -233,13 +234,13 @@
     (0..9).for_each(|_| a.judge(now, key("e0"), Outcome::Bad));
     let later = now + 1000 * MS;
     a.judge(later, key("e2"), Outcome::Good);
-    b.hear(later, a.report(later, Extent::Changes), true);
-    b.hear(later, a.report(later, Extent::Full), true);
+    b.hear(later, a.report(later, ReportDetail::Changes), true);
+    b.hear(later, a.report(later, ReportDetail::Full), true);
     b.assign(later);
     assert_eq!(b.take_news(), []);
     // New ones do.
     (0..9).for_each(|_| a.judge(later, key("e0"), Outcome::Bad));
-    b.hear(later, a.report(later, Extent::Changes), true);
+    b.hear(later, a.report(later, ReportDetail::Changes), true);
     b.assign(later);
     assert_eq!(b.take_news().len(), 1);
 }
@@ -263,7 +264,7 @@
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     b.set_representative(true);
     let mut told = |is_cell_told, speaks, cell_spent: u64| {
-        let mut report = a.report(now, Extent::Loads);
+        let mut report = a.report(now, ReportDetail::Loads);
         report.is_cell_told = is_cell_told;
         report.is_representative = speaks;
         report.cell_spent = vec![("acc".into(), cell_spent)];
@@ -301,7 +302,7 @@
     for (n, cell) in cells.iter_mut().enumerate() {
         cell.arrive(want(0, 1000, now - MS * n as u32));
     }
-    let reports: Vec<_> = cells.iter_mut().map(|c| c.report(now, Extent::Full)).collect();
+    let reports: Vec<_> = cells.iter_mut().map(|c| c.report(now, ReportDetail::Full)).collect();
     let mut taken = std::collections::BTreeSet::new();
     for cell in &mut cells {
         reports.iter().for_each(|r| drop(cell.hear(now, r.clone(), true)));
@@ -322,7 +323,7 @@
         let endpoints = [endpoint(0, free)];
         let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
         if has_peer {
-            a.hear(now, b.report(now, Extent::Loads), true);
+            a.hear(now, b.report(now, ReportDetail::Loads), true);
         }
         a.arrive(want(0, 100, now - MS * age));
         assert_eq!(a.assign(now).len(), placed, "{free} free, {age} ms, heard: {has_peer}");
@@ -337,11 +338,11 @@
     a.arrive(want(0, 100, now));
     assert_eq!(placed(&mut a, now).len(), 1);
     a.set_endpoints([endpoint(2, 4)]);
-    let loads = a.report(now, Extent::Loads).loads;
+    let loads = a.report(now, ReportDetail::Loads).loads;
     assert_eq!(loads, [Load { endpoint: key("e0"), running: 1, unread: 100 }]);
     a.arrive(want(0, 100, now));
     assert_eq!(placed(&mut a, now)[0].1, "e2", "no further requests");
     a.finish(now, key("e0"), 100, Outcome::Good);
     a.set_endpoints([endpoint(2, 4)]);
-    assert_eq!(a.report(now, Extent::Loads).loads.len(), 1);
+    assert_eq!(a.report(now, ReportDetail::Loads).loads.len(), 1);
 }
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, MS};
-use oxbowbend_core::cell::{Beyond, Cell, Extent, FleetView, Growth, Report, LOAD_TTL};
+use oxbowbend_core::cell::{Beyond, Cell, FleetView, Growth, Report, ReportDetail, LOAD_TTL};
 use oxbowbend_core::ids::AccountId;
 
 fn report(cell: &mut Cell, now: Instant) -> Report {
-    cell.report(now, Extent::Full)
+    cell.report(now, ReportDetail::Full)
 }
 
 fn spent(units: u64) -> Vec<(AccountId, u64)> {
--- a/oxbowbend-core/tests/leaving.rs
+++ b/oxbowbend-core/tests/leaving.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, key, placed, want, MS};
-use oxbowbend_core::cell::{Cell, Extent, Origin, Outcome, Signals};
+use oxbowbend_core::cell::{Cell, Origin, Outcome, ReportDetail, Signals};
 use oxbowbend_core::routes::Endpoint;
 
 const LEAVES: Signals = Signals {
@@ -15,7 +15,7 @@
 };
 
 fn hears_from(to: &mut Cell, from: &mut Cell, now: Instant) {
-    to.hear(now, from.report(now, Extent::Changes), true);
+    to.hear(now, from.report(now, ReportDetail::Changes), true);
 }
 
 #[test]
@@ -68,11 +68,11 @@
     let mut other = cell("d", &[endpoint(2, 4)]);
     for listed in [0, 1] {
         other.set_listed([key("e0")].into_iter().take(listed));
-        other.hear(now + 20 * MS * listed as u32, b[0].report(now, Extent::Changes), false);
+        other.hear(now + 20 * MS * listed as u32, b[0].report(now, ReportDetail::Changes), false);
         assert_eq!(other.introduce_endpoints(now).leaving.len(), listed);
     }
     // Of one that is not listed nothing is told, and it is forgotten.
-    assert!(c[0].report(now, Extent::Changes).said.leaving.is_empty());
+    assert!(c[0].report(now, ReportDetail::Changes).said.leaving.is_empty());
     hears_from(&mut c[0], &mut b[0], now + 10 * MS);
     c[0].forget(now + Duration::from_secs(61));
     assert_eq!(c[0].leavers(), 0);
--- a/oxbowbend-core/tests/limit_exploration.rs
+++ b/oxbowbend-core/tests/limit_exploration.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, key, want, MS};
-use oxbowbend_core::cell::{Cell, Extent, Outcome, Said, Signals};
+use oxbowbend_core::cell::{Cell, Outcome, ReportDetail, Said, Signals};
 use oxbowbend_core::ids::InstanceId;
 use rand::{Rng, SeedableRng};
 
@@ -152,7 +152,7 @@
     fn report(&mut self, event: Event) {
         let at = self.now + 200 * MS;
         for from in 0..INSTANCES {
-            let report = self.cells[from].report(at, Extent::Full);
+            let report = self.cells[from].report(at, ReportDetail::Full);
             for to in (0..INSTANCES).filter(|to| *to != from) {
                 if event != Event::Cut || (from != 0 && to != 0) {
                     self.cells[to].hear(at + 5 * MS, report.clone(), true);
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use cells::{cell, endpoint, key, placed, want, MS};
-use oxbowbend_core::cell::{Extent, Outcome, PrefillStall, QueuedRequest};
+use oxbowbend_core::cell::{Outcome, PrefillStall, QueuedRequest, ReportDetail};
 
 #[test]
 fn a_long_prompt_does_not_hold_up_streams_at_a_slow_endpoint() {
@@ -67,12 +67,12 @@
     }
     a.arrive(QueuedRequest { objective: 5000 * MS, ..want(0, 30_000, now) });
     assert_eq!(placed(&mut a, now)[0].1, "e0");
-    b.hear(now, a.report(now, Extent::Loads), true);
+    b.hear(now, a.report(now, ReportDetail::Loads), true);
     b.arrive(short.clone());
     assert_eq!(placed(&mut b, now)[0].1, "e2");
     // Once it is read, and when it ends unread, the endpoint is as good as before.
     a.began(now, key("e0"), 30_000, 0, 600 * MS);
-    b.hear(now, a.report(now, Extent::Loads), true);
+    b.hear(now, a.report(now, ReportDetail::Loads), true);
     b.arrive(short.clone());
     assert_eq!(placed(&mut b, now)[0].1, "e0");
 }
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::cell::Extent;
+use oxbowbend_core::cell::ReportDetail;
 use oxbowbend_core::ids::EndpointKey;
 use oxbowbend_core::quarantine::{Change, Gate, Quarantine, Run, ToldVerdict, ENDS, SETTLE};
 
@@ -36,9 +36,9 @@
 
 /// Everything is told both ways.
 fn exchange(now: Instant, a: &mut Quarantine, b: &mut Quarantine) {
-    let told = a.tell(now, Extent::Full, true);
+    let told = a.tell(now, ReportDetail::Full, true);
     b.hear(now, &told);
-    let told = b.tell(now, Extent::Full, true);
+    let told = b.tell(now, ReportDetail::Full, true);
     a.hear(now, &told);
     a.settle(now + SETTLE);
     b.settle(now + SETTLE);
@@ -153,9 +153,9 @@
     b.answered(now, GOOD);
     end(&mut a, after(now, 100), 0, &[GOOD], &[]);
     end(&mut a, after(now, 200), 1, &[GOOD], &[]);
-    let told = a.tell(after(now, 210), Extent::Changes, true);
+    let told = a.tell(after(now, 210), ReportDetail::Changes, true);
     b.hear(after(now, 210), &told);
-    let told = b.tell(after(now, 220), Extent::Changes, true);
+    let told = b.tell(after(now, 220), ReportDetail::Changes, true);
     a.hear(after(now, 220), &told);
     end(&mut a, after(now, 9000), 2, &[GOOD], &[]);
     assert!(!is_closed(&a, after(now, 9200), GOOD));
@@ -170,7 +170,7 @@
     exchange(now, &mut a, &mut b);
     exchange(now, &mut b, &mut c);
     assert!(is_closed(&c, now, GOOD));
-    let old = c.tell(now, Extent::Full, true);
+    let old = c.tell(now, ReportDetail::Full, true);
     let noted = c.notes(now, true);
     let now = after(now, 200);
     b.answered(now, GOOD);
@@ -255,7 +255,7 @@
     q.hear_verdicts(after(now, 3_000), &told);
     assert!(is_closed(&q, after(now, 3_000), BAD), "it is held longer than those");
     assert!(q.held() <= 4096, "{}", q.held());
-    assert!(q.tell(after(now, 3_000), Extent::Full, true).verdicts.len() <= 32);
+    assert!(q.tell(after(now, 3_000), ReportDetail::Full, true).verdicts.len() <= 32);
 }
 
 #[test]
@@ -284,19 +284,19 @@
         end(&mut q, now, key, &[1000 + u64::from(key)], &[]);
     }
     let told = |q: &mut Quarantine, ms, extent| q.tell(after(now, ms), extent, false).ends.len();
-    assert_eq!(told(&mut q, 10, Extent::Loads), 8);
-    assert_eq!(told(&mut q, 30, Extent::Loads), 0);
-    assert_eq!(told(&mut q, 900, Extent::Changes), 8);
-    assert_eq!(told(&mut q, 1100, Extent::Full), 0);
+    assert_eq!(told(&mut q, 10, ReportDetail::Loads), 8);
+    assert_eq!(told(&mut q, 30, ReportDetail::Loads), 0);
+    assert_eq!(told(&mut q, 900, ReportDetail::Changes), 8);
+    assert_eq!(told(&mut q, 1100, ReportDetail::Full), 0);
     // One request at two of them: whoever was cut off meanwhile may know of the third.
     end(&mut q, now, 30, &[1000], &[]);
-    assert_eq!(told(&mut q, 9000, Extent::Full), 2);
-    assert_eq!(told(&mut q, 9000, Extent::Changes), 0);
+    assert_eq!(told(&mut q, 9000, ReportDetail::Full), 2);
+    assert_eq!(told(&mut q, 9000, ReportDetail::Changes), 0);
     // Those of others are told on by some.
-    let (mut other, told) = (instance("b"), q.tell(now, Extent::Changes, false));
+    let (mut other, told) = (instance("b"), q.tell(now, ReportDetail::Changes, false));
     other.hear(now, &told);
-    assert!(other.tell(now, Extent::Full, false).is_empty());
-    assert_eq!(other.tell(now, Extent::Full, true).ends.len(), told.ends.len());
+    assert!(other.tell(now, ReportDetail::Full, false).is_empty());
+    assert_eq!(other.tell(now, ReportDetail::Full, true).ends.len(), told.ends.len());
 }
 
 #[test]
@@ -313,7 +313,7 @@
     }
     // It is at one more end, without the other one.
     end(&mut b, after(now, 210), 9, &[BAD], &[]);
-    let told = b.tell(after(now, 230), Extent::Changes, true);
+    let told = b.tell(after(now, 230), ReportDetail::Changes, true);
     a.hear(after(now, 230), &told);
     a.settle(after(now, 420));
     let held = [GOOD, BAD].map(|f| is_closed(&a, after(now, 420), f));
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::cell::Extent;
+use oxbowbend_core::cell::ReportDetail;
 use oxbowbend_core::quarantine::{Quarantine, Run, ToldVerdict, ENDS, SETTLE};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -113,7 +113,7 @@
 
     fn talk(&mut self) {
         for from in 0..INSTANCES {
-            let told = self.instances[from].tell(self.now, Extent::Full, true);
+            let told = self.instances[from].tell(self.now, ReportDetail::Full, true);
             for to in (0..INSTANCES).filter(|to| *to != from) {
                 if !(self.is_cut && (from == LONER || to == LONER)) {
                     self.instances[to].hear(self.now, &told);
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::cell::{Cell, Extent, FleetView, Report};
+use oxbowbend_core::cell::{Cell, FleetView, Report, ReportDetail};
 use oxbowbend_core::ids::AccountId;
 use oxbowbend_core::quota::{QuotaBounds, Quotas};
 use oxbowbend_core::routes::Quota;
@@ -73,7 +73,7 @@
             true => self.quotas.windows(now),
             false => Vec::new(),
         };
-        let extent = if is_full { Extent::Full } else { Extent::Changes };
+        let extent = if is_full { ReportDetail::Full } else { ReportDetail::Changes };
         let report = self.cell.report(now, extent);
         Report {
             is_stopping: self.is_stopping,
@@ -203,7 +203,7 @@
     let now = Instant::now();
     let mut me = Cell::new("a".into(), "z".into(), 1);
     let mut other = Cell::new("b".into(), "z".into(), 1);
-    let report = Report { is_stopping: true, ..other.report(now, Extent::Full) };
+    let report = Report { is_stopping: true, ..other.report(now, ReportDetail::Full) };
     me.hear(now, report, true);
     assert_eq!(me.measure_reach(now, |_| true).heard, 1);
     let silent = now + Duration::from_millis(1600);
--- a/oxbowbend-core/tests/reachability.rs
+++ b/oxbowbend-core/tests/reachability.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, MS};
-use oxbowbend_core::cell::{Cell, Extent, Reach};
+use oxbowbend_core::cell::{Cell, Reach, ReportDetail};
 use oxbowbend_core::quota::{QuotaBounds, Quotas};
 use oxbowbend_core::routes::Quota;
 
@@ -37,7 +37,8 @@
     let mut reaches = Vec::new();
     for beat in 0..8 {
         let now = start + 130 * MS * beat;
-        let reports: Vec<_> = cells.iter_mut().map(|c| c.report(now, Extent::Changes)).collect();
+        let reports: Vec<_> =
+            cells.iter_mut().map(|c| c.report(now, ReportDetail::Changes)).collect();
         for (at, cell) in cells.iter_mut().enumerate() {
             for (from, report) in reports.iter().enumerate() {
                 if links.are_linked(at, from) {
@@ -101,15 +102,15 @@
     let now = Instant::now();
     let (mut a, mut b, mut c) = (cell("a", &[]), cell("b", &[]), cell("c", &[]));
     // `b` hears `c`, and `a` hears `b` alone.
-    b.hear(now, c.report(now, Extent::Full), true);
-    a.hear(now, b.report(now, Extent::Full), true);
+    b.hear(now, c.report(now, ReportDetail::Full), true);
+    a.hear(now, b.report(now, ReportDetail::Full), true);
     b.measure_reach(now, |_| true);
     assert_eq!(a.measure_reach(now, |_| true), Reach { heard: 1, covered: 1 });
-    a.hear(now, b.report(now, Extent::Full), true);
+    a.hear(now, b.report(now, ReportDetail::Full), true);
     let heard = |covered| Reach { heard: 1, covered };
     assert_eq!(a.measure_reach(now, |_| true), heard(1));
     assert_eq!(a.measure_reach(now + 399 * MS, |_| true), heard(1));
     assert_eq!(a.measure_reach(now + 400 * MS, |_| true), heard(0));
-    a.hear(now + 400 * MS, c.report(now, Extent::Full), true);
+    a.hear(now + 400 * MS, c.report(now, ReportDetail::Full), true);
     assert_eq!(a.measure_reach(now + 400 * MS, |_| true), Reach { heard: 2, covered: 2 });
 }
--- a/oxbowbend-gateway/src/audience.rs
+++ b/oxbowbend-gateway/src/audience.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::cell::Extent;
+use oxbowbend_core::cell::ReportDetail;
 use oxbowbend_core::ids::{AccountId, InstanceId};
 use oxbowbend_core::rollout::evidence::EvidenceKey;
 
@@ -72,11 +72,11 @@
     }
 
     /// How much such a report tells.
-    pub(crate) fn extent(self) -> Extent {
+    pub(crate) fn extent(self) -> ReportDetail {
         match self {
-            Reach::Cell => Extent::Loads,
-            Reach::CellWithCounters | Reach::Representatives => Extent::Changes,
-            Reach::Everybody | Reach::First { .. } => Extent::Full,
+            Reach::Cell => ReportDetail::Loads,
+            Reach::CellWithCounters | Reach::Representatives => ReportDetail::Changes,
+            Reach::Everybody | Reach::First { .. } => ReportDetail::Full,
         }
     }
 }
