--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -265,7 +265,7 @@
         }
         let KnownPaces { paces, usual, .. } = &self.known;
         let open = self.sites.iter().filter(|(key, s)| self.is_open(now, **key, s));
-        let place = |key: &EndpointKey, s: &'_ super::Site| {
+        let place = |key: &EndpointKey, s: &'_ super::EndpointState| {
             let (running, unread) = loads.get(key).copied().unwrap_or_default();
             let load = s.running + running;
             let usable = (f64::from(s.endpoint.slots) * self.share).ceil() as u32;
--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -8,7 +8,7 @@
 use super::limits::{LimitChange, Scope};
 use super::report::ToldEndpoints;
 use super::signals::{Audience, Origin, Said, Signals};
-use super::{Cell, Site};
+use super::{Cell, EndpointState};
 use crate::ids::{EndpointKey, InstanceId, ServiceId};
 
 /// Requests that this instance may send to endpoints that want fewer; others take what they have places for.
@@ -187,16 +187,16 @@
 
     /// Whether an endpoint leaves, by its entry or its own word: one belief, whichever comes first. While the store is away only the
     /// endpoint itself can say so.
-    pub(super) fn is_leaving(&self, key: EndpointKey, site: &Site) -> bool {
+    pub(super) fn is_leaving(&self, key: EndpointKey, site: &EndpointState) -> bool {
         site.endpoint.leaving || self.leaving.has(key)
     }
 
     /// Whether an endpoint takes requests at all.
-    pub(super) fn is_open(&self, now: Instant, key: EndpointKey, site: &Site) -> bool {
+    pub(super) fn is_open(&self, now: Instant, key: EndpointKey, site: &EndpointState) -> bool {
         !self.is_leaving(key, site) && !site.health.is_aside(now)
     }
 
-    fn scope(&self, site: &Site) -> Scope {
+    fn scope(&self, site: &EndpointState) -> Scope {
         match self.shared.contains(&site.endpoint.service) {
             true => Scope::Fleet,
             false => Scope::Cell,
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -130,7 +130,7 @@
 }
 
 #[derive(Debug)]
-struct Site {
+struct EndpointState {
     endpoint: Endpoint,
     /// Hash of its id, from which tastes are worked out.
     hash: u64,
@@ -153,7 +153,7 @@
     zone: ZoneId,
     life: u64,
     number: u64,
-    sites: BTreeMap<EndpointKey, Site>,
+    sites: BTreeMap<EndpointKey, EndpointState>,
     waiting: BTreeMap<Ticket, QueuedRequest>,
     next: Ticket,
     /// Instances of this cell.
@@ -229,8 +229,8 @@
         for endpoint in endpoints {
             ids.insert(endpoint.id.clone());
             let site = match old.remove(&endpoint.key()) {
-                Some(site) => Site { endpoint, ..site },
-                None => Site {
+                Some(site) => EndpointState { endpoint, ..site },
+                None => EndpointState {
                     hash: xxh3_64(endpoint.id.as_bytes()),
                     endpoint,
                     running: 0,
@@ -245,7 +245,8 @@
             };
             self.sites.insert(site.endpoint.key(), site);
         }
-        let is_elsewhere = |site: &Site| site.running > 0 && !ids.contains(&site.endpoint.id);
+        let is_elsewhere =
+            |site: &EndpointState| site.running > 0 && !ids.contains(&site.endpoint.id);
         for (key, mut site) in old.into_iter().filter(|(_, site)| is_elsewhere(site)) {
             site.endpoint.leaving = true;
             self.sites.insert(key, site);
@@ -262,13 +263,13 @@
             ReportDetail::Full => MENTION_ALL,
         };
         let running = self.sites.iter().filter(|(_, s)| s.running > 0);
-        let load = |(key, s): (&EndpointKey, &Site)| Load {
+        let load = |(key, s): (&EndpointKey, &EndpointState)| Load {
             endpoint: *key,
             running: s.running,
             unread: s.unread,
         };
         let loads = running.map(load).collect();
-        let lately = |s: &Site| s.touched.is_some_and(|t| now.duration_since(t) < mention);
+        let lately = |s: &EndpointState| s.touched.is_some_and(|t| now.duration_since(t) < mention);
         let used = self.sites.iter().filter(|(_, s)| lately(s));
         let tallies = used.map(|(key, s)| {
             let (ns_per_unit, samples) = s.pace.as_parts();
@@ -327,7 +328,7 @@
 
     /// Whether this cell has an endpoint of a service that takes requests.
     pub fn serves(&self, service: &ServiceId) -> bool {
-        let is_open = |(key, s): (&EndpointKey, &Site)| {
+        let is_open = |(key, s): (&EndpointKey, &EndpointState)| {
             s.endpoint.service == *service && !self.is_leaving(*key, s)
         };
         self.sites.iter().any(is_open)
@@ -458,7 +459,7 @@
         for (endpoint, pace) in self.live_peers(now).flat_map(|p| &p.paces) {
             all.entry(*endpoint).or_default().push(*pace);
         }
-        let of = |(key, s): (&EndpointKey, &Site)| {
+        let of = |(key, s): (&EndpointKey, &EndpointState)| {
             let others = all.get(key).into_iter().flatten().copied();
             Some((*key, pace::Pace::combine(others.chain([s.pace]))?))
         };
