--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::gate::Rooms;
-use super::{Cell, PrefillStall, QueuedRequest, Ticket, CLAIM_TTL, FIXED_UNITS};
+use super::{Cell, PrefillStall, QueuedRequest, Ticket, FIXED_UNITS, WAITING_TTL};
 use crate::ids::{EndpointId, EndpointKey, ServiceId, ZoneId};
 use crate::routes::Endpoint;
 
@@ -230,7 +230,7 @@
             stall: want.stall,
             avoid: &want.avoid,
         });
-        let others = self.peers.values().filter(|p| p.is_live(now, CLAIM_TTL)).flat_map(|p| {
+        let others = self.peers.values().filter(|p| p.is_live(now, WAITING_TTL)).flat_map(|p| {
             let taste = xxh3_64(p.report.instance.as_bytes());
             p.report.claims.iter().filter_map(move |claim| {
                 let waited = Duration::from_millis(claim.waited_ms.into());
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -45,7 +45,7 @@
 use crate::routes::Endpoint;
 
 /// Silence after which an instance's waiting requests hold nobody else's back.
-pub const CLAIM_TTL: Duration = Duration::from_millis(400);
+pub const WAITING_TTL: Duration = Duration::from_millis(400);
 /// Silence after which what an instance had running is taken to have ended with it.
 pub const LOAD_TTL: Duration = Duration::from_millis(1500);
 /// Waiting requests told to others, the first in order. Only few places are free when requests wait, so
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -6,7 +6,7 @@
 
 use cells::{cell, endpoint, key, placed, want, MS};
 use oxbowbend_core::cell::{
-    Heard, Load, Outcome, QueuedRequest, ReportDetail, CLAIM_TTL, LOAD_TTL, UNHEARD,
+    Heard, Load, Outcome, QueuedRequest, ReportDetail, LOAD_TTL, UNHEARD, WAITING_TTL,
 };
 use oxbowbend_core::routes::Endpoint;
 
@@ -72,7 +72,7 @@
     b.hear(now, a.report(now, ReportDetail::Full), true);
     b.arrive(want(1, 100, now));
     assert_eq!(b.assign(now).len(), 0);
-    assert_eq!(b.assign(now + CLAIM_TTL).len(), 1);
+    assert_eq!(b.assign(now + WAITING_TTL).len(), 1);
 }
 
 #[test]
