--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -17,7 +17,7 @@
 use std::time::Instant;
 
 use super::report::Report;
-use super::{Cell, LOAD_TTL};
+use super::{Cell, PEER_TTL};
 use crate::ids::AccountId;
 use crate::quota::Lately;
 use crate::rollout::evidence::EvidenceKey;
@@ -73,7 +73,7 @@
     /// What this instance knows of other cells from its representatives, the last one included: one that has just
     /// started or stepped in hears of the others 0.3 s later, and until then says that there are none.
     pub fn told_beyond(&self, now: Instant) -> Beyond {
-        let told = self.peers.values().filter_map(|p| p.live_view(now, LOAD_TTL));
+        let told = self.peers.values().filter_map(|p| p.live_view(now, PEER_TTL));
         told.max_by_key(|beyond| beyond.heard).unwrap_or_default()
     }
 
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -47,7 +47,7 @@
 /// Silence after which an instance's waiting requests hold nobody else's back.
 pub const WAITING_TTL: Duration = Duration::from_millis(400);
 /// Silence after which what an instance had running is taken to have ended with it.
-pub const LOAD_TTL: Duration = Duration::from_millis(1500);
+pub const PEER_TTL: Duration = Duration::from_millis(1500);
 /// Waiting requests told to others, the first in order. Only few places are free when requests wait, so
 /// those further behind have no say; 32 of them made up most of the bytes between zones under a burst.
 const MAX_CLAIMS: usize = 6;
--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -15,7 +15,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{Cell, LOAD_TTL};
+use super::{Cell, PEER_TTL};
 use crate::ids::InstanceId;
 
 /// Time for which it must have heard others. Instances notice within two beats of each other that one
@@ -57,7 +57,7 @@
         let mut names = Names::default();
         names.add(&self.me);
         let mut near = Vec::new();
-        for peer in self.peers.values_mut().filter(|p| p.is_live(now, LOAD_TTL)) {
+        for peer in self.peers.values_mut().filter(|p| p.is_live(now, PEER_TTL)) {
             if is_near(&peer.report.instance) {
                 names.add(&peer.report.instance);
                 near.push(peer);
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -6,7 +6,7 @@
 
 use super::peer::{count_on, Counted, Peer};
 use super::report::Report;
-use super::{pace, Cell, LOAD_TTL};
+use super::{pace, Cell, PEER_TTL};
 use crate::ids::{AccountId, InstanceId};
 use crate::quota::{admitted_within, Lately};
 use crate::rollout::evidence::EvidenceKey;
@@ -254,28 +254,28 @@
         self.live_peers(now).any(|p| now.saturating_duration_since(p.since) < INTRODUCED)
     }
 
-    /// Other instances of this cell that were heard within [`LOAD_TTL`].
+    /// Other instances of this cell that were heard within [`PEER_TTL`].
     pub fn heard(&self, now: Instant) -> usize {
         self.live_peers(now).count()
     }
 
-    /// Last reports of the instances of this cell that were heard within [`LOAD_TTL`].
+    /// Last reports of the instances of this cell that were heard within [`PEER_TTL`].
     pub fn live_reports(&self, now: Instant) -> impl Iterator<Item = &Report> {
         self.live_peers(now).map(|p| &p.report)
     }
 
-    /// Last reports of the instances of other cells that were heard within [`LOAD_TTL`].
+    /// Last reports of the instances of other cells that were heard within [`PEER_TTL`].
     pub fn other_reports(&self, now: Instant) -> impl Iterator<Item = &Report> {
-        self.others.values().filter(move |p| p.is_live(now, LOAD_TTL)).map(|p| &p.report)
+        self.others.values().filter(move |p| p.is_live(now, PEER_TTL)).map(|p| &p.report)
     }
 
-    /// Last reports of the instances of this cell that were heard within [`LOAD_TTL`], with their ages.
+    /// Last reports of the instances of this cell that were heard within [`PEER_TTL`], with their ages.
     pub fn aged_reports(&self, now: Instant) -> impl Iterator<Item = (&Report, Duration)> {
         self.live_peers(now).map(move |p| (&p.report, now.saturating_duration_since(p.heard)))
     }
 
     pub(super) fn live_peers(&self, now: Instant) -> impl Iterator<Item = &Peer> {
-        self.peers.values().filter(move |p| p.is_live(now, LOAD_TTL))
+        self.peers.values().filter(move |p| p.is_live(now, PEER_TTL))
     }
 }
 
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -6,7 +6,7 @@
 
 use cells::{cell, endpoint, key, placed, want, MS};
 use oxbowbend_core::cell::{
-    Heard, Load, Outcome, QueuedRequest, ReportDetail, LOAD_TTL, UNHEARD, WAITING_TTL,
+    Heard, Load, Outcome, QueuedRequest, ReportDetail, PEER_TTL, UNHEARD, WAITING_TTL,
 };
 use oxbowbend_core::routes::Endpoint;
 
@@ -43,7 +43,7 @@
     b.hear(now, a.report(now, ReportDetail::Full), true);
     b.arrive(want(0, 100, now));
     assert_eq!(b.assign(now).len(), 0);
-    assert_eq!(b.assign(now + LOAD_TTL).len(), 1);
+    assert_eq!(b.assign(now + PEER_TTL).len(), 1);
 }
 
 #[test]
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, MS};
-use oxbowbend_core::cell::{Beyond, Cell, FleetView, Growth, Report, ReportDetail, LOAD_TTL};
+use oxbowbend_core::cell::{Beyond, Cell, FleetView, Growth, Report, ReportDetail, PEER_TTL};
 use oxbowbend_core::ids::AccountId;
 
 fn report(cell: &mut Cell, now: Instant) -> Report {
@@ -43,7 +43,7 @@
     // Another instance that turned to this one for a reason of its own is not a cell.
     me.hear(now, report(&mut cell("z", &[]), now), false);
     assert_eq!(me.beyond(now), Beyond { heard: 23, ready: 21 });
-    assert_eq!(me.beyond(now + LOAD_TTL), Beyond::default());
+    assert_eq!(me.beyond(now + PEER_TTL), Beyond::default());
 }
 
 #[test]
@@ -60,7 +60,7 @@
     // A report that leaves it out changes nothing.
     me.hear(now, Report { is_representative: true, ..report(&mut first, now) }, true);
     assert_eq!(me.told_beyond(now).heard, 283);
-    assert_eq!(me.told_beyond(now + LOAD_TTL), Beyond::default());
+    assert_eq!(me.told_beyond(now + PEER_TTL), Beyond::default());
 }
 
 /// Representatives also turn to instances that they have not heard of.
@@ -83,7 +83,7 @@
     me.hear(now, as_representative(&mut first, now, view(1000, 12)), true);
     assert_eq!(me.hear(now, far_report(450), false).expect("news").spent.far, []);
     // Without one, what it is told itself counts again, and only what is new.
-    let later = now + LOAD_TTL;
+    let later = now + PEER_TTL;
     me.set_representative(true);
     assert_eq!(me.hear(later, far_report(470), false).expect("news").spent.far, spent(20));
 }
@@ -103,7 +103,7 @@
     me.hear(now, as_representative(&mut second, now, heard), true);
     assert_eq!(me.told_beyond(now).heard, 283);
     // The first one falls silent: the second one's word counts, from where it was.
-    let later = now + LOAD_TTL;
+    let later = now + PEER_TTL;
     let heard = me.hear(later, as_representative(&mut second, later, view(900, 271)), true);
     assert_eq!(heard.expect("news").spent.far, spent(200));
     assert_eq!(me.told_beyond(later).heard, 271);
