--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -24,7 +24,7 @@
 
 /// What a representative tells its cell of the other cells.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct FleetView {
+pub struct FleetSummary {
     /// Their instances.
     #[serde(rename = "b")]
     pub beyond: Beyond,
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, MS};
-use oxbowbend_core::cell::{Beyond, Cell, FleetView, Growth, Report, ReportDetail, PEER_TTL};
+use oxbowbend_core::cell::{Beyond, Cell, FleetSummary, Growth, Report, ReportDetail, PEER_TTL};
 use oxbowbend_core::ids::AccountId;
 
 fn report(cell: &mut Cell, now: Instant) -> Report {
@@ -17,12 +17,12 @@
 }
 
 /// What a representative tells its cell of others that have admitted so many units.
-fn view(units: u64, heard: u32) -> FleetView {
+fn view(units: u64, heard: u32) -> FleetSummary {
     let beyond = Beyond { heard, ready: heard - 1 };
-    FleetView { beyond, spent: spent(units), is_full: true, ..FleetView::default() }
+    FleetSummary { beyond, spent: spent(units), is_full: true, ..FleetSummary::default() }
 }
 
-fn as_representative(cell: &mut Cell, now: Instant, view: FleetView) -> Report {
+fn as_representative(cell: &mut Cell, now: Instant, view: FleetSummary) -> Report {
     Report { is_representative: true, fleet: Some(view), ..report(cell, now) }
 }
 
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::cell::{Cell, FleetView, Report, ReportDetail};
+use oxbowbend_core::cell::{Cell, FleetSummary, Report, ReportDetail};
 use oxbowbend_core::ids::AccountId;
 use oxbowbend_core::quota::{QuotaBounds, Quotas};
 use oxbowbend_core::routes::Quota;
@@ -61,11 +61,11 @@
         let has_begun = self.represents.is_some_and(|at| now - at < BEGINNING);
         let is_full = beat.is_multiple_of(8) || has_begun || now - self.since < 6 * BEAT;
         let quotas = &self.quotas;
-        let view = FleetView {
+        let view = FleetSummary {
             spent: owned(quotas.far_spent()),
             lately: if has_begun { quotas.far_lately(now) } else { Vec::new() },
             is_full,
-            ..FleetView::default()
+            ..FleetSummary::default()
         };
         let (spent, cell_spent) = (owned(quotas.spent()), owned(quotas.cell_spent()));
         let cell_lately = if has_begun { quotas.cell_lately(now) } else { Vec::new() };
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -21,7 +21,7 @@
 use hyper::body::Incoming;
 use jsonrpsee_types::Notification;
 use oxbowbend_clock as clock;
-use oxbowbend_core::cell::{FleetView, Report};
+use oxbowbend_core::cell::{FleetSummary, Report};
 use oxbowbend_core::ids::InstanceId;
 use oxbowbend_core::rollout::Teller;
 use oxbowbend_http::h1;
@@ -148,7 +148,7 @@
         if reach != Reach::Cell || quotas.is_busy() {
             report.spent = changed(quotas.spent(), &told.spent.near, reach);
             report.evidence = changed(state.rollouts.counters(), &told.evidence.near, reach);
-            report.fleet = report.is_representative.then(|| FleetView {
+            report.fleet = report.is_representative.then(|| FleetSummary {
                 beyond: state.beyond(now),
                 spent: changed(quotas.far_spent(), &told.spent.fleet, reach),
                 lately: told.lately(now, || quotas.far_lately(now)),
