--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -27,7 +27,7 @@
 pub struct FleetSummary {
     /// Their instances.
     #[serde(rename = "b")]
-    pub beyond: Beyond,
+    pub beyond: RemoteInstances,
     /// Units that they have admitted, as far as the representative has heard in its life, by client account.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub spent: Vec<(AccountId, u64)>,
@@ -44,7 +44,7 @@
 
 /// Instances of other cells.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct Beyond {
+pub struct RemoteInstances {
     /// Those that their representatives hear, these included.
     #[serde(rename = "h")]
     pub heard: u32,
@@ -61,8 +61,8 @@
     }
 
     /// What this instance hears of other cells as its cell's representative.
-    pub fn beyond(&self, now: Instant) -> Beyond {
-        let mut beyond = Beyond::default();
+    pub fn beyond(&self, now: Instant) -> RemoteInstances {
+        let mut beyond = RemoteInstances::default();
         for report in self.other_reports(now).filter(|r| r.is_representative) {
             beyond.heard += report.reach.unwrap_or(1);
             beyond.ready += report.cell_ready;
@@ -72,7 +72,7 @@
 
     /// What this instance knows of other cells from its representatives, the last one included: one that has just
     /// started or stepped in hears of the others 0.3 s later, and until then says that there are none.
-    pub fn told_beyond(&self, now: Instant) -> Beyond {
+    pub fn told_beyond(&self, now: Instant) -> RemoteInstances {
         let told = self.peers.values().filter_map(|p| p.live_view(now, PEER_TTL));
         told.max_by_key(|beyond| beyond.heard).unwrap_or_default()
     }
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -28,7 +28,7 @@
 use std::time::{Duration, Instant};
 
 pub use assign::{Assignment, UNHEARD};
-pub use fleet::{Beyond, FleetSummary};
+pub use fleet::{FleetSummary, RemoteInstances};
 pub use layout::{Group, MAX_CELL};
 pub use leaving::Leaver;
 pub use limits::{LimitChange, ToldLimit};
--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -4,7 +4,7 @@
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-use super::fleet::Beyond;
+use super::fleet::RemoteInstances;
 use super::pace;
 use super::report::Report;
 use crate::ids::{AccountId, EndpointKey};
@@ -100,7 +100,7 @@
     }
 
     /// What it told of other cells, if that is not too old.
-    pub(super) fn live_view(&self, now: Instant, ttl: Duration) -> Option<Beyond> {
+    pub(super) fn live_view(&self, now: Instant, ttl: Duration) -> Option<RemoteInstances> {
         let is_live = self.viewed.is_some_and(|at| now.saturating_duration_since(at) < ttl);
         self.report.fleet.as_ref().filter(|_| is_live).map(|view| view.beyond)
     }
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, MS};
-use oxbowbend_core::cell::{Beyond, Cell, FleetSummary, Growth, Report, ReportDetail, PEER_TTL};
+use oxbowbend_core::cell::{
+    Cell, FleetSummary, Growth, RemoteInstances, Report, ReportDetail, PEER_TTL,
+};
 use oxbowbend_core::ids::AccountId;
 
 fn report(cell: &mut Cell, now: Instant) -> Report {
@@ -18,7 +20,7 @@
 
 /// What a representative tells its cell of others that have admitted so many units.
 fn view(units: u64, heard: u32) -> FleetSummary {
-    let beyond = Beyond { heard, ready: heard - 1 };
+    let beyond = RemoteInstances { heard, ready: heard - 1 };
     FleetSummary { beyond, spent: spent(units), is_full: true, ..FleetSummary::default() }
 }
 
@@ -30,7 +32,7 @@
 fn a_representative_sums_up_what_the_others_tell() {
     let now = Instant::now();
     let mut me = cell("a", &[]);
-    assert_eq!(me.beyond(now), Beyond::default());
+    assert_eq!(me.beyond(now), RemoteInstances::default());
     for (name, reach, ready) in [("m", 12, 12), ("x", 11, 9)] {
         let told = Report {
             is_representative: true,
@@ -42,8 +44,8 @@
     }
     // Another instance that turned to this one for a reason of its own is not a cell.
     me.hear(now, report(&mut cell("z", &[]), now), false);
-    assert_eq!(me.beyond(now), Beyond { heard: 23, ready: 21 });
-    assert_eq!(me.beyond(now + PEER_TTL), Beyond::default());
+    assert_eq!(me.beyond(now), RemoteInstances { heard: 23, ready: 21 });
+    assert_eq!(me.beyond(now + PEER_TTL), RemoteInstances::default());
 }
 
 #[test]
@@ -54,13 +56,13 @@
     // What was admitted before it was heard is not of now.
     let growth = Growth { near: vec![], far: spent(0) };
     assert_eq!(heard.expect("news").spent, growth);
-    assert_eq!(me.told_beyond(now), Beyond { heard: 283, ready: 282 });
+    assert_eq!(me.told_beyond(now), RemoteInstances { heard: 283, ready: 282 });
     let heard = me.hear(now, as_representative(&mut first, now, view(1250, 283)), true);
     assert_eq!(heard.expect("news").spent.far, spent(250));
     // A report that leaves it out changes nothing.
     me.hear(now, Report { is_representative: true, ..report(&mut first, now) }, true);
     assert_eq!(me.told_beyond(now).heard, 283);
-    assert_eq!(me.told_beyond(now + PEER_TTL), Beyond::default());
+    assert_eq!(me.told_beyond(now + PEER_TTL), RemoteInstances::default());
 }
 
 /// Representatives also turn to instances that they have not heard of.
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -11,7 +11,8 @@
 use oxbowbend_core::admission::Admission;
 use oxbowbend_core::ages::Ages;
 use oxbowbend_core::cell::{
-    Assignment, Beyond, Cell, Group, Outcome, QueuedRequest, Reach, Report, Ticket, UNHEARD,
+    Assignment, Cell, Group, Outcome, QueuedRequest, Reach, RemoteInstances, Report, Ticket,
+    UNHEARD,
 };
 use oxbowbend_core::ids::{AccountId, EndpointKey, InstanceId, ZoneId};
 use oxbowbend_core::quarantine::Quarantine;
@@ -137,9 +138,9 @@
     }
 
     /// Instances of other cells that are heard.
-    pub(crate) fn beyond(&self, now: Instant) -> Beyond {
+    pub(crate) fn beyond(&self, now: Instant) -> RemoteInstances {
         match self.group.cells {
-            0 | 1 => Beyond::default(),
+            0 | 1 => RemoteInstances::default(),
             _ if self.is_representative(now) => {
                 let all = [self.cell.beyond(now), self.cell.told_beyond(now)];
                 all.into_iter().max_by_key(|beyond| beyond.heard).unwrap_or_default()
