--- a/oxbowbend-core/src/cell/layout.rs
+++ b/oxbowbend-core/src/cell/layout.rs
@@ -24,7 +24,7 @@
 
 /// The cell of one instance.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Group {
+pub struct CellLayout {
     /// Its other instances.
     pub peers: BTreeSet<InstanceId>,
     /// Its endpoints.
@@ -37,14 +37,14 @@
     pub shared: BTreeSet<ServiceId>,
 }
 
-impl Group {
+impl CellLayout {
     /// The cell of instance `me` in a fleet that is split into cells of `size` instances at most.
     pub fn of(
         me: &InstanceId,
         members: &BTreeMap<InstanceId, ZoneId>,
         endpoints: &[Endpoint],
         size: usize,
-    ) -> Group {
+    ) -> CellLayout {
         let cells = members.len().div_ceil(size.max(1)).max(1);
         let mut cell_of = BTreeMap::new();
         for names in by_zone(members).values() {
@@ -55,7 +55,7 @@
         let mine = cell_of.get(me).copied().unwrap_or(0);
         let peers = cell_of.iter().filter(|(name, cell)| **cell == mine && **name != me);
         let shared = shared(cells, endpoints);
-        Group {
+        CellLayout {
             peers: peers.map(|(name, _)| (*name).clone()).collect(),
             endpoints: endpoints_of(mine, cells, endpoints, &shared),
             cells,
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -11,7 +11,7 @@
 use oxbowbend_core::admission::Admission;
 use oxbowbend_core::ages::Ages;
 use oxbowbend_core::cell::{
-    Assignment, Cell, Group, Outcome, QueuedRequest, Reach, RemoteInstances, Report, Ticket,
+    Assignment, Cell, CellLayout, Outcome, QueuedRequest, Reach, RemoteInstances, Report, Ticket,
     UNHEARD,
 };
 use oxbowbend_core::ids::{AccountId, EndpointKey, InstanceId, ZoneId};
@@ -45,7 +45,7 @@
     pub(crate) shutdown: Option<Shutdown>,
     pub(crate) waiters: HashMap<Ticket, oneshot::Sender<Assignment>>,
     /// This instance's cell.
-    pub(crate) group: Group,
+    pub(crate) group: CellLayout,
     /// From whom this instance learns what the store holds.
     pub(crate) sources: Sources,
     /// How sure this instance is of what it knows of the store, while it follows it.
@@ -78,7 +78,7 @@
         if members == self.members && endpoints == self.endpoints {
             return;
         }
-        let group = Group::of(&self.me, &members, &endpoints, self.cell_size);
+        let group = CellLayout::of(&self.me, &members, &endpoints, self.cell_size);
         if group.peers != self.group.peers || group.cells != self.group.cells {
             log::info!(
                 "event=cell cells={} peers={} endpoints={} instances={}",
@@ -239,7 +239,7 @@
             rollouts,
             shutdown: None,
             waiters: HashMap::new(),
-            group: Group::default(),
+            group: CellLayout::default(),
             sources,
             subscriptions: Subscriptions::default(),
             cell_size,
