--- a/oxbowbend-core/src/cell/layout.rs
+++ b/oxbowbend-core/src/cell/layout.rs
@@ -1,6 +1,6 @@
 //! Which instances form a cell, and with which endpoints.
 //!
-//! Up to [`MAX_CELL`] instances are one cell with all endpoints. A larger fleet is split into cells of
+//! Up to [`DEFAULT_MAX_CELL_SIZE`] instances are one cell with all endpoints. A larger fleet is split into cells of
 //! about that size: each gets an equal part of every availability zone's instances, and of every
 //! service's endpoints there. All instances work this out alike from the list of instances; while
 //! their lists differ, an endpoint may belong to two cells, and queues what both send.
@@ -18,7 +18,7 @@
 
 /// Instances of a cell at most if nothing else is set. Reports grow with its square: at 12 instances
 /// with ten requests a second each they take 0.5% of a core.
-pub const MAX_CELL: usize = 12;
+pub const DEFAULT_MAX_CELL_SIZE: usize = 12;
 /// Endpoints of a service for each cell below which all cells share the service.
 const MIN_ENDPOINTS: usize = 2;
 
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -29,7 +29,7 @@
 
 pub use assign::{Assignment, UNHEARD};
 pub use fleet::{FleetSummary, RemoteInstances};
-pub use layout::{CellLayout, MAX_CELL};
+pub use layout::{CellLayout, DEFAULT_MAX_CELL_SIZE};
 pub use leaving::Leaver;
 pub use limits::{LimitChange, ToldLimit};
 pub use pace::FIXED_UNITS;
--- a/oxbowbend-core/tests/layout.rs
+++ b/oxbowbend-core/tests/layout.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use oxbowbend_core::cell::{CellLayout, MAX_CELL};
+use oxbowbend_core::cell::{CellLayout, DEFAULT_MAX_CELL_SIZE};
 use oxbowbend_core::ids::{InstanceId, ZoneId};
 use oxbowbend_core::routes::Endpoint;
 
@@ -28,10 +28,10 @@
 
 #[test]
 fn a_small_fleet_is_one_cell() {
-    let members = members(MAX_CELL);
+    let members = members(DEFAULT_MAX_CELL_SIZE);
     let endpoints = endpoints("a", 7);
     for me in members.keys() {
-        let group = CellLayout::of(me, &members, &endpoints, MAX_CELL);
+        let group = CellLayout::of(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE);
         assert_eq!((group.cells, group.peers.len(), group.endpoints.len()), (1, 11, 7));
     }
 }
@@ -42,7 +42,7 @@
     let endpoints = endpoints("a", 90);
     let mut cells: BTreeMap<BTreeSet<InstanceId>, BTreeSet<_>> = BTreeMap::new();
     for me in members.keys() {
-        let group = CellLayout::of(me, &members, &endpoints, MAX_CELL);
+        let group = CellLayout::of(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE);
         let mut all = group.peers.clone();
         all.insert(me.clone());
         let ids: BTreeSet<_> = group.endpoints.iter().map(|e| e.id.clone()).collect();
@@ -60,7 +60,10 @@
     let members = members(89);
     let endpoints = endpoints("b", 4);
     for me in members.keys() {
-        assert_eq!(CellLayout::of(me, &members, &endpoints, MAX_CELL).endpoints.len(), 4);
+        assert_eq!(
+            CellLayout::of(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE).endpoints.len(),
+            4
+        );
     }
 }
 
@@ -70,8 +73,9 @@
     let endpoints = endpoints("a", 90);
     let mut after = before.clone();
     after.remove("i40");
-    let cell =
-        |members, me| CellLayout::of(me, members, &endpoints, MAX_CELL).endpoints[0].id.clone();
+    let cell = |members, me| {
+        CellLayout::of(me, members, &endpoints, DEFAULT_MAX_CELL_SIZE).endpoints[0].id.clone()
+    };
     let moved = after.keys().filter(|me| cell(&before, me) != cell(&after, me)).count();
     assert!(moved <= 8, "{moved} instances moved");
 }
@@ -85,7 +89,7 @@
     let cells_of = |endpoints: &[Endpoint]| {
         let mut cell_of = BTreeMap::new();
         for me in members.keys() {
-            let group = CellLayout::of(me, &members, endpoints, MAX_CELL);
+            let group = CellLayout::of(me, &members, endpoints, DEFAULT_MAX_CELL_SIZE);
             let mut all = group.peers.clone();
             all.insert(me.clone());
             cell_of.extend(group.endpoints.into_iter().map(|e| (e.id, all.clone())));
--- a/oxbowbend-daemon/src/settings.rs
+++ b/oxbowbend-daemon/src/settings.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use gumdrop::Options;
-use oxbowbend_core::cell::MAX_CELL;
+use oxbowbend_core::cell::DEFAULT_MAX_CELL_SIZE;
 use simplelog::LevelFilter;
 use thiserror::Error;
 
@@ -194,7 +194,8 @@
             r.wrong.push(format!("--metrics-port: {port} is not a port"));
             0
         });
-        let cell_size = r.number("cell-size", &flags.cell_size, MAX_CELL as u64, 1) as usize;
+        let cell_size =
+            r.number("cell-size", &flags.cell_size, DEFAULT_MAX_CELL_SIZE as u64, 1) as usize;
         let log = r.log(&flags.log);
         let wire = match wire.as_str() {
             "own" => Wire::Own,
