--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -23,16 +23,16 @@
 
 /// By how much counters have grown since the report before.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Growth<K> {
+pub struct CounterDeltas<K> {
     /// Those of an instance of this cell.
     pub near: Vec<(K, u64)>,
     /// Those of other cells.
     pub far: Vec<(K, u64)>,
 }
 
-impl<K> Default for Growth<K> {
-    fn default() -> Growth<K> {
-        Growth { near: Vec::new(), far: Vec::new() }
+impl<K> Default for CounterDeltas<K> {
+    fn default() -> CounterDeltas<K> {
+        CounterDeltas { near: Vec::new(), far: Vec::new() }
     }
 }
 
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Heard {
     /// Units of client accounts that were admitted.
-    pub spent: Growth<AccountId>,
+    pub spent: CounterDeltas<AccountId>,
     /// Answers of versions that are rolled out.
-    pub evidence: Growth<EvidenceKey>,
+    pub evidence: CounterDeltas<EvidenceKey>,
 }
 
 /// What of a report's counters is counted here.
@@ -70,17 +70,17 @@
         self,
         counted: &mut Counted<K>,
         told: ToldCounters<'_, K>,
-    ) -> Growth<K> {
+    ) -> CounterDeltas<K> {
         let own = count_on(&mut counted.own, told.own, self.is_first);
         let cell = count_on(&mut counted.cell, told.cell, self.is_first_cell);
         if !self.is_near {
-            return Growth {
+            return CounterDeltas {
                 near: Vec::new(),
                 far: if self.is_teller { cell } else { Vec::new() },
             };
         }
         let fleet = count_on(&mut counted.fleet, told.fleet, self.is_first_fleet);
-        Growth { near: own, far: if self.is_teller { fleet } else { Vec::new() } }
+        CounterDeltas { near: own, far: if self.is_teller { fleet } else { Vec::new() } }
     }
 }
 
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -6,7 +6,7 @@
 
 use cells::{cell, MS};
 use oxbowbend_core::cell::{
-    Cell, FleetSummary, Growth, RemoteInstances, Report, ReportDetail, PEER_TTL,
+    Cell, CounterDeltas, FleetSummary, RemoteInstances, Report, ReportDetail, PEER_TTL,
 };
 use oxbowbend_core::ids::AccountId;
 
@@ -54,7 +54,7 @@
     let (mut first, mut me) = (cell("a", &[]), cell("c", &[]));
     let heard = me.hear(now, as_representative(&mut first, now, view(1000, 283)), true);
     // What was admitted before it was heard is not of now.
-    let growth = Growth { near: vec![], far: spent(0) };
+    let growth = CounterDeltas { near: vec![], far: spent(0) };
     assert_eq!(heard.expect("news").spent, growth);
     assert_eq!(me.told_beyond(now), RemoteInstances { heard: 283, ready: 282 });
     let heard = me.hear(now, as_representative(&mut first, now, view(1250, 283)), true);
