--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -34,7 +34,7 @@
 pub use limits::{LimitChange, ToldLimit};
 pub use pace::FIXED_UNITS;
 pub use reachability::{Names, Reach};
-pub use receive::{CounterDeltas, Heard};
+pub use receive::{CounterDeltas, ReportDeltas};
 pub use report::{Claim, Load, Report, Tally, ToldEndpoints};
 pub use shedding::{Patience, RetryAfter};
 pub use signals::{Origin, Said, Signals};
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -38,7 +38,7 @@
 
 /// What a report tells to be new.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Heard {
+pub struct ReportDeltas {
     /// Units of client accounts that were admitted.
     pub spent: CounterDeltas<AccountId>,
     /// Answers of versions that are rolled out.
@@ -87,7 +87,7 @@
 impl Cell {
     /// Takes in another instance's report; `is_near` if it belongs to this cell. Returns nothing if the
     /// report is no news.
-    pub fn hear(&mut self, now: Instant, report: Report, is_near: bool) -> Option<Heard> {
+    pub fn hear(&mut self, now: Instant, report: Report, is_near: bool) -> Option<ReportDeltas> {
         if report.instance == self.me {
             return None;
         }
@@ -142,7 +142,13 @@
     }
 
     /// What has been admitted since the last report. Counters go on from the first report that tells all of them.
-    fn growth(&mut self, now: Instant, peer: &mut Peer, report: &Report, is_near: bool) -> Heard {
+    fn growth(
+        &mut self,
+        now: Instant,
+        peer: &mut Peer,
+        report: &Report,
+        is_near: bool,
+    ) -> ReportDeltas {
         let lately = self.begin_sums(now, peer, report, is_near);
         let counting = Counting {
             is_near,
@@ -170,7 +176,7 @@
             self.note_sums(now, report, is_near);
             spent.far.extend(lately);
         }
-        Heard { spent, evidence: counting.growth(&mut peer.evidence, evidence) }
+        ReportDeltas { spent, evidence: counting.growth(&mut peer.evidence, evidence) }
     }
 
     /// Whether a report begins to tell sums that another one has told before: then the counters start anew, and what
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -6,7 +6,7 @@
 
 use cells::{cell, endpoint, key, placed, want, MS};
 use oxbowbend_core::cell::{
-    Heard, Load, Outcome, QueuedRequest, ReportDetail, PEER_TTL, UNHEARD, WAITING_TTL,
+    Load, Outcome, QueuedRequest, ReportDeltas, ReportDetail, PEER_TTL, UNHEARD, WAITING_TTL,
 };
 use oxbowbend_core::routes::Endpoint;
 
@@ -192,7 +192,8 @@
         report.spent = vec![("acc".into(), units)];
         report
     };
-    let drawn = |heard: Option<Heard>| heard.expect("news").spent.near.first().map(|(_, u)| *u);
+    let drawn =
+        |heard: Option<ReportDeltas>| heard.expect("news").spent.near.first().map(|(_, u)| *u);
     assert_eq!(drawn(b.hear(now, with(a.report(now, ReportDetail::Full), 1000), true)), Some(0));
     assert_eq!(drawn(b.hear(now, with(a.report(now, ReportDetail::Full), 1200), true)), Some(200));
 }
