--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -33,7 +33,7 @@
 pub use leaving::Leaver;
 pub use limits::{LimitChange, ToldLimit};
 pub use pace::FIXED_UNITS;
-pub use reachability::{Names, Reach};
+pub use reachability::{Names, Reachability};
 pub use receive::{CounterDeltas, ReportDeltas};
 pub use report::{Claim, Load, Report, Tally, ToldEndpoints};
 pub use shedding::{Patience, RetryAfter};
--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -26,7 +26,7 @@
 
 /// What an instance hears of its cell.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Reach {
+pub struct Reachability {
     /// Other instances that it hears.
     pub heard: usize,
     /// Those of them that hear nobody whom it does not hear.
@@ -53,7 +53,11 @@
 
 impl Cell {
     /// Works out what is heard of those that belong to the cell; reports tell of it from now on.
-    pub fn measure_reach(&mut self, now: Instant, is_near: impl Fn(&InstanceId) -> bool) -> Reach {
+    pub fn measure_reach(
+        &mut self,
+        now: Instant,
+        is_near: impl Fn(&InstanceId) -> bool,
+    ) -> Reachability {
         let mut names = Names::default();
         names.add(&self.me);
         let mut near = Vec::new();
@@ -67,7 +71,7 @@
         let covered = near.into_iter().filter_map(|p| (!p.is_wider(now, names)).then_some(()));
         let covered = covered.count();
         (self.heard_names, self.reach) = (names, heard as u32 + 1);
-        Reach { heard, covered }
+        Reachability { heard, covered }
     }
 
     /// Instances of the cell that are heard, this one included.
--- a/oxbowbend-core/tests/reachability.rs
+++ b/oxbowbend-core/tests/reachability.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, MS};
-use oxbowbend_core::cell::{Cell, Reach, ReportDetail};
+use oxbowbend_core::cell::{Cell, Reachability, ReportDetail};
 use oxbowbend_core::quota::{QuotaBounds, Quotas};
 use oxbowbend_core::routes::Quota;
 
@@ -31,7 +31,7 @@
 }
 
 /// What each instance hears after a second of beats over these links.
-fn reaches(links: Links) -> Vec<Reach> {
+fn reaches(links: Links) -> Vec<Reachability> {
     let start = Instant::now();
     let mut cells: Vec<Cell> = (0..INSTANCES).map(|n| cell(&format!("i{n}"), &[])).collect();
     let mut reaches = Vec::new();
@@ -52,7 +52,7 @@
 }
 
 /// What all instances admit together, each as much as it may, from this one on.
-fn admitted(links: Links, reaches: &[Reach], first: usize) -> u64 {
+fn admitted(links: Links, reaches: &[Reachability], first: usize) -> u64 {
     let now = Instant::now();
     let mut quotas: Vec<Quotas> = reaches
         .iter()
@@ -94,7 +94,7 @@
     let parts: Vec<_> = reaches(links).into_iter().map(|r| (r.heard, r.covered)).collect();
     assert_eq!(parts, [(1, 1), (1, 1), (2, 2), (2, 2), (2, 2)]);
     let whole = Links((1 << 10) - 1);
-    assert!(reaches(whole).iter().all(|r| *r == Reach { heard: 4, covered: 4 }));
+    assert!(reaches(whole).iter().all(|r| *r == Reachability { heard: 4, covered: 4 }));
 }
 
 #[test]
@@ -105,12 +105,12 @@
     b.hear(now, c.report(now, ReportDetail::Full), true);
     a.hear(now, b.report(now, ReportDetail::Full), true);
     b.measure_reach(now, |_| true);
-    assert_eq!(a.measure_reach(now, |_| true), Reach { heard: 1, covered: 1 });
+    assert_eq!(a.measure_reach(now, |_| true), Reachability { heard: 1, covered: 1 });
     a.hear(now, b.report(now, ReportDetail::Full), true);
-    let heard = |covered| Reach { heard: 1, covered };
+    let heard = |covered| Reachability { heard: 1, covered };
     assert_eq!(a.measure_reach(now, |_| true), heard(1));
     assert_eq!(a.measure_reach(now + 399 * MS, |_| true), heard(1));
     assert_eq!(a.measure_reach(now + 400 * MS, |_| true), heard(0));
     a.hear(now + 400 * MS, c.report(now, ReportDetail::Full), true);
-    assert_eq!(a.measure_reach(now + 400 * MS, |_| true), Reach { heard: 2, covered: 2 });
+    assert_eq!(a.measure_reach(now + 400 * MS, |_| true), Reachability { heard: 2, covered: 2 });
 }
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -11,8 +11,8 @@
 use oxbowbend_core::admission::Admission;
 use oxbowbend_core::ages::Ages;
 use oxbowbend_core::cell::{
-    Assignment, Cell, CellLayout, Outcome, QueuedRequest, Reach, RemoteInstances, Report, Ticket,
-    UNHEARD,
+    Assignment, Cell, CellLayout, Outcome, QueuedRequest, Reachability, RemoteInstances, Report,
+    Ticket, UNHEARD,
 };
 use oxbowbend_core::ids::{AccountId, EndpointKey, InstanceId, ZoneId};
 use oxbowbend_core::quarantine::Quarantine;
@@ -123,7 +123,8 @@
     /// the cell.
     pub(crate) fn set_shares(&mut self, now: Instant) {
         let peers = &self.group.peers;
-        let Reach { heard: near, covered } = self.cell.measure_reach(now, |i| peers.contains(i));
+        let Reachability { heard: near, covered } =
+            self.cell.measure_reach(now, |i| peers.contains(i));
         // In a fleet of several cells sums come from representatives, whoever hears whom in a cell; and while
         // instances do not agree on who belongs to it, each hears somebody whom another does not.
         let covered = if self.group.cells > 1 { near } else { covered };
