--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -33,7 +33,7 @@
 pub use leaving::Leaver;
 pub use limits::{LimitChange, ToldLimit};
 pub use pace::FIXED_UNITS;
-pub use reachability::{Names, Reachability};
+pub use reachability::{InstanceFilter, Reachability};
 pub use receive::{CounterDeltas, ReportDeltas};
 pub use report::{Claim, Load, Report, Tally, ToldEndpoints};
 pub use shedding::{Patience, RetryAfter};
@@ -169,7 +169,7 @@
     /// Instances of the cell that are heard, this one included.
     reach: u32,
     /// Their names.
-    heard_names: reachability::Names,
+    heard_names: reachability::InstanceFilter,
     shedding: shedding::Shedding,
     /// Whether this instance represents the cell.
     is_representative: bool,
@@ -212,7 +212,7 @@
             last_bad: None,
             share: 1.0,
             reach: 1,
-            heard_names: reachability::Names::default(),
+            heard_names: reachability::InstanceFilter::default(),
             shedding: shedding::Shedding::default(),
             is_representative: false,
             summed: BTreeMap::new(),
--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -35,9 +35,9 @@
 
 /// A set of instances as a Bloom filter, which is enough to tell whether one hears somebody whom another does not.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct Names([u64; 2]);
+pub struct InstanceFilter([u64; 2]);
 
-impl Names {
+impl InstanceFilter {
     fn add(&mut self, name: &str) {
         for seed in 0..BITS_OF_A_NAME {
             let hash = xxh3_64_with_seed(name.as_bytes(), seed);
@@ -46,7 +46,7 @@
     }
 
     /// Whether all of these are among others.
-    fn are_among(self, others: Names) -> bool {
+    fn are_among(self, others: InstanceFilter) -> bool {
         self.0[0] & !others.0[0] == 0 && self.0[1] & !others.0[1] == 0
     }
 }
@@ -58,7 +58,7 @@
         now: Instant,
         is_near: impl Fn(&InstanceId) -> bool,
     ) -> Reachability {
-        let mut names = Names::default();
+        let mut names = InstanceFilter::default();
         names.add(&self.me);
         let mut near = Vec::new();
         for peer in self.peers.values_mut().filter(|p| p.is_live(now, PEER_TTL)) {
@@ -82,7 +82,7 @@
 
 impl super::peer::Peer {
     /// Whether it has long heard somebody who is not among these.
-    fn is_wider(&mut self, now: Instant, names: Names) -> bool {
+    fn is_wider(&mut self, now: Instant, names: InstanceFilter) -> bool {
         if self.report.heard_names.unwrap_or_default().are_among(names) {
             self.wider_since = None;
             return false;
