--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -35,7 +35,7 @@
 pub use pace::FIXED_UNITS;
 pub use reachability::{InstanceFilter, Reachability};
 pub use receive::{CounterDeltas, ReportDeltas};
-pub use report::{Claim, Load, Report, Tally, ToldEndpoints};
+pub use report::{Claim, EndpointLoad, Report, Tally, ToldEndpoints};
 pub use shedding::{Patience, RetryAfter};
 pub use signals::{Origin, Said, Signals};
 
@@ -263,7 +263,7 @@
             ReportDetail::Full => MENTION_ALL,
         };
         let running = self.sites.iter().filter(|(_, s)| s.running > 0);
-        let load = |(key, s): (&EndpointKey, &EndpointState)| Load {
+        let load = |(key, s): (&EndpointKey, &EndpointState)| EndpointLoad {
             endpoint: *key,
             running: s.running,
             unread: s.unread,
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -73,7 +73,7 @@
     /// Requests that endpoints execute for it, and the tokens of prompts that these have not answered
     /// with a first event; none where there are none.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
-    pub loads: Vec<Load>,
+    pub loads: Vec<EndpointLoad>,
     /// Whether all counters are told, of accounts and of endpoints used lately.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub in_full: bool,
@@ -153,7 +153,7 @@
 /// What an instance has running at one endpoint. It travels as a list of its parts in this order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(from = "(EndpointKey, u32, u32)", into = "(EndpointKey, u32, u32)")]
-pub struct Load {
+pub struct EndpointLoad {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Requests that it executes for the sender.
@@ -162,14 +162,14 @@
     pub unread: u32,
 }
 
-impl From<(EndpointKey, u32, u32)> for Load {
-    fn from((endpoint, running, unread): (EndpointKey, u32, u32)) -> Load {
-        Load { endpoint, running, unread }
+impl From<(EndpointKey, u32, u32)> for EndpointLoad {
+    fn from((endpoint, running, unread): (EndpointKey, u32, u32)) -> EndpointLoad {
+        EndpointLoad { endpoint, running, unread }
     }
 }
 
-impl From<Load> for (EndpointKey, u32, u32) {
-    fn from(load: Load) -> (EndpointKey, u32, u32) {
+impl From<EndpointLoad> for (EndpointKey, u32, u32) {
+    fn from(load: EndpointLoad) -> (EndpointKey, u32, u32) {
         (load.endpoint, load.running, load.unread)
     }
 }
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -6,7 +6,8 @@
 
 use cells::{cell, endpoint, key, placed, want, MS};
 use oxbowbend_core::cell::{
-    Load, Outcome, QueuedRequest, ReportDeltas, ReportDetail, PEER_TTL, UNHEARD, WAITING_TTL,
+    EndpointLoad, Outcome, QueuedRequest, ReportDeltas, ReportDetail, PEER_TTL, UNHEARD,
+    WAITING_TTL,
 };
 use oxbowbend_core::routes::Endpoint;
 
@@ -340,7 +341,7 @@
     assert_eq!(placed(&mut a, now).len(), 1);
     a.set_endpoints([endpoint(2, 4)]);
     let loads = a.report(now, ReportDetail::Loads).loads;
-    assert_eq!(loads, [Load { endpoint: key("e0"), running: 1, unread: 100 }]);
+    assert_eq!(loads, [EndpointLoad { endpoint: key("e0"), running: 1, unread: 100 }]);
     a.arrive(want(0, 100, now));
     assert_eq!(placed(&mut a, now)[0].1, "e2", "no further requests");
     a.finish(now, key("e0"), 100, Outcome::Good);
