--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -35,7 +35,7 @@
 pub use pace::FIXED_UNITS;
 pub use reachability::{InstanceFilter, Reachability};
 pub use receive::{CounterDeltas, ReportDeltas};
-pub use report::{Claim, EndpointLoad, Report, Tally, ToldEndpoints};
+pub use report::{Claim, EndpointLoad, EndpointStats, Report, ToldEndpoints};
 pub use shedding::{Patience, RetryAfter};
 pub use signals::{Origin, Said, Signals};
 
@@ -273,7 +273,7 @@
         let used = self.sites.iter().filter(|(_, s)| lately(s));
         let tallies = used.map(|(key, s)| {
             let (ns_per_unit, samples) = s.pace.as_parts();
-            Tally { endpoint: *key, good: s.good, bad: s.bad, ns_per_unit, samples }
+            EndpointStats { endpoint: *key, good: s.good, bad: s.bad, ns_per_unit, samples }
         });
         let tallies = tallies.collect();
         let mut waiting: Vec<_> = self.waiting.values().collect();
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -79,7 +79,7 @@
     pub in_full: bool,
     /// What it has seen of endpoints that it used lately. Told now and then only.
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
-    pub tallies: Vec<Tally>,
+    pub tallies: Vec<EndpointStats>,
     /// What waits at it, the first in order first.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub claims: Vec<Claim>,
@@ -178,7 +178,7 @@
 /// list of its parts in this order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(from = "TallyParts", into = "TallyParts")]
-pub struct Tally {
+pub struct EndpointStats {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Requests that it answered well.
@@ -193,14 +193,14 @@
 
 type TallyParts = (EndpointKey, u64, u64, u64, u32);
 
-impl From<TallyParts> for Tally {
-    fn from((endpoint, good, bad, ns_per_unit, samples): TallyParts) -> Tally {
-        Tally { endpoint, good, bad, ns_per_unit, samples }
+impl From<TallyParts> for EndpointStats {
+    fn from((endpoint, good, bad, ns_per_unit, samples): TallyParts) -> EndpointStats {
+        EndpointStats { endpoint, good, bad, ns_per_unit, samples }
     }
 }
 
-impl From<Tally> for TallyParts {
-    fn from(t: Tally) -> TallyParts {
+impl From<EndpointStats> for TallyParts {
+    fn from(t: EndpointStats) -> TallyParts {
         (t.endpoint, t.good, t.bad, t.ns_per_unit, t.samples)
     }
 }
