--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -177,7 +177,7 @@
 /// What an instance has seen of one endpoint. The counters run from the start of its life. It travels as a
 /// list of its parts in this order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
-#[serde(from = "TallyParts", into = "TallyParts")]
+#[serde(from = "EndpointStatsParts", into = "EndpointStatsParts")]
 pub struct EndpointStats {
     /// The endpoint.
     pub endpoint: EndpointKey,
@@ -191,16 +191,16 @@
     pub samples: u32,
 }
 
-type TallyParts = (EndpointKey, u64, u64, u64, u32);
+type EndpointStatsParts = (EndpointKey, u64, u64, u64, u32);
 
-impl From<TallyParts> for EndpointStats {
-    fn from((endpoint, good, bad, ns_per_unit, samples): TallyParts) -> EndpointStats {
+impl From<EndpointStatsParts> for EndpointStats {
+    fn from((endpoint, good, bad, ns_per_unit, samples): EndpointStatsParts) -> EndpointStats {
         EndpointStats { endpoint, good, bad, ns_per_unit, samples }
     }
 }
 
-impl From<EndpointStats> for TallyParts {
-    fn from(t: EndpointStats) -> TallyParts {
+impl From<EndpointStats> for EndpointStatsParts {
+    fn from(t: EndpointStats) -> EndpointStatsParts {
         (t.endpoint, t.good, t.bad, t.ns_per_unit, t.samples)
     }
 }
