--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -35,7 +35,7 @@
 pub use pace::FIXED_UNITS;
 pub use reachability::{InstanceFilter, Reachability};
 pub use receive::{CounterDeltas, ReportDeltas};
-pub use report::{Claim, EndpointLoad, EndpointStats, Report, ToldEndpoints};
+pub use report::{EndpointLoad, EndpointStats, Report, ToldEndpoints, WaitingRequest};
 pub use shedding::{Patience, RetryAfter};
 pub use signals::{Origin, Said, Signals};
 
@@ -279,7 +279,7 @@
         let mut waiting: Vec<_> = self.waiting.values().collect();
         waiting.sort_by_key(|w| self.order(now, w));
         let is_beat = extent != ReportDetail::Loads;
-        let claims = waiting.into_iter().take(MAX_CLAIMS).map(|w| Claim {
+        let claims = waiting.into_iter().take(MAX_CLAIMS).map(|w| WaitingRequest {
             service: w.service.clone(),
             rank: w.rank,
             waited_ms: now.saturating_duration_since(w.arrived).as_millis() as u32,
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -82,7 +82,7 @@
     pub tallies: Vec<EndpointStats>,
     /// What waits at it, the first in order first.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
-    pub claims: Vec<Claim>,
+    pub claims: Vec<WaitingRequest>,
     /// Units admitted in this life, by client account.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub spent: Vec<(AccountId, u64)>,
@@ -207,7 +207,7 @@
 
 /// A waiting request. Ages are sent instead of times, since no two clocks agree.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct Claim {
+pub struct WaitingRequest {
     /// The service it waits for.
     #[serde(rename = "s")]
     pub service: ServiceId,
