--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -6,7 +6,7 @@
 
 use super::leaving::Leaver;
 use super::limits::{LimitChange, Scope};
-use super::report::ToldEndpoints;
+use super::report::EndpointNotices;
 use super::signals::{Audience, Origin, Said, Signals};
 use super::{Cell, EndpointState};
 use crate::ids::{EndpointKey, InstanceId, ServiceId};
@@ -56,22 +56,27 @@
     }
 
     /// Takes in what another instance tells of endpoints, whether they are listed here yet or not.
-    pub fn told_of_endpoints(&mut self, now: Instant, said: &ToldEndpoints, is_near: bool) {
+    pub fn told_of_endpoints(&mut self, now: Instant, said: &EndpointNotices, is_near: bool) {
         let origin = if is_near { Origin::Cell } else { Origin::Fleet };
         self.limits.told(now, &said.limits, origin);
         said.leaving.iter().for_each(|key| self.leaving.hear(now, *key, origin));
     }
 
     /// The same from a report. Of endpoints that are not listed nothing is believed: it would be told from one to the other for ever.
-    pub(super) fn hear_of_endpoints(&mut self, now: Instant, said: &ToldEndpoints, is_near: bool) {
+    pub(super) fn hear_of_endpoints(
+        &mut self,
+        now: Instant,
+        said: &EndpointNotices,
+        is_near: bool,
+    ) {
         let listed = said.leaving.iter().filter(|key| self.is_listed(**key));
         let leaving = listed.copied().collect();
-        let listed = ToldEndpoints { leaving, limits: said.limits.clone() };
+        let listed = EndpointNotices { leaving, limits: said.limits.clone() };
         self.told_of_endpoints(now, &listed, is_near);
     }
 
     /// What its cell is told of endpoints.
-    pub(super) fn tell_of_endpoints(&self, now: Instant) -> ToldEndpoints {
+    pub(super) fn tell_of_endpoints(&self, now: Instant) -> EndpointNotices {
         let audience = match self.is_representative {
             true => Audience::CellOfRepresentative,
             false => Audience::Cell,
@@ -81,7 +86,7 @@
 
     /// What other cells are told: limits of endpoints that belong to all cells, and all who leave, since an endpoint may come to
     /// another cell, and an instance that has just started asks any for the list of endpoints.
-    pub fn tell_others_of_endpoints(&self, now: Instant) -> ToldEndpoints {
+    pub fn tell_others_of_endpoints(&self, now: Instant) -> EndpointNotices {
         let is_shared = |key: &EndpointKey| {
             let service = self.sites.get(key).map(|s| &s.endpoint.service);
             service.is_some_and(|service| self.shared.contains(service))
@@ -90,7 +95,7 @@
     }
 
     /// What an instance is told that has just started.
-    pub fn introduce_endpoints(&self, now: Instant) -> ToldEndpoints {
+    pub fn introduce_endpoints(&self, now: Instant) -> EndpointNotices {
         self.tell(now, Audience::Newcomer, |key| self.is_listed(*key))
     }
 
@@ -99,10 +104,10 @@
         now: Instant,
         audience: Audience,
         is_for: impl Fn(&EndpointKey) -> bool,
-    ) -> ToldEndpoints {
+    ) -> EndpointNotices {
         let limits = self.limits.tell(now, audience, is_for);
         let leaving = self.leaving.tell(now, audience, |key| self.is_listed(*key));
-        ToldEndpoints { limits, leaving }
+        EndpointNotices { limits, leaving }
     }
 
     /// What was newly believed of limits since the last call.
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -35,7 +35,7 @@
 pub use pace::FIXED_UNITS;
 pub use reachability::{InstanceFilter, Reachability};
 pub use receive::{CounterDeltas, ReportDeltas};
-pub use report::{EndpointLoad, EndpointStats, Report, ToldEndpoints, WaitingRequest};
+pub use report::{EndpointLoad, EndpointNotices, EndpointStats, Report, WaitingRequest};
 pub use shedding::{Patience, RetryAfter};
 pub use signals::{Origin, Said, Signals};
 
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -122,8 +122,8 @@
     #[serde(rename = "W", default, skip_serializing_if = "Vec::is_empty")]
     pub windows: Vec<(AccountId, Window)>,
     /// What endpoints have said of themselves. Told with beats only.
-    #[serde(rename = "B", default, skip_serializing_if = "ToldEndpoints::is_empty")]
-    pub said: ToldEndpoints,
+    #[serde(rename = "B", default, skip_serializing_if = "EndpointNotices::is_empty")]
+    pub said: EndpointNotices,
     /// What it knows of requests that end endpoints.
     #[serde(rename = "Q", default, skip_serializing_if = "Told::is_empty")]
     pub quarantine: Told,
@@ -134,7 +134,7 @@
 
 /// What endpoints have said of themselves in their answers.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct ToldEndpoints {
+pub struct EndpointNotices {
     /// Limits, of endpoints that have named one.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<super::ToldLimit>,
@@ -143,7 +143,7 @@
     pub leaving: Vec<EndpointKey>,
 }
 
-impl ToldEndpoints {
+impl EndpointNotices {
     /// Whether nothing is told.
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty() && self.leaving.is_empty()
--- a/oxbowbend-gateway/src/knowledge.rs
+++ b/oxbowbend-gateway/src/knowledge.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use oxbowbend_clock as clock;
-use oxbowbend_core::cell::ToldEndpoints;
+use oxbowbend_core::cell::EndpointNotices;
 use oxbowbend_core::ids::{EndpointId, InstanceId};
 use oxbowbend_core::routes::Endpoint;
 use serde::{Deserialize, Serialize};
@@ -39,8 +39,8 @@
     pub(crate) lapsed: Vec<EndpointId>,
     pub(crate) instances: Vec<(InstanceId, Entry)>,
     /// What endpoints have said of themselves.
-    #[serde(default, skip_serializing_if = "ToldEndpoints::is_empty")]
-    pub(crate) said: ToldEndpoints,
+    #[serde(default, skip_serializing_if = "EndpointNotices::is_empty")]
+    pub(crate) said: EndpointNotices,
 }
 
 #[derive(Debug, Deserialize, Serialize)]
