--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -7,7 +7,7 @@
 use super::leaving::Leaver;
 use super::limits::{LimitChange, Scope};
 use super::report::EndpointNotices;
-use super::signals::{Audience, Origin, Said, Signals};
+use super::signals::{Audience, Origin, SignalValue, Signals};
 use super::{Cell, EndpointState};
 use crate::ids::{EndpointKey, InstanceId, ServiceId};
 
@@ -44,7 +44,7 @@
         if signals.is_draining {
             self.leaving.hear(now, endpoint, Origin::Answer);
         }
-        if let Said::Value(rest) = signals.backoff {
+        if let SignalValue::Value(rest) = signals.backoff {
             self.rests.grant(now, endpoint, rest);
         }
     }
--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -21,7 +21,7 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::signals::{Audience, Origin, Said};
+use super::signals::{Audience, Origin, SignalValue};
 use crate::ids::{EndpointKey, InstanceId};
 
 /// Seconds of the window in which the users count.
@@ -149,12 +149,12 @@
         now: Instant,
         endpoint: EndpointKey,
         sent: Instant,
-        said: Said<f64>,
+        said: SignalValue<f64>,
     ) {
         let per_s = match said {
-            Said::Nothing => None,
-            Said::Value(per_s) => Some(per_s),
-            Said::Unreadable => return,
+            SignalValue::Nothing => None,
+            SignalValue::Value(per_s) => Some(per_s),
+            SignalValue::Unreadable => return,
         };
         let before = self.beliefs.get(&endpoint);
         let is_looser = |b: &Belief| rate(per_s) > rate(b.per_s);
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -37,7 +37,7 @@
 pub use receive::{CounterDeltas, ReportDeltas};
 pub use report::{EndpointLoad, EndpointNotices, EndpointStats, Report, WaitingRequest};
 pub use shedding::{Patience, RetryAfter};
-pub use signals::{Origin, Said, Signals};
+pub use signals::{Origin, SignalValue, Signals};
 
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/oxbowbend-core/src/cell/signals.rs
+++ b/oxbowbend-core/src/cell/signals.rs
@@ -4,7 +4,7 @@
 
 /// A value that an answer may name.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Said<T> {
+pub enum SignalValue<T> {
     /// It names none.
     #[default]
     Nothing,
@@ -14,7 +14,7 @@
     Unreadable,
 }
 
-impl<T: Copy> Said<T> {
+impl<T: Copy> SignalValue<T> {
     /// The value.
     ///
     /// ```
@@ -24,8 +24,8 @@
     /// ```
     pub fn value(self) -> Option<T> {
         match self {
-            Said::Value(value) => Some(value),
-            Said::Nothing | Said::Unreadable => None,
+            SignalValue::Value(value) => Some(value),
+            SignalValue::Nothing | SignalValue::Unreadable => None,
         }
     }
 }
@@ -34,11 +34,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
     /// Requests a second that it takes from all instances together.
-    pub rate_limit: Said<f64>,
+    pub rate_limit: SignalValue<f64>,
     /// Whether it leaves, and takes no new requests.
     pub is_draining: bool,
     /// Time for which it wants nothing from this instance.
-    pub backoff: Said<Duration>,
+    pub backoff: SignalValue<Duration>,
 }
 
 /// From whom a word of an endpoint is known.
--- a/oxbowbend-core/tests/leaving.rs
+++ b/oxbowbend-core/tests/leaving.rs
@@ -9,9 +9,9 @@
 use oxbowbend_core::routes::Endpoint;
 
 const LEAVES: Signals = Signals {
-    rate_limit: oxbowbend_core::cell::Said::Nothing,
+    rate_limit: oxbowbend_core::cell::SignalValue::Nothing,
     is_draining: true,
-    backoff: oxbowbend_core::cell::Said::Nothing,
+    backoff: oxbowbend_core::cell::SignalValue::Nothing,
 };
 
 fn hears_from(to: &mut Cell, from: &mut Cell, now: Instant) {
--- a/oxbowbend-core/tests/limit_exploration.rs
+++ b/oxbowbend-core/tests/limit_exploration.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, key, want, MS};
-use oxbowbend_core::cell::{Cell, Outcome, ReportDetail, Said, Signals};
+use oxbowbend_core::cell::{Cell, Outcome, ReportDetail, SignalValue, Signals};
 use oxbowbend_core::ids::InstanceId;
 use rand::{Rng, SeedableRng};
 
@@ -141,7 +141,7 @@
 
     fn answer(&mut self, answer: &Answer) {
         let at = self.now + 100 * MS;
-        let rate_limit = answer.limit.map_or(Said::Nothing, Said::Value);
+        let rate_limit = answer.limit.map_or(SignalValue::Nothing, SignalValue::Value);
         let signals = Signals { rate_limit, ..Signals::default() };
         self.cells[answer.instance].endpoint_said(at, key("e0"), answer.sent, signals);
         if answer.limit.is_some() {
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, key, want, MS};
-use oxbowbend_core::cell::{Cell, Origin, Outcome, ReportDetail, Said, Signals};
+use oxbowbend_core::cell::{Cell, Origin, Outcome, ReportDetail, SignalValue, Signals};
 use oxbowbend_core::ids::InstanceId;
 use rand::{Rng, SeedableRng};
 
@@ -26,7 +26,10 @@
 }
 
 fn says(limit: Option<f64>) -> Signals {
-    Signals { rate_limit: limit.map_or(Said::Nothing, Said::Value), ..Signals::default() }
+    Signals {
+        rate_limit: limit.map_or(SignalValue::Nothing, SignalValue::Value),
+        ..Signals::default()
+    }
 }
 
 /// Sends all that may be sent, up to `most`; returns how many.
@@ -172,7 +175,7 @@
     }
     let mut cell = instance(0, &names(1));
     cell.endpoint_said(at(0), key("e0"), at(0), says(Some(1.0)));
-    let unreadable = Signals { rate_limit: Said::Unreadable, ..Signals::default() };
+    let unreadable = Signals { rate_limit: SignalValue::Unreadable, ..Signals::default() };
     cell.endpoint_said(at(20), key("e0"), at(10), unreadable);
     assert_eq!(cell.limited(), 1, "what cannot be read ends no limit");
 }
--- a/oxbowbend-core/tests/rests.rs
+++ b/oxbowbend-core/tests/rests.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, key, placed, want, MS};
-use oxbowbend_core::cell::{Cell, Outcome, Patience, ReportDetail, Said, Signals};
+use oxbowbend_core::cell::{Cell, Outcome, Patience, ReportDetail, SignalValue, Signals};
 
 fn asks_for_rest(cell: &mut Cell, now: Instant, name: &str, ms: u64) {
-    let backoff = Said::Value(Duration::from_millis(ms));
+    let backoff = SignalValue::Value(Duration::from_millis(ms));
     cell.endpoint_said(now, key(name), now, Signals { backoff, ..Signals::default() });
 }
 
--- a/oxbowbend-gateway/src/signals.rs
+++ b/oxbowbend-gateway/src/signals.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use oxbowbend_clock as clock;
-use oxbowbend_core::cell::{Leaver, LimitChange, Said, Signals};
+use oxbowbend_core::cell::{Leaver, LimitChange, SignalValue, Signals};
 use oxbowbend_core::ids::EndpointKey;
 use oxbowbend_core::routes::Endpoint;
 
@@ -19,7 +19,9 @@
         sent: Instant,
         signals: Signals,
     ) {
-        if signals.rate_limit == Said::Unreadable || signals.backoff == Said::Unreadable {
+        if signals.rate_limit == SignalValue::Unreadable
+            || signals.backoff == SignalValue::Unreadable
+        {
             log::warn!(
                 "event=endpoint_said_unreadable endpoint={} id={id} {signals:?}",
                 endpoint.id
