--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -12,7 +12,7 @@
 
 /// Counters that an instance has told so far, which only grow in its life. Frequent reports leave them out.
 #[derive(Clone, Debug)]
-pub(super) struct Counted<K> {
+pub(super) struct CounterBaselines<K> {
     /// Its own.
     pub(super) own: HashMap<K, u64>,
     /// Those of its cell.
@@ -21,9 +21,9 @@
     pub(super) fleet: HashMap<K, u64>,
 }
 
-impl<K> Default for Counted<K> {
-    fn default() -> Counted<K> {
-        Counted { own: HashMap::new(), cell: HashMap::new(), fleet: HashMap::new() }
+impl<K> Default for CounterBaselines<K> {
+    fn default() -> CounterBaselines<K> {
+        CounterBaselines { own: HashMap::new(), cell: HashMap::new(), fleet: HashMap::new() }
     }
 }
 
@@ -39,9 +39,9 @@
     /// Whether a full report was heard, which the counters go on from.
     pub(super) is_counted: bool,
     /// Units admitted, by account.
-    pub(super) spent: Counted<AccountId>,
+    pub(super) spent: CounterBaselines<AccountId>,
     /// Answers of versions that are rolled out.
-    pub(super) evidence: Counted<EvidenceKey>,
+    pub(super) evidence: CounterBaselines<EvidenceKey>,
     /// Whether a report with all of its own counters was heard, of those of its cell, of those of the others.
     pub(super) knows_own: bool,
     pub(super) knows_cell: bool,
@@ -86,8 +86,8 @@
             since: now,
             counted: HashMap::new(),
             is_counted: false,
-            spent: Counted::default(),
-            evidence: Counted::default(),
+            spent: CounterBaselines::default(),
+            evidence: CounterBaselines::default(),
             knows_own: false,
             knows_cell: false,
             knows_fleet: false,
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -4,7 +4,7 @@
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-use super::peer::{count_on, Counted, Peer};
+use super::peer::{count_on, CounterBaselines, Peer};
 use super::report::Report;
 use super::{pace, Cell, PEER_TTL};
 use crate::ids::{AccountId, InstanceId};
@@ -68,7 +68,7 @@
 impl Counting {
     fn growth<K: Clone + Eq + Hash>(
         self,
-        counted: &mut Counted<K>,
+        counted: &mut CounterBaselines<K>,
         told: ToldCounters<'_, K>,
     ) -> CounterDeltas<K> {
         let own = count_on(&mut counted.own, told.own, self.is_first);
