--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -47,7 +47,7 @@
 
 /// What of a report's counters is counted here.
 #[derive(Clone, Copy, Debug)]
-struct Counting {
+struct DeltaContext {
     /// Whether the sender belongs to this cell.
     is_near: bool,
     /// Whether its sums of other cells, or of its own if it belongs to another one, are not told by somebody else.
@@ -65,7 +65,7 @@
     fleet: &'a [(K, u64)],
 }
 
-impl Counting {
+impl DeltaContext {
     fn growth<K: Clone + Eq + Hash>(
         self,
         counted: &mut CounterBaselines<K>,
@@ -150,7 +150,7 @@
         is_near: bool,
     ) -> ReportDeltas {
         let lately = self.begin_sums(now, peer, report, is_near);
-        let counting = Counting {
+        let counting = DeltaContext {
             is_near,
             is_teller: self.is_teller(now, report, is_near),
             is_first: !peer.knows_own,
