--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -59,7 +59,7 @@
 }
 
 /// Counters of one sort in a report.
-struct ToldCounters<'a, K> {
+struct ReportedCounters<'a, K> {
     own: &'a [(K, u64)],
     cell: &'a [(K, u64)],
     fleet: &'a [(K, u64)],
@@ -69,7 +69,7 @@
     fn growth<K: Clone + Eq + Hash>(
         self,
         counted: &mut CounterBaselines<K>,
-        told: ToldCounters<'_, K>,
+        told: ReportedCounters<'_, K>,
     ) -> CounterDeltas<K> {
         let own = count_on(&mut counted.own, told.own, self.is_first);
         let cell = count_on(&mut counted.cell, told.cell, self.is_first_cell);
@@ -161,12 +161,12 @@
         peer.knows_cell |= report.is_cell_told;
         peer.knows_fleet |= is_near && report.fleet.as_ref().is_some_and(|view| view.is_full);
         let view = report.fleet.as_ref();
-        let spent = ToldCounters {
+        let spent = ReportedCounters {
             own: &report.spent,
             cell: &report.cell_spent,
             fleet: view.map_or(&[], |view| &view.spent),
         };
-        let evidence = ToldCounters {
+        let evidence = ReportedCounters {
             own: &report.evidence,
             cell: &report.cell_evidence,
             fleet: view.map_or(&[], |view| &view.evidence),
