--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -65,7 +65,7 @@
 
 /// A watch to begin.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Call {
+pub struct WatchParams {
     /// How long the store may wait for a change.
     pub wait: Duration,
     /// How long the answer may take, the wait included.
@@ -151,7 +151,7 @@
     /// assert_eq!(subscription.begin(now, role).wait, Duration::ZERO);
     /// assert!(subscription.failed(Failure::Unanswered));
     /// ```
-    pub fn begin(&mut self, now: Instant, role: Role) -> Call {
+    pub fn begin(&mut self, now: Instant, role: Role) -> WatchParams {
         let wait = match role.rank {
             _ if self.is_probe_due => Duration::ZERO,
             0 => role.every.saturating_sub(self.told_age(now).unwrap_or(Duration::ZERO)),
@@ -159,7 +159,7 @@
         };
         self.pending = Some(Pending { began: now, wait });
         self.differs_since = None;
-        Call { wait, limit: wait + ANSWER[self.failures.min(ANSWER.len() - 1)] }
+        WatchParams { wait, limit: wait + ANSWER[self.failures.min(ANSWER.len() - 1)] }
     }
 
     /// Notes an answer of the store.
--- a/oxbowbend-gateway/src/seam.rs
+++ b/oxbowbend-gateway/src/seam.rs
@@ -14,7 +14,7 @@
 use oxbowbend_core::quota::Window;
 use oxbowbend_core::rollout::{Order, Status, ToldRollout};
 use oxbowbend_core::routes::{Endpoint, Table};
-use oxbowbend_core::subscription::Call;
+use oxbowbend_core::subscription::WatchParams;
 use thiserror::Error;
 
 /// Revision of the store.
@@ -278,7 +278,7 @@
         &self,
         part: Part,
         after: Revision,
-        call: Call,
+        call: WatchParams,
     ) -> impl Future<Output = Result<Snapshot, StoreError>> + Send;
 
     /// Reads the instances that have entered themselves; the answer may be some seconds old.
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::cell::Report;
-use oxbowbend_core::subscription::{Call, GivenUp, Role, Subscription};
+use oxbowbend_core::subscription::{GivenUp, Role, Subscription, WatchParams};
 
 use crate::seam::Part;
 use crate::shared::{Shared, State};
@@ -95,7 +95,7 @@
     }
 
     /// Begins a watch of a part.
-    pub(crate) fn begin_watch(&self, now: Instant, part: Part) -> Call {
+    pub(crate) fn begin_watch(&self, now: Instant, part: Part) -> WatchParams {
         // A watch can be answered in the moment in which it is given up.
         let _ = self.given_up[part as usize].1.try_recv();
         let mut state = self.lock();
