--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -74,7 +74,7 @@
 
 /// Why a watch was given up.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum GivenUp {
+pub enum CancelReason {
     /// Nobody has verified for too long that there is nothing newer.
     Unverified,
     /// Another instance knows something newer.
@@ -192,7 +192,7 @@
     }
 
     /// Whether the watch that waits is to be given up, and why. The next one does not wait.
-    pub fn give_up(&mut self, now: Instant, role: Role) -> Option<GivenUp> {
+    pub fn give_up(&mut self, now: Instant, role: Role) -> Option<CancelReason> {
         let pending = self.pending?;
         // Such a one is answered, or fails, by its own limit.
         if pending.wait <= role.every {
@@ -200,9 +200,9 @@
         }
         let given_up = if self.is_overtaken(now, pending) {
             self.tolerance = Some(Tolerance::after(now, self.tolerance));
-            GivenUp::Overtaken
+            CancelReason::Overtaken
         } else if self.age(now).is_none_or(|age| age >= role.limit()) {
-            GivenUp::Unverified
+            CancelReason::Unverified
         } else {
             return None;
         };
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use followers::{Fleet, Outage, Silence};
-use oxbowbend_core::subscription::{Failure, GivenUp, Role, Subscription};
+use oxbowbend_core::subscription::{CancelReason, Failure, Role, Subscription};
 
 const MS: Duration = Duration::from_millis(1);
 /// The users' bound on changes.
@@ -42,7 +42,7 @@
 #[test]
 fn what_another_instance_was_told_counts_if_it_knows_the_same() {
     let now = Instant::now();
-    for (is_same, given_up) in [(true, None), (false, Some(GivenUp::Unverified))] {
+    for (is_same, given_up) in [(true, None), (false, Some(CancelReason::Unverified))] {
         let (mut subscription, role) = listed(now, 1);
         subscription.begin(now, role);
         subscription.heard(now + 1650 * MS, now + 1600 * MS, is_same);
@@ -62,7 +62,7 @@
         let at = now + ms * MS;
         subscription.heard(at, at - 10 * MS, false);
         let Some(given_up) = subscription.give_up(at, role) else { continue };
-        if given_up == GivenUp::Overtaken {
+        if given_up == CancelReason::Overtaken {
             gaps.push(at - last);
             last = at;
         }
--- a/oxbowbend-gateway/src/follow.rs
+++ b/oxbowbend-gateway/src/follow.rs
@@ -15,7 +15,7 @@
 use oxbowbend_clock as clock;
 use oxbowbend_core::cell::Report;
 use oxbowbend_core::ids::{InstanceId, ZoneId};
-use oxbowbend_core::subscription::{Failure, GivenUp};
+use oxbowbend_core::subscription::{CancelReason, Failure};
 use oxbowbend_http::h1;
 use rand::Rng;
 
@@ -237,7 +237,7 @@
     );
 }
 
-fn log_given_up(part: Part, why: GivenUp, began: Instant) {
+fn log_given_up(part: Part, why: CancelReason, began: Instant) {
     let part = part.name();
     observe::store_call(part, "given_up");
     let waited_ms = clock::since(began).as_millis();
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -21,7 +21,7 @@
 use oxbowbend_core::rollout::Rollouts;
 use oxbowbend_core::routes::{Endpoint, Table};
 use oxbowbend_core::shutdown::Shutdown;
-use oxbowbend_core::subscription::GivenUp;
+use oxbowbend_core::subscription::CancelReason;
 
 use crate::quarantine::log_changes;
 use crate::source::Sources;
@@ -216,7 +216,7 @@
     /// Closed once requests can be served.
     loaded: (channel::Sender<()>, channel::Receiver<()>),
     /// Tells that the watch of a part is given up, by part.
-    pub(crate) given_up: [(channel::Sender<GivenUp>, channel::Receiver<GivenUp>); 2],
+    pub(crate) given_up: [(channel::Sender<CancelReason>, channel::Receiver<CancelReason>); 2],
 }
 
 impl Shared {
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::cell::Report;
-use oxbowbend_core::subscription::{GivenUp, Role, Subscription, WatchParams};
+use oxbowbend_core::subscription::{CancelReason, Role, Subscription, WatchParams};
 
 use crate::seam::Part;
 use crate::shared::{Shared, State};
@@ -46,7 +46,7 @@
     }
 
     /// Gives a watch up that is not to be relied on.
-    fn give_up(&mut self, now: Instant, part: Part) -> Option<GivenUp> {
+    fn give_up(&mut self, now: Instant, part: Part) -> Option<CancelReason> {
         let role = self.role(now, part);
         self.subscriptions.get(part).give_up(now, role)
     }
@@ -104,7 +104,7 @@
     }
 
     /// Waits until the watch of a part is given up.
-    pub(crate) async fn given_up(&self, part: Part) -> GivenUp {
+    pub(crate) async fn given_up(&self, part: Part) -> CancelReason {
         match self.given_up[part as usize].1.recv().await {
             Ok(why) => why,
             // This instance holds the sender as well.
