--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -83,7 +83,7 @@
 
 /// Why a watch has no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Failure {
+pub enum WatchFailure {
     /// There was none in time. The watch may have been lost on its way while the store was well.
     Unanswered,
     /// The store refused, or the connection failed.
@@ -172,11 +172,11 @@
     }
 
     /// Notes that a watch has failed; returns whether that means that the store is away.
-    pub fn failed(&mut self, failure: Failure) -> bool {
+    pub fn failed(&mut self, failure: WatchFailure) -> bool {
         let was_probe = self.pending.take().is_some_and(|p| p.wait == Duration::ZERO);
         self.is_probe_due = true;
         self.failures += 1;
-        was_probe || failure == Failure::Refused
+        was_probe || failure == WatchFailure::Refused
     }
 
     /// Notes what another instance knows: whether it is the same, and when the store told it that there was
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::subscription::{Failure, Role, Subscription};
+use oxbowbend_core::subscription::{Role, Subscription, WatchFailure};
 
 /// Steps of virtual time.
 const STEP: Duration = Duration::from_millis(10);
@@ -163,7 +163,7 @@
         }
         let call = follower.subscription.begin(at, role);
         if is_out && outage.silence == Silence::Refuses {
-            follower.fail(now, Failure::Refused);
+            follower.fail(now, WatchFailure::Refused);
             return;
         }
         let is_lost = is_out && matches!(outage.silence, Silence::Calls | Silence::Both);
@@ -178,11 +178,11 @@
         let silence = self.outage.silence;
         let follower = &mut self.followers[n];
         if is_out && silence == Silence::Refuses {
-            follower.fail(now, Failure::Refused);
+            follower.fail(now, WatchFailure::Refused);
             return;
         }
         if now - watch.began >= watch.limit {
-            follower.fail(now, Failure::Unanswered);
+            follower.fail(now, WatchFailure::Unanswered);
             return;
         }
         let is_due = stored > watch.after || now - watch.began >= watch.wait;
@@ -227,7 +227,7 @@
 }
 
 impl Follower {
-    fn fail(&mut self, now: i64, failure: Failure) {
+    fn fail(&mut self, now: i64, failure: WatchFailure) {
         self.watch = None;
         if self.subscription.failed(failure) {
             self.has_store = false;
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use followers::{Fleet, Outage, Silence};
-use oxbowbend_core::subscription::{CancelReason, Failure, Role, Subscription};
+use oxbowbend_core::subscription::{CancelReason, Role, Subscription, WatchFailure};
 
 const MS: Duration = Duration::from_millis(1);
 /// The users' bound on changes.
@@ -94,12 +94,12 @@
     for is_away in [false, true, true, true] {
         let call = subscription.begin(now, role);
         limits.push((call.limit - call.wait).as_millis());
-        assert_eq!(subscription.failed(Failure::Unanswered), is_away);
+        assert_eq!(subscription.failed(WatchFailure::Unanswered), is_away);
     }
     assert_eq!(limits, [500, 1000, 1500, 1500]);
     let (mut subscription, role) = listed(now, 0);
     subscription.begin(now, role);
-    assert!(subscription.failed(Failure::Refused));
+    assert!(subscription.failed(WatchFailure::Refused));
 }
 
 #[test]
--- a/oxbowbend-gateway/src/follow.rs
+++ b/oxbowbend-gateway/src/follow.rs
@@ -15,7 +15,7 @@
 use oxbowbend_clock as clock;
 use oxbowbend_core::cell::Report;
 use oxbowbend_core::ids::{InstanceId, ZoneId};
-use oxbowbend_core::subscription::{CancelReason, Failure};
+use oxbowbend_core::subscription::{CancelReason, WatchFailure};
 use oxbowbend_http::h1;
 use rand::Rng;
 
@@ -189,8 +189,8 @@
     /// Notes a watch without an answer; returns whether the store is away.
     fn failed(&self, part: Part, e: &StoreError) -> bool {
         let failure = match e {
-            StoreError::Timeout(_) => Failure::Unanswered,
-            _ => Failure::Refused,
+            StoreError::Timeout(_) => WatchFailure::Unanswered,
+            _ => WatchFailure::Refused,
         };
         let is_away = self.shared.lock().subscriptions.get(part).failed(failure);
         if is_away {
