--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -91,7 +91,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Pending {
+struct PendingWatch {
     began: Instant,
     wait: Duration,
 }
@@ -99,7 +99,7 @@
 /// State of the watch of one part of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Subscription {
-    pending: Option<Pending>,
+    pending: Option<PendingWatch>,
     /// When the store last told this instance all there was.
     verified: Option<Instant>,
     /// When it last told another one that knows the same.
@@ -157,7 +157,7 @@
             0 => role.every.saturating_sub(self.told_age(now).unwrap_or(Duration::ZERO)),
             _ => LONG,
         };
-        self.pending = Some(Pending { began: now, wait });
+        self.pending = Some(PendingWatch { began: now, wait });
         self.differs_since = None;
         WatchParams { wait, limit: wait + ANSWER[self.failures.min(ANSWER.len() - 1)] }
     }
@@ -211,7 +211,7 @@
         Some(given_up)
     }
 
-    fn is_overtaken(&self, now: Instant, pending: Pending) -> bool {
+    fn is_overtaken(&self, now: Instant, pending: PendingWatch) -> bool {
         let is_late =
             |since: Instant| since >= pending.began && now.duration_since(since) >= OVERTAKEN;
         self.differs_since.is_some_and(is_late) && self.tolerance.is_none_or(|t| now >= t.until)
