--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -111,20 +111,20 @@
     /// Since when another instance has known something newer.
     differs_since: Option<Instant>,
     /// For how long no watch is given up for that again.
-    tolerance: Option<Tolerance>,
+    tolerance: Option<MismatchBackoff>,
 }
 
 /// A difference to another instance that outlasts an answer of the store is tolerated longer each time.
 #[derive(Clone, Copy, Debug)]
-struct Tolerance {
+struct MismatchBackoff {
     until: Instant,
     next: Duration,
 }
 
-impl Tolerance {
-    fn after(now: Instant, last: Option<Tolerance>) -> Tolerance {
+impl MismatchBackoff {
+    fn after(now: Instant, last: Option<MismatchBackoff>) -> MismatchBackoff {
         let time = last.map_or(TOLERATED.0, |t| t.next);
-        Tolerance { until: now + time, next: (time * 2).min(TOLERATED.1) }
+        MismatchBackoff { until: now + time, next: (time * 2).min(TOLERATED.1) }
     }
 }
 
@@ -199,7 +199,7 @@
             return None;
         }
         let given_up = if self.is_overtaken(now, pending) {
-            self.tolerance = Some(Tolerance::after(now, self.tolerance));
+            self.tolerance = Some(MismatchBackoff::after(now, self.tolerance));
             CancelReason::Overtaken
         } else if self.age(now).is_none_or(|age| age >= role.limit()) {
             CancelReason::Unverified
