--- a/oxbowbend-core/src/cell/signals.rs
+++ b/oxbowbend-core/src/cell/signals.rs
@@ -18,9 +18,9 @@
     /// The value.
     ///
     /// ```
-    /// use oxbowbend_core::cell::Said;
-    /// assert_eq!(Said::Value(2).value(), Some(2));
-    /// assert_eq!(Said::<u32>::Unreadable.value(), None);
+    /// use oxbowbend_core::cell::SignalValue;
+    /// assert_eq!(SignalValue::Value(2).value(), Some(2));
+    /// assert_eq!(SignalValue::<u32>::Unreadable.value(), None);
     /// ```
     pub fn value(self) -> Option<T> {
         match self {
--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -139,7 +139,7 @@
     /// ```
     /// use std::time::{Duration, Instant};
     ///
-    /// use oxbowbend_core::subscription::{Failure, Role, Subscription};
+    /// use oxbowbend_core::subscription::{WatchFailure, Role, Subscription};
     ///
     /// let now = Instant::now();
     /// let role = Role::new(0, Duration::from_secs(2));
@@ -147,9 +147,9 @@
     /// subscription.listed(now);
     /// assert_eq!(subscription.begin(now, role).wait, Duration::from_millis(1200));
     /// // An unanswered watch says nothing of the store yet; one that did not wait does.
-    /// assert!(!subscription.failed(Failure::Unanswered));
+    /// assert!(!subscription.failed(WatchFailure::Unanswered));
     /// assert_eq!(subscription.begin(now, role).wait, Duration::ZERO);
-    /// assert!(subscription.failed(Failure::Unanswered));
+    /// assert!(subscription.failed(WatchFailure::Unanswered));
     /// ```
     pub fn begin(&mut self, now: Instant, role: Role) -> WatchParams {
         let wait = match role.rank {
