--- a/oxbowbend-core/src/suspicion.rs
+++ b/oxbowbend-core/src/suspicion.rs
@@ -18,7 +18,7 @@
 /// What to do about a request that its endpoint has not begun to answer when the earlier of the suspicion and
 /// the request's limit has come.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Silence {
+pub enum TimeoutAction {
     /// The request has run out of time.
     TimedOut,
     /// The request is given up here and may be sent elsewhere.
@@ -37,18 +37,18 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use oxbowbend_core::suspicion::{self, Silence};
+/// use oxbowbend_core::suspicion::{self, TimeoutAction};
 ///
 /// let due = suspicion::due(Duration::from_millis(100), Duration::from_millis(300));
 /// assert_eq!(due, Duration::from_millis(400));
-/// assert_eq!(suspicion::judge(due, Duration::from_secs(1), true), Silence::GivenUp);
+/// assert_eq!(suspicion::judge(due, Duration::from_secs(1), true), TimeoutAction::GivenUp);
 /// ```
-pub fn judge(due: Duration, limit: Duration, is_repeatable: bool) -> Silence {
+pub fn judge(due: Duration, limit: Duration, is_repeatable: bool) -> TimeoutAction {
     if due >= limit {
-        Silence::TimedOut
+        TimeoutAction::TimedOut
     } else if is_repeatable {
-        Silence::GivenUp
+        TimeoutAction::GivenUp
     } else {
-        Silence::Suspected
+        TimeoutAction::Suspected
     }
 }
--- a/oxbowbend-core/tests/suspicion.rs
+++ b/oxbowbend-core/tests/suspicion.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oxbowbend_core::suspicion::{self, Silence};
+use oxbowbend_core::suspicion::{self, TimeoutAction};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -10,14 +10,14 @@
 fn a_request_whose_time_runs_out_first_says_nothing_of_its_endpoint() {
     // Expected time to the first event, objective, time left, whether it may be repeated.
     for (expected, objective, left, may_repeat, judged) in [
-        (50, 300, 2000, true, Silence::GivenUp),
-        (50, 300, 2000, false, Silence::Suspected),
-        (50, 300, 300, true, Silence::TimedOut),
-        (50, 300, 200, false, Silence::TimedOut),
-        (600, 300, 2400, false, Silence::TimedOut),
-        (600, 300, 2401, false, Silence::Suspected),
-        (1, 1, 251, true, Silence::GivenUp),
-        (1, 1, 250, true, Silence::TimedOut),
+        (50, 300, 2000, true, TimeoutAction::GivenUp),
+        (50, 300, 2000, false, TimeoutAction::Suspected),
+        (50, 300, 300, true, TimeoutAction::TimedOut),
+        (50, 300, 200, false, TimeoutAction::TimedOut),
+        (600, 300, 2400, false, TimeoutAction::TimedOut),
+        (600, 300, 2401, false, TimeoutAction::Suspected),
+        (1, 1, 251, true, TimeoutAction::GivenUp),
+        (1, 1, 250, true, TimeoutAction::TimedOut),
     ] {
         let due = suspicion::due(expected * MS, objective * MS);
         let case = format!("{expected} {objective} {left} {may_repeat}");
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -13,7 +13,7 @@
 use oxbowbend_core::cell::{Assignment, Outcome, FIXED_UNITS};
 use oxbowbend_core::rollout::evidence::Answer;
 use oxbowbend_core::routes::{Endpoint, Route};
-use oxbowbend_core::suspicion::{self, Silence};
+use oxbowbend_core::suspicion::{self, TimeoutAction};
 use oxbowbend_http::h1;
 use thiserror::Error;
 
@@ -268,9 +268,9 @@
             return begun;
         }
         match suspicion::judge(due, limit, job.is_repeatable()) {
-            Silence::TimedOut => return Err(Failure::Timeout),
-            Silence::GivenUp => return Err(Failure::Hanging),
-            Silence::Suspected => {
+            TimeoutAction::TimedOut => return Err(Failure::Timeout),
+            TimeoutAction::GivenUp => return Err(Failure::Hanging),
+            TimeoutAction::Suspected => {
                 self.shared.lock().cell.suspect(clock::now(), endpoint, began);
             }
         }
