--- a/oxbowbend-core/src/suspicion.rs
+++ b/oxbowbend-core/src/suspicion.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TimeoutAction {
     /// The request has run out of time.
-    TimedOut,
+    Fail,
     /// The request is given up here and may be sent elsewhere.
     GivenUp,
     /// The request waits on; those that follow avoid the endpoint.
@@ -45,7 +45,7 @@
 /// ```
 pub fn judge(due: Duration, limit: Duration, is_repeatable: bool) -> TimeoutAction {
     if due >= limit {
-        TimeoutAction::TimedOut
+        TimeoutAction::Fail
     } else if is_repeatable {
         TimeoutAction::GivenUp
     } else {
--- a/oxbowbend-core/tests/suspicion.rs
+++ b/oxbowbend-core/tests/suspicion.rs
@@ -12,12 +12,12 @@
     for (expected, objective, left, may_repeat, judged) in [
         (50, 300, 2000, true, TimeoutAction::GivenUp),
         (50, 300, 2000, false, TimeoutAction::Suspected),
-        (50, 300, 300, true, TimeoutAction::TimedOut),
-        (50, 300, 200, false, TimeoutAction::TimedOut),
-        (600, 300, 2400, false, TimeoutAction::TimedOut),
+        (50, 300, 300, true, TimeoutAction::Fail),
+        (50, 300, 200, false, TimeoutAction::Fail),
+        (600, 300, 2400, false, TimeoutAction::Fail),
         (600, 300, 2401, false, TimeoutAction::Suspected),
         (1, 1, 251, true, TimeoutAction::GivenUp),
-        (1, 1, 250, true, TimeoutAction::TimedOut),
+        (1, 1, 250, true, TimeoutAction::Fail),
     ] {
         let due = suspicion::due(expected * MS, objective * MS);
         let case = format!("{expected} {objective} {left} {may_repeat}");
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -268,7 +268,7 @@
             return begun;
         }
         match suspicion::judge(due, limit, job.is_repeatable()) {
-            TimeoutAction::TimedOut => return Err(Failure::Timeout),
+            TimeoutAction::Fail => return Err(Failure::Timeout),
             TimeoutAction::GivenUp => return Err(Failure::Hanging),
             TimeoutAction::Suspected => {
                 self.shared.lock().cell.suspect(clock::now(), endpoint, began);
