--- a/oxbowbend-core/src/suspicion.rs
+++ b/oxbowbend-core/src/suspicion.rs
@@ -22,7 +22,7 @@
     /// The request has run out of time.
     Fail,
     /// The request is given up here and may be sent elsewhere.
-    GivenUp,
+    Retry,
     /// The request waits on; those that follow avoid the endpoint.
     Suspected,
 }
@@ -41,13 +41,13 @@
 ///
 /// let due = suspicion::due(Duration::from_millis(100), Duration::from_millis(300));
 /// assert_eq!(due, Duration::from_millis(400));
-/// assert_eq!(suspicion::judge(due, Duration::from_secs(1), true), TimeoutAction::GivenUp);
+/// assert_eq!(suspicion::judge(due, Duration::from_secs(1), true), TimeoutAction::Retry);
 /// ```
 pub fn judge(due: Duration, limit: Duration, is_repeatable: bool) -> TimeoutAction {
     if due >= limit {
         TimeoutAction::Fail
     } else if is_repeatable {
-        TimeoutAction::GivenUp
+        TimeoutAction::Retry
     } else {
         TimeoutAction::Suspected
     }
--- a/oxbowbend-core/tests/suspicion.rs
+++ b/oxbowbend-core/tests/suspicion.rs
@@ -10,13 +10,13 @@
 fn a_request_whose_time_runs_out_first_says_nothing_of_its_endpoint() {
     // Expected time to the first event, objective, time left, whether it may be repeated.
     for (expected, objective, left, may_repeat, judged) in [
-        (50, 300, 2000, true, TimeoutAction::GivenUp),
+        (50, 300, 2000, true, TimeoutAction::Retry),
         (50, 300, 2000, false, TimeoutAction::Suspected),
         (50, 300, 300, true, TimeoutAction::Fail),
         (50, 300, 200, false, TimeoutAction::Fail),
         (600, 300, 2400, false, TimeoutAction::Fail),
         (600, 300, 2401, false, TimeoutAction::Suspected),
-        (1, 1, 251, true, TimeoutAction::GivenUp),
+        (1, 1, 251, true, TimeoutAction::Retry),
         (1, 1, 250, true, TimeoutAction::Fail),
     ] {
         let due = suspicion::due(expected * MS, objective * MS);
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -269,7 +269,7 @@
         }
         match suspicion::judge(due, limit, job.is_repeatable()) {
             TimeoutAction::Fail => return Err(Failure::Timeout),
-            TimeoutAction::GivenUp => return Err(Failure::Hanging),
+            TimeoutAction::Retry => return Err(Failure::Hanging),
             TimeoutAction::Suspected => {
                 self.shared.lock().cell.suspect(clock::now(), endpoint, began);
             }
