--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -225,7 +225,7 @@
             zone: &self.zone,
             taste,
             objective: want.objective,
-            prompt: want.prompt,
+            prompt: want.prompt_tokens,
             output: want.output,
             stall: want.stall,
             avoid: &want.avoid,
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -71,7 +71,7 @@
     /// Rank; 0 goes first.
     pub rank: u16,
     /// Tokens of its prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Tokens that its answer is expected to have.
     pub output: u32,
     /// How it holds up the streams beside it.
@@ -284,7 +284,7 @@
             rank: w.rank,
             waited_ms: now.saturating_duration_since(w.arrived).as_millis() as u32,
             objective_ms: w.objective.as_millis() as u32,
-            prompt: w.prompt,
+            prompt: w.prompt_tokens,
             output: w.output,
             stall: w.stall,
         });
--- a/oxbowbend-core/src/suspicion.rs
+++ b/oxbowbend-core/src/suspicion.rs
@@ -24,7 +24,7 @@
     /// The request is given up here and may be sent elsewhere.
     Retry,
     /// The request waits on; those that follow avoid the endpoint.
-    Suspected,
+    MarkSuspect,
 }
 
 /// Time after which an endpoint is suspected.
@@ -49,6 +49,6 @@
     } else if is_repeatable {
         TimeoutAction::Retry
     } else {
-        TimeoutAction::Suspected
+        TimeoutAction::MarkSuspect
     }
 }
--- a/oxbowbend-core/tests/cells/mod.rs
+++ b/oxbowbend-core/tests/cells/mod.rs
@@ -39,7 +39,7 @@
     QueuedRequest {
         service: "s".into(),
         rank,
-        prompt,
+        prompt_tokens: prompt,
         output: 0,
         stall: PrefillStall::default(),
         arrived,
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -31,7 +31,7 @@
     QueuedRequest {
         service: "s".into(),
         rank,
-        prompt: 100,
+        prompt_tokens: 100,
         output: 0,
         stall: PrefillStall::default(),
         arrived,
--- a/oxbowbend-core/tests/suspicion.rs
+++ b/oxbowbend-core/tests/suspicion.rs
@@ -11,11 +11,11 @@
     // Expected time to the first event, objective, time left, whether it may be repeated.
     for (expected, objective, left, may_repeat, judged) in [
         (50, 300, 2000, true, TimeoutAction::Retry),
-        (50, 300, 2000, false, TimeoutAction::Suspected),
+        (50, 300, 2000, false, TimeoutAction::MarkSuspect),
         (50, 300, 300, true, TimeoutAction::Fail),
         (50, 300, 200, false, TimeoutAction::Fail),
         (600, 300, 2400, false, TimeoutAction::Fail),
-        (600, 300, 2401, false, TimeoutAction::Suspected),
+        (600, 300, 2401, false, TimeoutAction::MarkSuspect),
         (1, 1, 251, true, TimeoutAction::Retry),
         (1, 1, 250, true, TimeoutAction::Fail),
     ] {
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -190,7 +190,7 @@
         let waiting = self.shared.arrive(QueuedRequest {
             service,
             rank: job.rank,
-            prompt: job.ask.prompt,
+            prompt_tokens: job.ask.prompt,
             output: job.ask.output.unwrap_or(0),
             stall: job.stall,
             arrived: job.arrived,
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -270,7 +270,7 @@
         match suspicion::judge(due, limit, job.is_repeatable()) {
             TimeoutAction::Fail => return Err(Failure::Timeout),
             TimeoutAction::Retry => return Err(Failure::Hanging),
-            TimeoutAction::Suspected => {
+            TimeoutAction::MarkSuspect => {
                 self.shared.lock().cell.suspect(clock::now(), endpoint, began);
             }
         }
