--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -212,7 +212,7 @@
     /// Place of a request of this instance.
     pub(super) fn order(&self, now: Instant, want: &QueuedRequest) -> Order {
         let due = want.arrived + want.objective;
-        Order::new(now, want.rank, due, want.output, self.known.usual)
+        Order::new(now, want.rank, due, want.output_tokens, self.known.usual)
     }
 
     fn candidates(&self, now: Instant) -> Vec<Candidate<'_>> {
@@ -226,7 +226,7 @@
             taste,
             objective: want.objective,
             prompt: want.prompt_tokens,
-            output: want.output,
+            output: want.output_tokens,
             stall: want.stall,
             avoid: &want.avoid,
         });
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -73,7 +73,7 @@
     /// Tokens of its prompt.
     pub prompt_tokens: u32,
     /// Tokens that its answer is expected to have.
-    pub output: u32,
+    pub output_tokens: u32,
     /// How it holds up the streams beside it.
     pub stall: PrefillStall,
     /// When it arrived.
@@ -285,7 +285,7 @@
             waited_ms: now.saturating_duration_since(w.arrived).as_millis() as u32,
             objective_ms: w.objective.as_millis() as u32,
             prompt: w.prompt_tokens,
-            output: w.output,
+            output: w.output_tokens,
             stall: w.stall,
         });
         let mut report = Report {
--- a/oxbowbend-core/tests/cells/mod.rs
+++ b/oxbowbend-core/tests/cells/mod.rs
@@ -40,7 +40,7 @@
         service: "s".into(),
         rank,
         prompt_tokens: prompt,
-        output: 0,
+        output_tokens: 0,
         stall: PrefillStall::default(),
         arrived,
         objective: 500 * MS,
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -88,7 +88,11 @@
         }
         for n in 0..40 {
             let prompt = 10 + n;
-            cell.arrive(QueuedRequest { output, objective: 400 * MS, ..want(0, prompt, now) });
+            cell.arrive(QueuedRequest {
+                output_tokens: output,
+                objective: 400 * MS,
+                ..want(0, prompt, now)
+            });
         }
         let used = placed(&mut cell, now).iter().filter(|(_, e)| e == "e4").count();
         assert_eq!(used > 0, slow, "{output} tokens: {used} at the slow endpoint");
@@ -100,9 +104,9 @@
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1)]);
     cell.began(now, key("e0"), 700, 0, 12 * MS);
-    let long = cell.arrive(QueuedRequest { output: 2000, ..want(0, 100, now - 10 * MS) });
-    let lower = cell.arrive(QueuedRequest { output: 10, ..want(1, 100, now - 100 * MS) });
-    let short = cell.arrive(QueuedRequest { output: 200, ..want(0, 100, now) });
+    let long = cell.arrive(QueuedRequest { output_tokens: 2000, ..want(0, 100, now - 10 * MS) });
+    let lower = cell.arrive(QueuedRequest { output_tokens: 10, ..want(1, 100, now - 100 * MS) });
+    let short = cell.arrive(QueuedRequest { output_tokens: 200, ..want(0, 100, now) });
     for expected in [short, long, lower] {
         assert_eq!(placed(&mut cell, now)[0].0, expected);
         cell.finish(now, key("e0"), 100, Outcome::Good);
@@ -123,7 +127,7 @@
             if ms % 10 == 0 {
                 let output = if (ms / 10) % 6 == 0 { 120 } else { 4 };
                 let told = if tell { output } else { 0 };
-                let ticket = cell.arrive(QueuedRequest { output: told, ..want(0, 10, now) });
+                let ticket = cell.arrive(QueuedRequest { output_tokens: told, ..want(0, 10, now) });
                 runs.insert(ticket, output * 2);
             }
             if now < free_at {
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -32,7 +32,7 @@
         service: "s".into(),
         rank,
         prompt_tokens: 100,
-        output: 0,
+        output_tokens: 0,
         stall: PrefillStall::default(),
         arrived,
         objective: OBJECTIVE,
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -191,7 +191,7 @@
             service,
             rank: job.rank,
             prompt_tokens: job.ask.prompt,
-            output: job.ask.output.unwrap_or(0),
+            output_tokens: job.ask.output.unwrap_or(0),
             stall: job.stall,
             arrived: job.arrived,
             objective: job.route.objective.saturating_sub(job.age),
