--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -211,7 +211,7 @@
 
     /// Place of a request of this instance.
     pub(super) fn order(&self, now: Instant, want: &QueuedRequest) -> Order {
-        let due = want.arrived + want.objective;
+        let due = want.arrived_at + want.objective;
         Order::new(now, want.rank, due, want.output_tokens, self.known.usual)
     }
 
@@ -220,7 +220,7 @@
         let mine = self.waiting.iter().map(move |(ticket, want)| Candidate {
             order: self.order(now, want),
             ticket: Some(*ticket),
-            arrived: want.arrived,
+            arrived: want.arrived_at,
             service: &want.service,
             zone: &self.zone,
             taste,
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -77,7 +77,7 @@
     /// How it holds up the streams beside it.
     pub stall: PrefillStall,
     /// When it arrived.
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     /// Time from its arrival within which its first event should be there.
     pub objective: Duration,
     /// Endpoints that it has been sent to already.
@@ -282,7 +282,7 @@
         let claims = waiting.into_iter().take(MAX_CLAIMS).map(|w| WaitingRequest {
             service: w.service.clone(),
             rank: w.rank,
-            waited_ms: now.saturating_duration_since(w.arrived).as_millis() as u32,
+            waited_ms: now.saturating_duration_since(w.arrived_at).as_millis() as u32,
             objective_ms: w.objective.as_millis() as u32,
             prompt: w.prompt_tokens,
             output: w.output_tokens,
--- a/oxbowbend-core/tests/cells/mod.rs
+++ b/oxbowbend-core/tests/cells/mod.rs
@@ -42,7 +42,7 @@
         prompt_tokens: prompt,
         output_tokens: 0,
         stall: PrefillStall::default(),
-        arrived,
+        arrived_at: arrived,
         objective: 500 * MS,
         avoid: Vec::new(),
     }
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -34,7 +34,7 @@
         prompt_tokens: 100,
         output_tokens: 0,
         stall: PrefillStall::default(),
-        arrived,
+        arrived_at: arrived,
         objective: OBJECTIVE,
         avoid: Vec::new(),
     }
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -193,7 +193,7 @@
             prompt_tokens: job.ask.prompt,
             output_tokens: job.ask.output.unwrap_or(0),
             stall: job.stall,
-            arrived: job.arrived,
+            arrived_at: job.arrived,
             objective: job.route.objective.saturating_sub(job.age),
             avoid: tries.avoid.clone(),
         });
