--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -228,7 +228,7 @@
             prompt: want.prompt_tokens,
             output: want.output_tokens,
             stall: want.stall,
-            avoid: &want.avoid,
+            avoid: &want.excluded_endpoints,
         });
         let others = self.peers.values().filter(|p| p.is_live(now, WAITING_TTL)).flat_map(|p| {
             let taste = xxh3_64(p.report.instance.as_bytes());
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -81,7 +81,7 @@
     /// Time from its arrival within which its first event should be there.
     pub objective: Duration,
     /// Endpoints that it has been sent to already.
-    pub avoid: Vec<EndpointId>,
+    pub excluded_endpoints: Vec<EndpointId>,
 }
 
 /// How a request holds up the streams that run beside it while its prompt is read, and how much of
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -119,7 +119,7 @@
     let now = Instant::now();
     let leaving = Endpoint { leaving: true, ..endpoint(0, 1) };
     let mut cell = cell("a", &[leaving, endpoint(2, 1)]);
-    cell.arrive(QueuedRequest { avoid: vec!["e2".into()], ..want(0, 100, now) });
+    cell.arrive(QueuedRequest { excluded_endpoints: vec!["e2".into()], ..want(0, 100, now) });
     assert_eq!(cell.assign(now).len(), 0);
 }
 
--- a/oxbowbend-core/tests/cells/mod.rs
+++ b/oxbowbend-core/tests/cells/mod.rs
@@ -44,7 +44,7 @@
         stall: PrefillStall::default(),
         arrived_at: arrived,
         objective: 500 * MS,
-        avoid: Vec::new(),
+        excluded_endpoints: Vec::new(),
     }
 }
 
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -36,7 +36,7 @@
         stall: PrefillStall::default(),
         arrived_at: arrived,
         objective: OBJECTIVE,
-        avoid: Vec::new(),
+        excluded_endpoints: Vec::new(),
     }
 }
 
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -195,7 +195,7 @@
             stall: job.stall,
             arrived_at: job.arrived,
             objective: job.route.objective.saturating_sub(job.age),
-            avoid: tries.avoid.clone(),
+            excluded_endpoints: tries.avoid.clone(),
         });
         if waiting.should_shed() {
             return Err(self.busy(job, true));
