--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -261,7 +261,7 @@
         let mut loads: HashMap<EndpointKey, (u32, u32)> = HashMap::new();
         for told in self.live_reports(now).flat_map(|r| &r.loads) {
             let load = loads.entry(told.endpoint).or_default();
-            *load = (load.0 + told.running, load.1.saturating_add(told.unread));
+            *load = (load.0 + told.running, load.1.saturating_add(told.pending_prompt_tokens));
         }
         let KnownPaces { paces, usual, .. } = &self.known;
         let open = self.sites.iter().filter(|(key, s)| self.is_open(now, **key, s));
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -266,7 +266,7 @@
         let load = |(key, s): (&EndpointKey, &EndpointState)| EndpointLoad {
             endpoint: *key,
             running: s.running,
-            unread: s.unread,
+            pending_prompt_tokens: s.unread,
         };
         let loads = running.map(load).collect();
         let lately = |s: &EndpointState| s.touched.is_some_and(|t| now.duration_since(t) < mention);
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -159,18 +159,18 @@
     /// Requests that it executes for the sender.
     pub running: u32,
     /// Tokens of their prompts that it has not answered with a first event.
-    pub unread: u32,
+    pub pending_prompt_tokens: u32,
 }
 
 impl From<(EndpointKey, u32, u32)> for EndpointLoad {
     fn from((endpoint, running, unread): (EndpointKey, u32, u32)) -> EndpointLoad {
-        EndpointLoad { endpoint, running, unread }
+        EndpointLoad { endpoint, running, pending_prompt_tokens: unread }
     }
 }
 
 impl From<EndpointLoad> for (EndpointKey, u32, u32) {
     fn from(load: EndpointLoad) -> (EndpointKey, u32, u32) {
-        (load.endpoint, load.running, load.unread)
+        (load.endpoint, load.running, load.pending_prompt_tokens)
     }
 }
 
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -341,7 +341,10 @@
     assert_eq!(placed(&mut a, now).len(), 1);
     a.set_endpoints([endpoint(2, 4)]);
     let loads = a.report(now, ReportDetail::Loads).loads;
-    assert_eq!(loads, [EndpointLoad { endpoint: key("e0"), running: 1, unread: 100 }]);
+    assert_eq!(
+        loads,
+        [EndpointLoad { endpoint: key("e0"), running: 1, pending_prompt_tokens: 100 }]
+    );
     a.arrive(want(0, 100, now));
     assert_eq!(placed(&mut a, now)[0].1, "e2", "no further requests");
     a.finish(now, key("e0"), 100, Outcome::Good);
