--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -273,7 +273,13 @@
         let used = self.sites.iter().filter(|(_, s)| lately(s));
         let tallies = used.map(|(key, s)| {
             let (ns_per_unit, samples) = s.pace.as_parts();
-            EndpointStats { endpoint: *key, good: s.good, bad: s.bad, ns_per_unit, samples }
+            EndpointStats {
+                endpoint: *key,
+                successes: s.good,
+                failures: s.bad,
+                ns_per_unit,
+                samples,
+            }
         });
         let tallies = tallies.collect();
         let mut waiting: Vec<_> = self.waiting.values().collect();
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -127,7 +127,7 @@
         let is_first = !peer.is_counted;
         peer.is_counted |= report.in_full;
         for tally in &report.tallies {
-            let told = (tally.good, tally.bad);
+            let told = (tally.successes, tally.failures);
             let pace = pace::Pace::reported(tally.ns_per_unit, tally.samples);
             peer.paces.insert(tally.endpoint, pace);
             // What a new acquaintance has counted so far is not of now.
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -182,9 +182,9 @@
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Requests that it answered well.
-    pub good: u64,
+    pub successes: u64,
     /// Requests that it failed.
-    pub bad: u64,
+    pub failures: u64,
     /// Nanoseconds to the first event for each unit of work; 0 if not measured.
     pub ns_per_unit: u64,
     /// Measurements behind that.
@@ -195,13 +195,13 @@
 
 impl From<EndpointStatsParts> for EndpointStats {
     fn from((endpoint, good, bad, ns_per_unit, samples): EndpointStatsParts) -> EndpointStats {
-        EndpointStats { endpoint, good, bad, ns_per_unit, samples }
+        EndpointStats { endpoint, successes: good, failures: bad, ns_per_unit, samples }
     }
 }
 
 impl From<EndpointStats> for EndpointStatsParts {
     fn from(t: EndpointStats) -> EndpointStatsParts {
-        (t.endpoint, t.good, t.bad, t.ns_per_unit, t.samples)
+        (t.endpoint, t.successes, t.failures, t.ns_per_unit, t.samples)
     }
 }
 
