--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -141,7 +141,7 @@
     bad: u64,
     pace: pace::Pace,
     health: health::Health,
-    touched: Option<Instant>,
+    last_used: Option<Instant>,
     /// When it last began or ended an answer.
     answered: Option<Instant>,
 }
@@ -239,7 +239,7 @@
                     bad: 0,
                     pace: pace::Pace::default(),
                     health: health::Health::default(),
-                    touched: None,
+                    last_used: None,
                     answered: None,
                 },
             };
@@ -269,7 +269,8 @@
             pending_prompt_tokens: s.unread,
         };
         let loads = running.map(load).collect();
-        let lately = |s: &EndpointState| s.touched.is_some_and(|t| now.duration_since(t) < mention);
+        let lately =
+            |s: &EndpointState| s.last_used.is_some_and(|t| now.duration_since(t) < mention);
         let used = self.sites.iter().filter(|(_, s)| lately(s));
         let tallies = used.map(|(key, s)| {
             let (ns_per_unit, samples) = s.pace.as_parts();
@@ -387,7 +388,7 @@
         if let Some(site) = self.sites.get_mut(&endpoint) {
             site.unread = site.unread.saturating_sub(prompt);
             site.pace.learn(prompt.saturating_add(backlog), first);
-            (site.touched, site.answered) = (Some(now), Some(now));
+            (site.last_used, site.answered) = (Some(now), Some(now));
         }
     }
 
@@ -421,7 +422,7 @@
             self.news.push(Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
             return;
         }
-        site.touched = Some(now);
+        site.last_used = Some(now);
         if outcome == Outcome::Good {
             site.answered = Some(now);
         }
