--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -143,7 +143,7 @@
     health: health::Health,
     last_used: Option<Instant>,
     /// When it last began or ended an answer.
-    answered: Option<Instant>,
+    last_answer: Option<Instant>,
 }
 
 /// One instance's part in its cell.
@@ -240,7 +240,7 @@
                     pace: pace::Pace::default(),
                     health: health::Health::default(),
                     last_used: None,
-                    answered: None,
+                    last_answer: None,
                 },
             };
             self.sites.insert(site.endpoint.key(), site);
@@ -388,14 +388,14 @@
         if let Some(site) = self.sites.get_mut(&endpoint) {
             site.unread = site.unread.saturating_sub(prompt);
             site.pace.learn(prompt.saturating_add(backlog), first);
-            (site.last_used, site.answered) = (Some(now), Some(now));
+            (site.last_used, site.last_answer) = (Some(now), Some(now));
         }
     }
 
     /// Notes that a request sent at `since` has had no answer for longer than expected. That speaks against the
     /// endpoint if it has answered nobody here meanwhile; else it may be the request.
     pub fn suspect(&mut self, now: Instant, endpoint: EndpointKey, since: Instant) {
-        let answered = self.sites.get(&endpoint).and_then(|site| site.answered);
+        let answered = self.sites.get(&endpoint).and_then(|site| site.last_answer);
         if answered.is_none_or(|at| at <= since) {
             self.judge(now, endpoint, Outcome::Bad);
         }
@@ -424,7 +424,7 @@
         }
         site.last_used = Some(now);
         if outcome == Outcome::Good {
-            site.answered = Some(now);
+            site.last_answer = Some(now);
         }
         if bad > 0 {
             self.last_bad = Some(now);
