--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -216,7 +216,7 @@
     }
 
     fn candidates(&self, now: Instant) -> Vec<Candidate<'_>> {
-        let taste = xxh3_64(self.me.as_bytes());
+        let taste = xxh3_64(self.local_id.as_bytes());
         let mine = self.waiting.iter().map(move |(ticket, want)| Candidate {
             order: self.order(now, want),
             ticket: Some(*ticket),
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -149,7 +149,7 @@
 /// One instance's part in its cell.
 #[derive(Debug)]
 pub struct Cell {
-    me: InstanceId,
+    local_id: InstanceId,
     zone: ZoneId,
     life: u64,
     number: u64,
@@ -198,7 +198,7 @@
             rests: rests::Rests::default(),
             shared: BTreeSet::new(),
             listed: HashSet::new(),
-            me,
+            local_id: me,
             zone,
             life,
             number: 0,
@@ -296,7 +296,7 @@
             stall: w.stall,
         });
         let mut report = Report {
-            instance: self.me.clone(),
+            instance: self.local_id.clone(),
             zone: self.zone.clone(),
             life: self.life,
             number: self.number,
--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -59,7 +59,7 @@
         is_near: impl Fn(&InstanceId) -> bool,
     ) -> Reachability {
         let mut names = InstanceFilter::default();
-        names.add(&self.me);
+        names.add(&self.local_id);
         let mut near = Vec::new();
         for peer in self.peers.values_mut().filter(|p| p.is_live(now, PEER_TTL)) {
             if is_near(&peer.report.instance) {
