--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -151,7 +151,7 @@
 pub struct Cell {
     local_id: InstanceId,
     zone: ZoneId,
-    life: u64,
+    incarnation: u64,
     number: u64,
     sites: BTreeMap<EndpointKey, EndpointState>,
     waiting: BTreeMap<Ticket, QueuedRequest>,
@@ -200,7 +200,7 @@
             listed: HashSet::new(),
             local_id: me,
             zone,
-            life,
+            incarnation: life,
             number: 0,
             sites: BTreeMap::new(),
             waiting: BTreeMap::new(),
@@ -298,7 +298,7 @@
         let mut report = Report {
             instance: self.local_id.clone(),
             zone: self.zone.clone(),
-            life: self.life,
+            life: self.incarnation,
             number: self.number,
             in_full: extent == ReportDetail::Full,
             reach: is_beat.then_some(self.reach),
