--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -152,7 +152,7 @@
     local_id: InstanceId,
     zone: ZoneId,
     incarnation: u64,
-    number: u64,
+    sequence: u64,
     sites: BTreeMap<EndpointKey, EndpointState>,
     waiting: BTreeMap<Ticket, QueuedRequest>,
     next: Ticket,
@@ -201,7 +201,7 @@
             local_id: me,
             zone,
             incarnation: life,
-            number: 0,
+            sequence: 0,
             sites: BTreeMap::new(),
             waiting: BTreeMap::new(),
             next: 0,
@@ -256,7 +256,7 @@
     /// What to tell the others, but for what only the caller knows: revision, version, address and
     /// peers.
     pub fn report(&mut self, now: Instant, extent: ReportDetail) -> Report {
-        self.number += 1;
+        self.sequence += 1;
         let mention = match extent {
             ReportDetail::Loads => Duration::ZERO,
             ReportDetail::Changes => MENTION,
@@ -299,7 +299,7 @@
             instance: self.local_id.clone(),
             zone: self.zone.clone(),
             life: self.incarnation,
-            number: self.number,
+            number: self.sequence,
             in_full: extent == ReportDetail::Full,
             reach: is_beat.then_some(self.reach),
             heard_names: is_beat.then_some(self.heard_names),
