--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -161,7 +161,7 @@
             if let Some(want) = self.waiting.remove(&a.ticket) {
                 self.shedding.placed(now, &want.service, want.rank);
             }
-            if let Some(site) = self.sites.get_mut(&a.endpoint.key()) {
+            if let Some(site) = self.endpoints.get_mut(&a.endpoint.key()) {
                 site.running += 1;
                 site.unread += a.prompt;
             }
@@ -264,7 +264,7 @@
             *load = (load.0 + told.running, load.1.saturating_add(told.pending_prompt_tokens));
         }
         let KnownPaces { paces, usual, .. } = &self.known;
-        let open = self.sites.iter().filter(|(key, s)| self.is_open(now, **key, s));
+        let open = self.endpoints.iter().filter(|(key, s)| self.is_open(now, **key, s));
         let place = |key: &EndpointKey, s: &'_ super::EndpointState| {
             let (running, unread) = loads.get(key).copied().unwrap_or_default();
             let load = s.running + running;
@@ -310,12 +310,12 @@
             return;
         }
         let mut services: HashMap<ServiceId, (usize, usize)> = HashMap::new();
-        for (_, site) in self.sites.iter().filter(|(key, s)| !self.is_leaving(**key, s)) {
+        for (_, site) in self.endpoints.iter().filter(|(key, s)| !self.is_leaving(**key, s)) {
             let (all, aside) = services.entry(site.endpoint.service.clone()).or_default();
             *all += 1;
             *aside += usize::from(site.health.is_aside(now));
         }
-        for site in self.sites.values_mut() {
+        for site in self.endpoints.values_mut() {
             if site.health.is_aside(now) || !site.health.is_failing(now) {
                 continue;
             }
--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -81,14 +81,14 @@
             true => Audience::CellOfRepresentative,
             false => Audience::Cell,
         };
-        self.tell(now, audience, |key| self.sites.contains_key(key))
+        self.tell(now, audience, |key| self.endpoints.contains_key(key))
     }
 
     /// What other cells are told: limits of endpoints that belong to all cells, and all who leave, since an endpoint may come to
     /// another cell, and an instance that has just started asks any for the list of endpoints.
     pub fn tell_others_of_endpoints(&self, now: Instant) -> EndpointNotices {
         let is_shared = |key: &EndpointKey| {
-            let service = self.sites.get(key).map(|s| &s.endpoint.service);
+            let service = self.endpoints.get(key).map(|s| &s.endpoint.service);
             service.is_some_and(|service| self.shared.contains(service))
         };
         self.tell(now, Audience::Others, is_shared)
@@ -141,7 +141,7 @@
         if rooms.is_empty() {
             return None;
         }
-        let open = self.sites.iter().filter(|(key, s)| self.is_open(now, **key, s));
+        let open = self.endpoints.iter().filter(|(key, s)| self.is_open(now, **key, s));
         let of_service = open.filter(|(_, s)| s.endpoint.service == *service);
         let keys: Vec<_> = of_service.map(|(key, s)| (*key, self.scope(s))).collect();
         if keys.iter().any(|(key, _)| rooms.get(key).is_none_or(|room| *room > 0)) {
@@ -158,7 +158,7 @@
     pub(super) fn rooms(&mut self, now: Instant) -> Rooms {
         let mut rooms = Rooms::new();
         for key in self.limits.limited() {
-            let Some(scope) = self.sites.get(&key).map(|s| self.scope(s)) else { continue };
+            let Some(scope) = self.endpoints.get(&key).map(|s| self.scope(s)) else { continue };
             rooms.extend(self.limits.room(now, key, scope).map(|room| (key, room)));
         }
         // Who sent to an endpoint that rests would be turned away again, and be taken for the reason of its need.
@@ -168,7 +168,7 @@
 
     /// Notes that a request goes to an endpoint.
     pub(super) fn pass(&mut self, now: Instant, endpoint: EndpointKey) {
-        let Some(scope) = self.sites.get(&endpoint).map(|s| self.scope(s)) else { return };
+        let Some(scope) = self.endpoints.get(&endpoint).map(|s| self.scope(s)) else { return };
         self.limits.take(now, endpoint, scope);
     }
 
@@ -179,7 +179,7 @@
 
     /// Forgets what was said by endpoints that are not listed any more.
     pub(super) fn forget_said(&mut self, now: Instant) {
-        let (sites, listed) = (&self.sites, &self.listed);
+        let (sites, listed) = (&self.endpoints, &self.listed);
         let is_listed = |key: &EndpointKey| sites.contains_key(key) || listed.contains(key);
         self.limits.forget(now, is_listed);
         self.rests.forget(now);
@@ -187,7 +187,7 @@
     }
 
     fn is_listed(&self, key: EndpointKey) -> bool {
-        self.sites.contains_key(&key) || self.listed.contains(&key)
+        self.endpoints.contains_key(&key) || self.listed.contains(&key)
     }
 
     /// Whether an endpoint leaves, by its entry or its own word: one belief, whichever comes first. While the store is away only the
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -153,7 +153,7 @@
     zone: ZoneId,
     incarnation: u64,
     sequence: u64,
-    sites: BTreeMap<EndpointKey, EndpointState>,
+    endpoints: BTreeMap<EndpointKey, EndpointState>,
     waiting: BTreeMap<Ticket, QueuedRequest>,
     next: Ticket,
     /// Instances of this cell.
@@ -202,7 +202,7 @@
             zone,
             incarnation: life,
             sequence: 0,
-            sites: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             waiting: BTreeMap::new(),
             next: 0,
             peers: HashMap::new(),
@@ -224,7 +224,7 @@
     /// further requests, but are told to have those that still run there: they may be in another cell. Of one
     /// that has started again nothing is known, and nothing runs there.
     pub fn set_endpoints(&mut self, endpoints: impl IntoIterator<Item = Endpoint>) {
-        let mut old = std::mem::take(&mut self.sites);
+        let mut old = std::mem::take(&mut self.endpoints);
         let mut ids = HashSet::new();
         for endpoint in endpoints {
             ids.insert(endpoint.id.clone());
@@ -243,13 +243,13 @@
                     last_answer: None,
                 },
             };
-            self.sites.insert(site.endpoint.key(), site);
+            self.endpoints.insert(site.endpoint.key(), site);
         }
         let is_elsewhere =
             |site: &EndpointState| site.running > 0 && !ids.contains(&site.endpoint.id);
         for (key, mut site) in old.into_iter().filter(|(_, site)| is_elsewhere(site)) {
             site.endpoint.leaving = true;
-            self.sites.insert(key, site);
+            self.endpoints.insert(key, site);
         }
     }
 
@@ -262,7 +262,7 @@
             ReportDetail::Changes => MENTION,
             ReportDetail::Full => MENTION_ALL,
         };
-        let running = self.sites.iter().filter(|(_, s)| s.running > 0);
+        let running = self.endpoints.iter().filter(|(_, s)| s.running > 0);
         let load = |(key, s): (&EndpointKey, &EndpointState)| EndpointLoad {
             endpoint: *key,
             running: s.running,
@@ -271,7 +271,7 @@
         let loads = running.map(load).collect();
         let lately =
             |s: &EndpointState| s.last_used.is_some_and(|t| now.duration_since(t) < mention);
-        let used = self.sites.iter().filter(|(_, s)| lately(s));
+        let used = self.endpoints.iter().filter(|(_, s)| lately(s));
         let tallies = used.map(|(key, s)| {
             let (ns_per_unit, samples) = s.pace.as_parts();
             EndpointStats {
@@ -338,7 +338,7 @@
         let is_open = |(key, s): (&EndpointKey, &EndpointState)| {
             s.endpoint.service == *service && !self.is_leaving(*key, s)
         };
-        self.sites.iter().any(is_open)
+        self.endpoints.iter().any(is_open)
     }
 
     /// Takes a request out of the queue; `false` means that it has been placed.
@@ -385,7 +385,7 @@
         backlog: u32,
         first: Duration,
     ) {
-        if let Some(site) = self.sites.get_mut(&endpoint) {
+        if let Some(site) = self.endpoints.get_mut(&endpoint) {
             site.unread = site.unread.saturating_sub(prompt);
             site.pace.learn(prompt.saturating_add(backlog), first);
             (site.last_used, site.last_answer) = (Some(now), Some(now));
@@ -395,7 +395,7 @@
     /// Notes that a request sent at `since` has had no answer for longer than expected. That speaks against the
     /// endpoint if it has answered nobody here meanwhile; else it may be the request.
     pub fn suspect(&mut self, now: Instant, endpoint: EndpointKey, since: Instant) {
-        let answered = self.sites.get(&endpoint).and_then(|site| site.last_answer);
+        let answered = self.endpoints.get(&endpoint).and_then(|site| site.last_answer);
         if answered.is_none_or(|at| at <= since) {
             self.judge(now, endpoint, Outcome::Bad);
         }
@@ -403,7 +403,7 @@
 
     /// Ends a run; `unread` are the tokens of its prompt if there was no first event.
     pub fn finish(&mut self, now: Instant, endpoint: EndpointKey, unread: u32, outcome: Outcome) {
-        let Some(site) = self.sites.get_mut(&endpoint) else { return };
+        let Some(site) = self.endpoints.get_mut(&endpoint) else { return };
         site.running = site.running.saturating_sub(1);
         site.unread = site.unread.saturating_sub(unread);
         self.judge(now, endpoint, outcome);
@@ -411,7 +411,7 @@
 
     /// Notes what a run that goes on says of its endpoint.
     pub fn judge(&mut self, now: Instant, endpoint: EndpointKey, outcome: Outcome) {
-        let Some(site) = self.sites.get_mut(&endpoint) else { return };
+        let Some(site) = self.endpoints.get_mut(&endpoint) else { return };
         let (good, bad) = match outcome {
             Outcome::Good => (1, 0),
             Outcome::Bad => (0, 1),
@@ -443,7 +443,7 @@
 
     /// Starts from a pace that an earlier life noted, unless there is a measurement.
     pub fn restore_pace(&mut self, endpoint: EndpointKey, ns_per_unit: u64) {
-        let site = self.sites.get_mut(&endpoint).filter(|s| s.pace.as_parts().1 == 0);
+        let site = self.endpoints.get_mut(&endpoint).filter(|s| s.pace.as_parts().1 == 0);
         if let Some(site) = site {
             site.pace = pace::Pace::reported(ns_per_unit, NOTED_SAMPLES);
         }
@@ -456,7 +456,7 @@
 
     /// Requests at an endpoint, of all instances that are heard.
     pub fn load(&self, now: Instant, endpoint: EndpointKey) -> u32 {
-        let mine = self.sites.get(&endpoint).map_or(0, |s| s.running);
+        let mine = self.endpoints.get(&endpoint).map_or(0, |s| s.running);
         let loads = self.live_reports(now).flat_map(|r| &r.loads);
         mine + loads.filter(|l| l.endpoint == endpoint).map(|l| l.running).sum::<u32>()
     }
@@ -470,6 +470,6 @@
             let others = all.get(key).into_iter().flatten().copied();
             Some((*key, pace::Pace::combine(others.chain([s.pace]))?))
         };
-        self.sites.iter().filter_map(of).collect()
+        self.endpoints.iter().filter_map(of).collect()
     }
 }
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -133,7 +133,7 @@
             // What a new acquaintance has counted so far is not of now.
             let old = peer.counted.insert(tally.endpoint, told);
             let old = old.unwrap_or(if is_first { told } else { (0, 0) });
-            if let Some(site) = self.sites.get_mut(&tally.endpoint) {
+            if let Some(site) = self.endpoints.get_mut(&tally.endpoint) {
                 let (good, bad) = (told.0.saturating_sub(old.0), told.1.saturating_sub(old.1));
                 site.health.note(now, good as u32, bad as u32);
                 self.last_bad = if bad > 0 { Some(now) } else { self.last_bad };
