--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -155,7 +155,7 @@
     sequence: u64,
     endpoints: BTreeMap<EndpointKey, EndpointState>,
     waiting: BTreeMap<Ticket, QueuedRequest>,
-    next: Ticket,
+    next_ticket: Ticket,
     /// Instances of this cell.
     peers: HashMap<InstanceId, peer::Peer>,
     /// Instances of other cells: their representatives, and whoever has been heard for another reason.
@@ -204,7 +204,7 @@
             sequence: 0,
             endpoints: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            next: 0,
+            next_ticket: 0,
             peers: HashMap::new(),
             others: HashMap::new(),
             known: assign::KnownPaces::default(),
@@ -322,9 +322,9 @@
 
     /// Brings in a request that waits for a place.
     pub fn arrive(&mut self, want: QueuedRequest) -> Ticket {
-        self.next += 1;
-        self.waiting.insert(self.next, want);
-        self.next
+        self.next_ticket += 1;
+        self.waiting.insert(self.next_ticket, want);
+        self.next_ticket
     }
 
     /// Lets what waits for a service wait for another one.
