--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -159,7 +159,7 @@
     /// Instances of this cell.
     peers: HashMap<InstanceId, peer::Peer>,
     /// Instances of other cells: their representatives, and whoever has been heard for another reason.
-    others: HashMap<InstanceId, peer::Peer>,
+    remote_peers: HashMap<InstanceId, peer::Peer>,
     known: assign::KnownPaces,
     news: Vec<Ejection>,
     /// When a failure was last noted.
@@ -206,7 +206,7 @@
             waiting: BTreeMap::new(),
             next_ticket: 0,
             peers: HashMap::new(),
-            others: HashMap::new(),
+            remote_peers: HashMap::new(),
             known: assign::KnownPaces::default(),
             news: Vec::new(),
             last_bad: None,
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -92,7 +92,7 @@
             return None;
         }
         let before = self.peers.remove(&report.instance);
-        let before = before.or_else(|| self.others.remove(&report.instance));
+        let before = before.or_else(|| self.remote_peers.remove(&report.instance));
         let before = before.filter(|b| b.report.life == report.life);
         if let Some(before) = before.as_ref().filter(|b| b.report.number >= report.number) {
             self.map_of(is_near).insert(report.instance, before.clone());
@@ -119,7 +119,7 @@
     fn map_of(&mut self, is_near: bool) -> &mut HashMap<InstanceId, Peer> {
         match is_near {
             true => &mut self.peers,
-            false => &mut self.others,
+            false => &mut self.remote_peers,
         }
     }
 
@@ -235,7 +235,8 @@
 
     /// Sets which instances belong to this cell.
     pub fn set_peers(&mut self, is_near: impl Fn(&InstanceId) -> bool) {
-        let (peers, others) = (std::mem::take(&mut self.peers), std::mem::take(&mut self.others));
+        let (peers, others) =
+            (std::mem::take(&mut self.peers), std::mem::take(&mut self.remote_peers));
         for (name, peer) in peers {
             self.map_of(is_near(&name)).insert(name, peer);
         }
@@ -251,7 +252,7 @@
     /// Forgets instances that have been silent for long.
     pub fn forget(&mut self, now: Instant) {
         self.peers.retain(|_, p| p.is_live(now, FORGET));
-        self.others.retain(|_, p| p.is_live(now, FORGET_OTHERS));
+        self.remote_peers.retain(|_, p| p.is_live(now, FORGET_OTHERS));
         self.forget_said(now);
     }
 
@@ -272,7 +273,7 @@
 
     /// Last reports of the instances of other cells that were heard within [`PEER_TTL`].
     pub fn other_reports(&self, now: Instant) -> impl Iterator<Item = &Report> {
-        self.others.values().filter(move |p| p.is_live(now, PEER_TTL)).map(|p| &p.report)
+        self.remote_peers.values().filter(move |p| p.is_live(now, PEER_TTL)).map(|p| &p.report)
     }
 
     /// Last reports of the instances of this cell that were heard within [`PEER_TTL`], with their ages.
