--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -325,7 +325,8 @@
             }
             *aside += 1;
             let pause = site.health.set_aside(now);
-            self.news.push(super::Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
+            self.ejections
+                .push(super::Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
         }
     }
 }
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -161,7 +161,7 @@
     /// Instances of other cells: their representatives, and whoever has been heard for another reason.
     remote_peers: HashMap<InstanceId, peer::Peer>,
     known: assign::KnownPaces,
-    news: Vec<Ejection>,
+    ejections: Vec<Ejection>,
     /// When a failure was last noted.
     last_bad: Option<Instant>,
     /// Part of the fleet that is heard, this instance included.
@@ -208,7 +208,7 @@
             peers: HashMap::new(),
             remote_peers: HashMap::new(),
             known: assign::KnownPaces::default(),
-            news: Vec::new(),
+            ejections: Vec::new(),
             last_bad: None,
             share: 1.0,
             reach: 1,
@@ -419,7 +419,7 @@
         };
         if outcome == Outcome::Absent && !site.health.is_aside(now) {
             let pause = site.health.set_aside(now);
-            self.news.push(Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
+            self.ejections.push(Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
             return;
         }
         site.last_used = Some(now);
@@ -451,7 +451,7 @@
 
     /// What was newly believed of endpoints since the last call.
     pub fn take_news(&mut self) -> Vec<Ejection> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.ejections)
     }
 
     /// Requests at an endpoint, of all instances that are heard.
