--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -306,7 +306,7 @@
     /// nothing to find.
     fn set_failing_aside(&mut self, now: Instant) {
         let is_old = |at: Instant| now.saturating_duration_since(at) > super::health::WINDOW;
-        if self.last_bad.is_none_or(is_old) {
+        if self.last_failure.is_none_or(is_old) {
             return;
         }
         let mut services: HashMap<ServiceId, (usize, usize)> = HashMap::new();
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -163,7 +163,7 @@
     known: assign::KnownPaces,
     ejections: Vec<Ejection>,
     /// When a failure was last noted.
-    last_bad: Option<Instant>,
+    last_failure: Option<Instant>,
     /// Part of the fleet that is heard, this instance included.
     share: f64,
     /// Instances of the cell that are heard, this one included.
@@ -209,7 +209,7 @@
             remote_peers: HashMap::new(),
             known: assign::KnownPaces::default(),
             ejections: Vec::new(),
-            last_bad: None,
+            last_failure: None,
             share: 1.0,
             reach: 1,
             heard_names: reachability::InstanceFilter::default(),
@@ -427,7 +427,7 @@
             site.last_answer = Some(now);
         }
         if bad > 0 {
-            self.last_bad = Some(now);
+            self.last_failure = Some(now);
         }
         site.good += u64::from(good);
         site.bad += u64::from(bad);
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -136,7 +136,7 @@
             if let Some(site) = self.endpoints.get_mut(&tally.endpoint) {
                 let (good, bad) = (told.0.saturating_sub(old.0), told.1.saturating_sub(old.1));
                 site.health.note(now, good as u32, bad as u32);
-                self.last_bad = if bad > 0 { Some(now) } else { self.last_bad };
+                self.last_failure = if bad > 0 { Some(now) } else { self.last_failure };
             }
         }
     }
