--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -165,7 +165,7 @@
     /// When a failure was last noted.
     last_failure: Option<Instant>,
     /// Part of the fleet that is heard, this instance included.
-    share: f64,
+    visible_share: f64,
     /// Instances of the cell that are heard, this one included.
     reach: u32,
     /// Their names.
@@ -210,7 +210,7 @@
             known: assign::KnownPaces::default(),
             ejections: Vec::new(),
             last_failure: None,
-            share: 1.0,
+            visible_share: 1.0,
             reach: 1,
             heard_names: reachability::InstanceFilter::default(),
             shedding: shedding::Shedding::default(),
@@ -317,7 +317,7 @@
     /// Sets the part of the fleet that is heard, this instance included. Of each endpoint no larger part is
     /// used, since those that are not heard use the rest.
     pub fn set_share(&mut self, share: f64) {
-        self.share = share.clamp(0.0, 1.0);
+        self.visible_share = share.clamp(0.0, 1.0);
     }
 
     /// Brings in a request that waits for a place.
