--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -316,7 +316,7 @@
 
     /// Sets the part of the fleet that is heard, this instance included. Of each endpoint no larger part is
     /// used, since those that are not heard use the rest.
-    pub fn set_share(&mut self, share: f64) {
+    pub fn set_visible_share(&mut self, share: f64) {
         self.visible_share = share.clamp(0.0, 1.0);
     }
 
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -152,7 +152,7 @@
     let now = Instant::now();
     for (share, expected) in [(1.0, 20), (0.5, 10), (1.0 / 6.0, 4)] {
         let mut cell = cell("a", &[endpoint(0, 10), endpoint(2, 10)]);
-        cell.set_share(share);
+        cell.set_visible_share(share);
         for _ in 0..30 {
             cell.arrive(want(0, 100, now));
         }
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -130,7 +130,7 @@
         let covered = if self.group.cells > 1 { near } else { covered };
         let share = part(self.heard(now), self.instances.saturating_sub(1));
         self.admission.set_share(share * part(covered, near));
-        self.cell.set_share(part(near, self.group.peers.len()));
+        self.cell.set_visible_share(part(near, self.group.peers.len()));
     }
 
     /// Other instances of the fleet that are heard.
