--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -167,7 +167,7 @@
     /// Part of the fleet that is heard, this instance included.
     visible_share: f64,
     /// Instances of the cell that are heard, this one included.
-    reach: u32,
+    reachable_count: u32,
     /// Their names.
     heard_names: reachability::InstanceFilter,
     shedding: shedding::Shedding,
@@ -211,7 +211,7 @@
             ejections: Vec::new(),
             last_failure: None,
             visible_share: 1.0,
-            reach: 1,
+            reachable_count: 1,
             heard_names: reachability::InstanceFilter::default(),
             shedding: shedding::Shedding::default(),
             is_representative: false,
@@ -301,7 +301,7 @@
             life: self.incarnation,
             number: self.sequence,
             in_full: extent == ReportDetail::Full,
-            reach: is_beat.then_some(self.reach),
+            reach: is_beat.then_some(self.reachable_count),
             heard_names: is_beat.then_some(self.heard_names),
             loads,
             tallies,
--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -70,13 +70,13 @@
         let heard = near.len();
         let covered = near.into_iter().filter_map(|p| (!p.is_wider(now, names)).then_some(()));
         let covered = covered.count();
-        (self.heard_names, self.reach) = (names, heard as u32 + 1);
+        (self.heard_names, self.reachable_count) = (names, heard as u32 + 1);
         Reachability { heard, covered }
     }
 
     /// Instances of the cell that are heard, this one included.
-    pub fn reach(&self) -> u32 {
-        self.reach
+    pub fn reachable_count(&self) -> u32 {
+        self.reachable_count
     }
 }
 
--- a/oxbowbend-gateway/src/follow.rs
+++ b/oxbowbend-gateway/src/follow.rs
@@ -336,7 +336,7 @@
 fn entry(shared: &Shared, me: &InstanceId, zone: &ZoneId, address: SocketAddr) -> Entry {
     let now = clock::now();
     let mut state = shared.lock();
-    let mine = (Reverse(state.cell.reach()), me);
+    let mine = (Reverse(state.cell.reachable_count()), me);
     let is_before = |r: &Report| r.has_store && (Reverse(r.reach.unwrap_or(0)), &r.instance) < mine;
     let (mut used, mut paces) = (Vec::new(), Vec::new());
     let mut all = state.cell.live_reports(now).chain(state.cell.other_reports(now));
