--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -169,7 +169,7 @@
     /// Instances of the cell that are heard, this one included.
     reachable_count: u32,
     /// Their names.
-    heard_names: reachability::InstanceFilter,
+    reachable_filter: reachability::InstanceFilter,
     shedding: shedding::Shedding,
     /// Whether this instance represents the cell.
     is_representative: bool,
@@ -212,7 +212,7 @@
             last_failure: None,
             visible_share: 1.0,
             reachable_count: 1,
-            heard_names: reachability::InstanceFilter::default(),
+            reachable_filter: reachability::InstanceFilter::default(),
             shedding: shedding::Shedding::default(),
             is_representative: false,
             summed: BTreeMap::new(),
@@ -302,7 +302,7 @@
             number: self.sequence,
             in_full: extent == ReportDetail::Full,
             reach: is_beat.then_some(self.reachable_count),
-            heard_names: is_beat.then_some(self.heard_names),
+            heard_names: is_beat.then_some(self.reachable_filter),
             loads,
             tallies,
             claims: claims.collect(),
--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -70,7 +70,7 @@
         let heard = near.len();
         let covered = near.into_iter().filter_map(|p| (!p.is_wider(now, names)).then_some(()));
         let covered = covered.count();
-        (self.heard_names, self.reachable_count) = (names, heard as u32 + 1);
+        (self.reachable_filter, self.reachable_count) = (names, heard as u32 + 1);
         Reachability { heard, covered }
     }
 
