--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -174,8 +174,8 @@
     /// Whether this instance represents the cell.
     is_representative: bool,
     /// When it was last heard what each other cell has admitted, and what all of them have.
-    summed: BTreeMap<u32, Instant>,
-    viewed: Option<Instant>,
+    cell_totals_at: BTreeMap<u32, Instant>,
+    fleet_totals_at: Option<Instant>,
     /// Limits that endpoints name.
     limits: limits::Limits,
     /// Endpoints that have said that they leave.
@@ -215,8 +215,8 @@
             reachable_filter: reachability::InstanceFilter::default(),
             shedding: shedding::Shedding::default(),
             is_representative: false,
-            summed: BTreeMap::new(),
-            viewed: None,
+            cell_totals_at: BTreeMap::new(),
+            fleet_totals_at: None,
         }
     }
 
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -199,7 +199,7 @@
             };
             peer.recount_fleet();
             // Until it stepped down, this instance heard the other cells itself.
-            let last = self.viewed.max(self.summed.values().copied().max());
+            let last = self.fleet_totals_at.max(self.cell_totals_at.values().copied().max());
             return admitted(&view.lately, last.map(since));
         }
         if !report.is_representative || is_going_on(peer.summed) {
@@ -207,16 +207,16 @@
         }
         peer.recount_cell();
         // Until it stepped in, this instance was told of all other cells.
-        let last = self.summed.get(&report.cell).copied().max(self.viewed);
+        let last = self.cell_totals_at.get(&report.cell).copied().max(self.fleet_totals_at);
         admitted(&report.cell_lately, last.map(since))
     }
 
     /// Notes that sums were counted.
     fn note_sums(&mut self, now: Instant, report: &Report, is_near: bool) {
         if !is_near {
-            self.summed.insert(report.cell, now);
+            self.cell_totals_at.insert(report.cell, now);
         } else if report.fleet.is_some() {
-            self.viewed = Some(now);
+            self.fleet_totals_at = Some(now);
         }
     }
 
