--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -24,7 +24,7 @@
         shared: BTreeSet<ServiceId>,
     ) {
         self.limits.set_instances(cell, fleet);
-        self.shared = shared;
+        self.shared_services = shared;
     }
 
     /// Sets which endpoints the platform lists, of all cells.
@@ -89,7 +89,7 @@
     pub fn tell_others_of_endpoints(&self, now: Instant) -> EndpointNotices {
         let is_shared = |key: &EndpointKey| {
             let service = self.endpoints.get(key).map(|s| &s.endpoint.service);
-            service.is_some_and(|service| self.shared.contains(service))
+            service.is_some_and(|service| self.shared_services.contains(service))
         };
         self.tell(now, Audience::Others, is_shared)
     }
@@ -202,7 +202,7 @@
     }
 
     fn scope(&self, site: &EndpointState) -> Scope {
-        match self.shared.contains(&site.endpoint.service) {
+        match self.shared_services.contains(&site.endpoint.service) {
             true => Scope::Fleet,
             false => Scope::Cell,
         }
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -183,7 +183,7 @@
     /// Those that have asked this instance for rest.
     rests: rests::Rests,
     /// Services whose endpoints belong to all cells.
-    shared: BTreeSet<ServiceId>,
+    shared_services: BTreeSet<ServiceId>,
     /// Endpoints that the platform lists, of all cells.
     listed: HashSet<EndpointKey>,
 }
@@ -196,7 +196,7 @@
             limits: limits::Limits::new(&me),
             leaving: leaving::Leaving::default(),
             rests: rests::Rests::default(),
-            shared: BTreeSet::new(),
+            shared_services: BTreeSet::new(),
             listed: HashSet::new(),
             local_id: me,
             zone,
