--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -29,7 +29,7 @@
 
     /// Sets which endpoints the platform lists, of all cells.
     pub fn set_listed(&mut self, listed: impl Iterator<Item = EndpointKey>) {
-        self.listed = listed.collect();
+        self.listed_endpoints = listed.collect();
     }
 
     /// Takes in what an answer says of its endpoint, to a request that was sent at `sent`.
@@ -179,7 +179,7 @@
 
     /// Forgets what was said by endpoints that are not listed any more.
     pub(super) fn forget_said(&mut self, now: Instant) {
-        let (sites, listed) = (&self.endpoints, &self.listed);
+        let (sites, listed) = (&self.endpoints, &self.listed_endpoints);
         let is_listed = |key: &EndpointKey| sites.contains_key(key) || listed.contains(key);
         self.limits.forget(now, is_listed);
         self.rests.forget(now);
@@ -187,7 +187,7 @@
     }
 
     fn is_listed(&self, key: EndpointKey) -> bool {
-        self.endpoints.contains_key(&key) || self.listed.contains(&key)
+        self.endpoints.contains_key(&key) || self.listed_endpoints.contains(&key)
     }
 
     /// Whether an endpoint leaves, by its entry or its own word: one belief, whichever comes first. While the store is away only the
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -185,7 +185,7 @@
     /// Services whose endpoints belong to all cells.
     shared_services: BTreeSet<ServiceId>,
     /// Endpoints that the platform lists, of all cells.
-    listed: HashSet<EndpointKey>,
+    listed_endpoints: HashSet<EndpointKey>,
 }
 
 impl Cell {
@@ -197,7 +197,7 @@
             leaving: leaving::Leaving::default(),
             rests: rests::Rests::default(),
             shared_services: BTreeSet::new(),
-            listed: HashSet::new(),
+            listed_endpoints: HashSet::new(),
             local_id: me,
             zone,
             incarnation: life,
