--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -50,7 +50,7 @@
 pub const PEER_TTL: Duration = Duration::from_millis(1500);
 /// Waiting requests told to others, the first in order. Only few places are free when requests wait, so
 /// those further behind have no say; 32 of them made up most of the bytes between zones under a burst.
-const MAX_CLAIMS: usize = 6;
+const MAX_REPORTED_WAITING: usize = 6;
 /// Time after a change of an endpoint's counters for which every report with tallies tells them: three
 /// such reports, so that one gets through in spite of losses.
 const MENTION: Duration = Duration::from_millis(400);
@@ -286,7 +286,7 @@
         let mut waiting: Vec<_> = self.waiting.values().collect();
         waiting.sort_by_key(|w| self.order(now, w));
         let is_beat = extent != ReportDetail::Loads;
-        let claims = waiting.into_iter().take(MAX_CLAIMS).map(|w| WaitingRequest {
+        let claims = waiting.into_iter().take(MAX_REPORTED_WAITING).map(|w| WaitingRequest {
             service: w.service.clone(),
             rank: w.rank,
             waited_ms: now.saturating_duration_since(w.arrived_at).as_millis() as u32,
