--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -53,9 +53,9 @@
 const MAX_REPORTED_WAITING: usize = 6;
 /// Time after a change of an endpoint's counters for which every report with tallies tells them: three
 /// such reports, so that one gets through in spite of losses.
-const MENTION: Duration = Duration::from_millis(400);
+const CHANGED_STATS_PERIOD: Duration = Duration::from_millis(400);
 /// The same for reports that tell all tallies, for those who have missed the others.
-const MENTION_ALL: Duration = Duration::from_secs(3);
+const FULL_STATS_PERIOD: Duration = Duration::from_secs(3);
 
 /// Measurements for which a noted pace counts, so that new ones soon outweigh it.
 const NOTED_SAMPLES: u32 = 3;
@@ -259,8 +259,8 @@
         self.sequence += 1;
         let mention = match extent {
             ReportDetail::Loads => Duration::ZERO,
-            ReportDetail::Changes => MENTION,
-            ReportDetail::Full => MENTION_ALL,
+            ReportDetail::Changes => CHANGED_STATS_PERIOD,
+            ReportDetail::Full => FULL_STATS_PERIOD,
         };
         let running = self.endpoints.iter().filter(|(_, s)| s.running > 0);
         let load = |(key, s): (&EndpointKey, &EndpointState)| EndpointLoad {
