--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -58,7 +58,7 @@
 const FULL_STATS_PERIOD: Duration = Duration::from_secs(3);
 
 /// Measurements for which a noted pace counts, so that new ones soon outweigh it.
-const NOTED_SAMPLES: u32 = 3;
+const RESTORED_SAMPLES: u32 = 3;
 
 /// Number of a waiting or running request at this instance.
 pub type Ticket = u64;
@@ -445,7 +445,7 @@
     pub fn restore_pace(&mut self, endpoint: EndpointKey, ns_per_unit: u64) {
         let site = self.endpoints.get_mut(&endpoint).filter(|s| s.pace.as_parts().1 == 0);
         if let Some(site) = site {
-            site.pace = pace::Pace::reported(ns_per_unit, NOTED_SAMPLES);
+            site.pace = pace::Pace::reported(ns_per_unit, RESTORED_SAMPLES);
         }
     }
 
