--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -321,7 +321,7 @@
     }
 
     /// Brings in a request that waits for a place.
-    pub fn arrive(&mut self, want: QueuedRequest) -> Ticket {
+    pub fn enqueue(&mut self, want: QueuedRequest) -> Ticket {
         self.next_ticket += 1;
         self.waiting.insert(self.next_ticket, want);
         self.next_ticket
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -15,8 +15,8 @@
 fn rank_goes_before_age() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1)]);
-    let _old = cell.arrive(want(2, 100, now - 50 * MS));
-    let urgent = cell.arrive(want(0, 100, now));
+    let _old = cell.enqueue(want(2, 100, now - 50 * MS));
+    let urgent = cell.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut cell, now), [(urgent, "e0".to_owned())]);
     assert_eq!(cell.waiting(), 1);
 }
@@ -26,7 +26,7 @@
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 2)]);
     for _ in 0..3 {
-        cell.arrive(want(0, 100, now));
+        cell.enqueue(want(0, 100, now));
     }
     assert_eq!(placed(&mut cell, now).len(), 2);
     assert_eq!(placed(&mut cell, now).len(), 0);
@@ -39,10 +39,10 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    a.arrive(want(0, 100, now));
+    a.enqueue(want(0, 100, now));
     assert_eq!(a.assign(now).len(), 1);
     b.hear(now, a.report(now, ReportDetail::Full), true);
-    b.arrive(want(0, 100, now));
+    b.enqueue(want(0, 100, now));
     assert_eq!(b.assign(now).len(), 0);
     assert_eq!(b.assign(now + PEER_TTL).len(), 1);
 }
@@ -53,8 +53,8 @@
     let endpoints = [endpoint(0, 1)];
     for (rank_a, rank_b, first) in [(0, 1, "a"), (1, 0, "b")] {
         let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-        a.arrive(want(rank_a, 100, now - UNHEARD));
-        b.arrive(want(rank_b, 100, now - UNHEARD));
+        a.enqueue(want(rank_a, 100, now - UNHEARD));
+        b.enqueue(want(rank_b, 100, now - UNHEARD));
         let (from_a, from_b) =
             (a.report(now, ReportDetail::Full), b.report(now, ReportDetail::Full));
         a.hear(now, from_b, true);
@@ -69,9 +69,9 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    a.arrive(want(0, 100, now));
+    a.enqueue(want(0, 100, now));
     b.hear(now, a.report(now, ReportDetail::Full), true);
-    b.arrive(want(1, 100, now));
+    b.enqueue(want(1, 100, now));
     assert_eq!(b.assign(now).len(), 0);
     assert_eq!(b.assign(now + WAITING_TTL).len(), 1);
 }
@@ -82,7 +82,7 @@
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     let idle = a.report(now, ReportDetail::Full);
-    a.arrive(want(0, 100, now));
+    a.enqueue(want(0, 100, now));
     a.assign(now);
     assert!(b.hear(now, a.report(now, ReportDetail::Full), true).is_some());
     assert!(b.hear(now, idle, true).is_none());
@@ -95,7 +95,7 @@
     let mut cell = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
     (0..10).for_each(|_| cell.began(now, key("e0"), 1000, 0, 300 * MS));
     (0..10).for_each(|_| cell.began(now, key("e2"), 1000, 0, 60 * MS));
-    let ticket = cell.arrive(want(0, 1000, now));
+    let ticket = cell.enqueue(want(0, 1000, now));
     assert_eq!(placed(&mut cell, now), [(ticket, "e2".to_owned())]);
 }
 
@@ -105,10 +105,10 @@
     let mut cell = cell("a", &[endpoint(0, 1), endpoint(2, 1)]);
     (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 300 * MS));
     (0..10).for_each(|_| cell.began(now, key("e2"), 700, 0, 50 * MS));
-    cell.arrive(want(0, 700, now));
+    cell.enqueue(want(0, 700, now));
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
     // 4,700 tokens take 1.5 s at e0 and 0.3 s at e2, of 0.5 s.
-    cell.arrive(want(0, 4700, now));
+    cell.enqueue(want(0, 4700, now));
     assert_eq!(placed(&mut cell, now).len(), 0);
     // When it is late anywhere it takes what is free.
     assert_eq!(placed(&mut cell, now + 400 * MS)[0].1, "e0");
@@ -119,7 +119,7 @@
     let now = Instant::now();
     let leaving = Endpoint { leaving: true, ..endpoint(0, 1) };
     let mut cell = cell("a", &[leaving, endpoint(2, 1)]);
-    cell.arrive(QueuedRequest { excluded_endpoints: vec!["e2".into()], ..want(0, 100, now) });
+    cell.enqueue(QueuedRequest { excluded_endpoints: vec!["e2".into()], ..want(0, 100, now) });
     assert_eq!(cell.assign(now).len(), 0);
 }
 
@@ -131,7 +131,7 @@
     b.hear(now, a.report(now, ReportDetail::Full), true);
     (0..4).for_each(|_| a.judge(now, key("e0"), Outcome::Bad));
     b.hear(now, a.report(now, ReportDetail::Full), true);
-    let ticket = b.arrive(want(0, 100, now));
+    let ticket = b.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut b, now), [(ticket, "e2".to_owned())]);
     assert_eq!(b.take_news().len(), 1);
 }
@@ -145,7 +145,7 @@
         (0..9).for_each(|_| cell.judge(now, e.key(), Outcome::Bad));
     }
     for _ in 0..5 {
-        cell.arrive(want(0, 100, now));
+        cell.enqueue(want(0, 100, now));
     }
     assert_eq!(cell.assign(now).len(), 3);
     assert_eq!(cell.take_news().len(), 2);
@@ -158,7 +158,7 @@
     let mut cell = cell("a", &endpoints);
     (0..4).for_each(|_| cell.judge(now, key("e0"), Outcome::Bad));
     for _ in 0..4 {
-        cell.arrive(want(0, 100, now));
+        cell.enqueue(want(0, 100, now));
     }
     assert_eq!(cell.assign(now).len(), 0);
     let later = now + Duration::from_secs(2);
@@ -167,7 +167,7 @@
         cell.finish(later, key("e0"), 0, Outcome::Good);
     }
     for _ in 0..4 {
-        cell.arrive(want(0, 100, now));
+        cell.enqueue(want(0, 100, now));
     }
     assert_eq!(cell.assign(later).len(), 4);
 }
@@ -252,7 +252,7 @@
 fn what_waits_for_one_service_can_wait_for_another() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1)]);
-    let ticket = cell.arrive(QueuedRequest { service: "t".into(), ..want(0, 100, now) });
+    let ticket = cell.enqueue(QueuedRequest { service: "t".into(), ..want(0, 100, now) });
     assert!(cell.assign(now).is_empty());
     assert!(cell.serves(&"s".into()) && !cell.serves(&"t".into()));
     cell.move_waiting(&"t".into(), &"s".into());
@@ -287,7 +287,7 @@
     let endpoints: Vec<_> = (0..12).map(|n| endpoint(2 * n, 4)).collect();
     let first = |name: String| {
         let mut cell = cell(&name, &endpoints);
-        cell.arrive(want(0, 1000, now));
+        cell.enqueue(want(0, 1000, now));
         placed(&mut cell, now)[0].1.clone()
     };
     let chosen: std::collections::BTreeSet<_> = (0..12).map(|n| first(format!("i{n}"))).collect();
@@ -302,7 +302,7 @@
     let names: Vec<_> = (0..12).map(|n| format!("i{n}")).collect();
     let mut cells: Vec<_> = names.iter().map(|name| cell(name, &endpoints)).collect();
     for (n, cell) in cells.iter_mut().enumerate() {
-        cell.arrive(want(0, 1000, now - MS * n as u32));
+        cell.enqueue(want(0, 1000, now - MS * n as u32));
     }
     let reports: Vec<_> = cells.iter_mut().map(|c| c.report(now, ReportDetail::Full)).collect();
     let mut taken = std::collections::BTreeSet::new();
@@ -327,7 +327,7 @@
         if has_peer {
             a.hear(now, b.report(now, ReportDetail::Loads), true);
         }
-        a.arrive(want(0, 100, now - MS * age));
+        a.enqueue(want(0, 100, now - MS * age));
         assert_eq!(a.assign(now).len(), placed, "{free} free, {age} ms, heard: {has_peer}");
     }
 }
@@ -337,7 +337,7 @@
 fn what_runs_at_an_endpoint_that_was_taken_away_is_still_told() {
     let now = Instant::now();
     let mut a = cell("a", &[endpoint(0, 4)]);
-    a.arrive(want(0, 100, now));
+    a.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut a, now).len(), 1);
     a.set_endpoints([endpoint(2, 4)]);
     let loads = a.report(now, ReportDetail::Loads).loads;
@@ -345,7 +345,7 @@
         loads,
         [EndpointLoad { endpoint: key("e0"), running: 1, pending_prompt_tokens: 100 }]
     );
-    a.arrive(want(0, 100, now));
+    a.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut a, now)[0].1, "e2", "no further requests");
     a.finish(now, key("e0"), 100, Outcome::Good);
     a.set_endpoints([endpoint(2, 4)]);
--- a/oxbowbend-core/tests/leaving.rs
+++ b/oxbowbend-core/tests/leaving.rs
@@ -22,13 +22,13 @@
 fn it_gets_nothing_more_and_what_runs_there_ends() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
-    cell.arrive(want(0, 1, now));
+    cell.enqueue(want(0, 1, now));
     let first = placed(&mut cell, now);
     let (leaver, other) = if first[0].1 == "e0" { ("e0", "e2") } else { ("e2", "e0") };
     cell.endpoint_said(now, key(leaver), now, LEAVES);
     assert_eq!((cell.leavers(), cell.load(now, key(leaver))), (1, 1));
     assert!(!cell.may_send(now, key(leaver)) && cell.may_send(now, key(other)));
-    (0..6).for_each(|_| _ = cell.arrive(want(0, 1, now)));
+    (0..6).for_each(|_| _ = cell.enqueue(want(0, 1, now)));
     let placed = placed(&mut cell, now + 20 * MS);
     assert_eq!(placed.len(), 4, "two wait");
     assert!(placed.iter().all(|(_, endpoint)| endpoint == other));
@@ -59,7 +59,7 @@
     // The first one may be gone when another one starts.
     let (b, c) = rest.split_at_mut(1);
     hears_from(&mut c[0], &mut b[0], now);
-    c[0].arrive(want(0, 1, now));
+    c[0].enqueue(want(0, 1, now));
     assert!(c[0].assign(now + 20 * MS).is_empty());
     assert!(!c[0].serves(&"s".into()));
     c[0].set_endpoints([Endpoint { born: 1, ..endpoint(0, 4) }]);
--- a/oxbowbend-core/tests/limit_exploration.rs
+++ b/oxbowbend-core/tests/limit_exploration.rs
@@ -132,7 +132,8 @@
 
     fn press(&mut self, n: usize) -> usize {
         let (cell, now) = (&mut self.cells[n], self.now);
-        let tickets: Vec<_> = (0..WANTED).map(|_| cell.arrive(want(0, 1, now - 20 * MS))).collect();
+        let tickets: Vec<_> =
+            (0..WANTED).map(|_| cell.enqueue(want(0, 1, now - 20 * MS))).collect();
         let sent = cell.assign(now).len();
         tickets.into_iter().for_each(|ticket| _ = cell.withdraw(ticket));
         (0..sent).for_each(|_| cell.finish(now, key("e0"), 1, Outcome::Good));
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -34,7 +34,7 @@
 
 /// Sends all that may be sent, up to `most`; returns how many.
 fn press(cell: &mut Cell, now: Instant, most: usize) -> usize {
-    let tickets: Vec<_> = (0..most).map(|_| cell.arrive(want(0, 1, now - 20 * MS))).collect();
+    let tickets: Vec<_> = (0..most).map(|_| cell.enqueue(want(0, 1, now - 20 * MS))).collect();
     let sent = cell.assign(now).len();
     tickets.into_iter().for_each(|ticket| _ = cell.withdraw(ticket));
     (0..sent).for_each(|_| cell.finish(now, key("e0"), 1, Outcome::Good));
@@ -212,7 +212,7 @@
     let mut cell = cell("i0", &[endpoint(0, 4), endpoint(2, 4)]);
     cell.endpoint_said(now, key("e0"), now, says(Some(0.5)));
     let later = now + 20 * MS;
-    (0..10).for_each(|_| _ = cell.arrive(want(0, 1, now)));
+    (0..10).for_each(|_| _ = cell.enqueue(want(0, 1, now)));
     let placed = cell.assign(later);
     let at_limited = placed.iter().filter(|a| &*a.endpoint.id == "e0").count();
     assert!(at_limited <= 4, "{at_limited} at once");
@@ -222,7 +222,7 @@
     while !cell.assign(later).is_empty() {
         (0..4).for_each(|_| cell.finish(later, key("e0"), 1, Outcome::Good));
         (0..4).for_each(|_| cell.finish(later, key("e2"), 1, Outcome::Good));
-        (0..10).for_each(|_| _ = cell.arrive(want(0, 1, now)));
+        (0..10).for_each(|_| _ = cell.enqueue(want(0, 1, now)));
     }
     let opens_in = cell.opens_in(later, &"s".into()).expect("both want none");
     assert!(opens_in > Duration::ZERO && opens_in <= Duration::from_secs(2), "{opens_in:?}");
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -15,14 +15,14 @@
     (0..10).for_each(|_| cell.began(now, key("e2"), 700, 0, 25 * MS));
     let stall = PrefillStall { chunk_tokens: 3000, max_gap_ms: 200 };
     let long = QueuedRequest { stall, objective: 1000 * MS, ..want(0, 3000, now) };
-    cell.arrive(want(0, 100, now));
+    cell.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
     // 3,000 tokens take 258 ms at e0: alone there it holds up nobody.
-    cell.arrive(long.clone());
+    cell.enqueue(long.clone());
     assert_eq!(placed(&mut cell, now)[0].1, "e0");
     cell.began(now, key("e0"), 3000, 0, 258 * MS);
     // It streams now. The next one waits for e2, but not beyond half of its time.
-    cell.arrive(long);
+    cell.enqueue(long);
     assert_eq!(placed(&mut cell, now).len(), 0);
     assert_eq!(placed(&mut cell, now + 510 * MS)[0].1, "e0");
 }
@@ -35,7 +35,7 @@
     for (prompt, expected) in [(100, "e2"), (4700, "e0")] {
         let mut cell = cell("a", &endpoints);
         (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 50 * MS));
-        cell.arrive(want(0, prompt, now));
+        cell.enqueue(want(0, prompt, now));
         assert_eq!(placed(&mut cell, now)[0].1, expected, "{prompt} tokens");
     }
 }
@@ -65,15 +65,15 @@
         (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 20 * MS));
         (0..10).for_each(|_| cell.began(now, key("e2"), 700, 0, 40 * MS));
     }
-    a.arrive(QueuedRequest { objective: 5000 * MS, ..want(0, 30_000, now) });
+    a.enqueue(QueuedRequest { objective: 5000 * MS, ..want(0, 30_000, now) });
     assert_eq!(placed(&mut a, now)[0].1, "e0");
     b.hear(now, a.report(now, ReportDetail::Loads), true);
-    b.arrive(short.clone());
+    b.enqueue(short.clone());
     assert_eq!(placed(&mut b, now)[0].1, "e2");
     // Once it is read, and when it ends unread, the endpoint is as good as before.
     a.began(now, key("e0"), 30_000, 0, 600 * MS);
     b.hear(now, a.report(now, ReportDetail::Loads), true);
-    b.arrive(short.clone());
+    b.enqueue(short.clone());
     assert_eq!(placed(&mut b, now)[0].1, "e0");
 }
 
@@ -88,7 +88,7 @@
         }
         for n in 0..40 {
             let prompt = 10 + n;
-            cell.arrive(QueuedRequest {
+            cell.enqueue(QueuedRequest {
                 output_tokens: output,
                 objective: 400 * MS,
                 ..want(0, prompt, now)
@@ -104,9 +104,9 @@
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1)]);
     cell.began(now, key("e0"), 700, 0, 12 * MS);
-    let long = cell.arrive(QueuedRequest { output_tokens: 2000, ..want(0, 100, now - 10 * MS) });
-    let lower = cell.arrive(QueuedRequest { output_tokens: 10, ..want(1, 100, now - 100 * MS) });
-    let short = cell.arrive(QueuedRequest { output_tokens: 200, ..want(0, 100, now) });
+    let long = cell.enqueue(QueuedRequest { output_tokens: 2000, ..want(0, 100, now - 10 * MS) });
+    let lower = cell.enqueue(QueuedRequest { output_tokens: 10, ..want(1, 100, now - 100 * MS) });
+    let short = cell.enqueue(QueuedRequest { output_tokens: 200, ..want(0, 100, now) });
     for expected in [short, long, lower] {
         assert_eq!(placed(&mut cell, now)[0].0, expected);
         cell.finish(now, key("e0"), 100, Outcome::Good);
@@ -127,7 +127,8 @@
             if ms % 10 == 0 {
                 let output = if (ms / 10) % 6 == 0 { 120 } else { 4 };
                 let told = if tell { output } else { 0 };
-                let ticket = cell.arrive(QueuedRequest { output_tokens: told, ..want(0, 10, now) });
+                let ticket =
+                    cell.enqueue(QueuedRequest { output_tokens: told, ..want(0, 10, now) });
                 runs.insert(ticket, output * 2);
             }
             if now < free_at {
@@ -154,7 +155,7 @@
         let mut cell = cell("a", &[endpoint(0, 10), endpoint(2, 10)]);
         cell.set_visible_share(share);
         for _ in 0..30 {
-            cell.arrive(want(0, 100, now));
+            cell.enqueue(want(0, 100, now));
         }
         assert_eq!(placed(&mut cell, now).len(), expected, "a share of {share}");
     }
@@ -171,7 +172,7 @@
         }
         let later = start + 4000 * MS;
         for _ in 0..10 {
-            cell.arrive(want(0, 100, later));
+            cell.enqueue(want(0, 100, later));
         }
         cell.assign(later);
         if !is_dark {
--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -15,7 +15,7 @@
 
 fn arrive(cell: &mut Cell, now: Instant, requests: u32) {
     for _ in 0..requests {
-        cell.arrive(want(0, 100, now));
+        cell.enqueue(want(0, 100, now));
     }
 }
 
@@ -46,7 +46,7 @@
     (0..10).for_each(|_| cell.began(now, old.key(), 700, 0, 400 * MS));
     (0..10).for_each(|_| cell.began(now, other.key(), 700, 0, 20 * MS));
     (0..4).for_each(|_| cell.judge(now, old.key(), Outcome::Bad));
-    cell.arrive(want(0, 100, now));
+    cell.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
     assert_eq!(cell.take_news().len(), 1);
     cell.set_endpoints([new.clone(), other.clone()]);
@@ -66,14 +66,14 @@
     let (old, new) = (started(0, 1, 1000), started(0, 1, 2000));
     let (mut a, mut b) =
         (cell("a", std::slice::from_ref(&old)), cell("b", std::slice::from_ref(&new)));
-    a.arrive(want(0, 100, now));
+    a.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut a, now).len(), 1);
     (0..10).for_each(|_| a.began(now, old.key(), 700, 0, 400 * MS));
     (0..9).for_each(|_| a.judge(now, old.key(), Outcome::Bad));
     b.hear(now, a.report(now, ReportDetail::Full), true);
     assert_eq!(b.load(now, new.key()), 0);
     assert_eq!(b.known_paces(now), []);
-    b.arrive(want(0, 100, now - UNHEARD));
+    b.enqueue(want(0, 100, now - UNHEARD));
     assert_eq!(placed(&mut b, now).len(), 1);
     // Of the same start, all of it counts.
     let mut c = cell("c", std::slice::from_ref(&old));
@@ -87,17 +87,17 @@
     let now = Instant::now();
     let (absent, other) = (started(0, 4, 1000), started(2, 1, 1000));
     let mut cell = cell("a", &[absent.clone(), other]);
-    cell.arrive(want(0, 100, now));
-    cell.arrive(want(0, 100, now));
+    cell.enqueue(want(0, 100, now));
+    cell.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut cell, now).len(), 2);
     // One such answer is enough, even for half of a service.
     cell.finish(now, absent.key(), 100, Outcome::Absent);
     assert_eq!(cell.take_news().len(), 1);
-    cell.arrive(want(0, 100, now));
+    cell.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut cell, now), []);
     // After a while it is tried again, by one request at a time.
     let later = now + Duration::from_secs(1);
-    cell.arrive(want(0, 100, later));
+    cell.enqueue(want(0, 100, later));
     let tried = placed(&mut cell, later);
     assert_eq!(tried.len(), 1);
     assert_eq!(tried[0].1, "e0");
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -50,7 +50,7 @@
 
 /// A request that is refused for want of a place.
 fn refuse(cell: &mut Cell, now: Instant, rank: u16) -> Duration {
-    let ticket = cell.arrive(want(rank, now));
+    let ticket = cell.enqueue(want(rank, now));
     assert!(cell.assign(now).is_empty(), "a place came free");
     cell.withdraw(ticket);
     cell.refuse(now, &service(), rank, patience(0.0)).after
@@ -60,19 +60,19 @@
 fn where_a_rank_gets_nothing_few_wait_and_the_others_are_told_at_once() {
     let now = Instant::now();
     let mut cell = cell(1);
-    cell.arrive(want(0, now));
+    cell.enqueue(want(0, now));
     assert_eq!(cell.assign(now).len(), 1);
-    let waiting: Vec<Ticket> = (0..3).map(|_| cell.arrive(want(1, now))).collect();
+    let waiting: Vec<Ticket> = (0..3).map(|_| cell.enqueue(want(1, now))).collect();
     // Nothing is known yet, so all wait.
     assert!(waiting.iter().all(|ticket| !cell.should_shed(now, *ticket)));
     for _ in 0..4 {
         refuse(&mut cell, now, 1);
     }
-    let one_more = cell.arrive(want(1, now));
+    let one_more = cell.enqueue(want(1, now));
     assert!(cell.should_shed(now, one_more));
     cell.withdraw(one_more);
     // A more urgent one is not concerned, nor one of few.
-    let urgent = cell.arrive(want(0, now));
+    let urgent = cell.enqueue(want(0, now));
     assert!(!cell.should_shed(now, urgent));
     cell.withdraw(urgent);
     for ticket in &waiting[1..] {
@@ -88,13 +88,13 @@
 fn refusals_of_more_than_a_second_ago_do_not_count() {
     let now = Instant::now();
     let mut cell = cell(1);
-    cell.arrive(want(0, now));
+    cell.enqueue(want(0, now));
     cell.assign(now);
     for _ in 0..4 {
         refuse(&mut cell, now, 1);
     }
     let later = now + 1100 * MS;
-    let waiting: Vec<Ticket> = (0..4).map(|_| cell.arrive(want(1, later))).collect();
+    let waiting: Vec<Ticket> = (0..4).map(|_| cell.enqueue(want(1, later))).collect();
     assert!(!cell.should_shed(later, waiting[3]));
 }
 
@@ -104,7 +104,7 @@
     for (places, refused, soon) in [(9, 1, true), (5, 5, true), (2, 8, false), (0, 3, false)] {
         let mut cell = cell(places);
         for _ in 0..places {
-            cell.arrive(want(1, now));
+            cell.enqueue(want(1, now));
         }
         assert_eq!(cell.assign(now).len() as u32, places);
         let told = (0..refused).map(|_| refuse(&mut cell, now, 1)).last().expect("a refusal");
@@ -128,11 +128,11 @@
 fn a_caller_that_has_waited_before_goes_first_while_it_can_be_in_time() {
     let now = Instant::now();
     let mut cell = cell(1);
-    cell.arrive(want(0, now));
+    cell.enqueue(want(0, now));
     cell.assign(now);
-    let fresh = cell.arrive(want(1, now));
-    let back = cell.arrive(QueuedRequest { objective: OBJECTIVE - 150 * MS, ..want(1, now) });
-    let late = cell.arrive(QueuedRequest { objective: Duration::ZERO, ..want(1, now - MS) });
+    let fresh = cell.enqueue(want(1, now));
+    let back = cell.enqueue(QueuedRequest { objective: OBJECTIVE - 150 * MS, ..want(1, now) });
+    let late = cell.enqueue(QueuedRequest { objective: Duration::ZERO, ..want(1, now - MS) });
     for expected in [back, fresh, late] {
         cell.finish(now, key("e"), 100, Outcome::Good);
         assert_eq!(cell.assign(now)[0].ticket, expected);
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -381,7 +381,7 @@
     pub(crate) fn arrive(&self, want: QueuedRequest) -> Waiting {
         let (tx, rx) = oneshot::channel();
         let mut state = self.lock();
-        let ticket = state.cell.arrive(want);
+        let ticket = state.cell.enqueue(want);
         state.waiters.insert(ticket, tx);
         drop(state);
         let waiting = Waiting::new(self.clone(), ticket, rx);
