--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -342,7 +342,7 @@
     }
 
     /// Takes a request out of the queue; `false` means that it has been placed.
-    pub fn withdraw(&mut self, ticket: Ticket) -> bool {
+    pub fn dequeue(&mut self, ticket: Ticket) -> bool {
         self.waiting.remove(&ticket).is_some()
     }
 
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -36,7 +36,7 @@
 fn press(cell: &mut Cell, now: Instant, most: usize) -> usize {
     let tickets: Vec<_> = (0..most).map(|_| cell.enqueue(want(0, 1, now - 20 * MS))).collect();
     let sent = cell.assign(now).len();
-    tickets.into_iter().for_each(|ticket| _ = cell.withdraw(ticket));
+    tickets.into_iter().for_each(|ticket| _ = cell.dequeue(ticket));
     (0..sent).for_each(|_| cell.finish(now, key("e0"), 1, Outcome::Good));
     sent
 }
--- a/oxbowbend-core/tests/rests.rs
+++ b/oxbowbend-core/tests/rests.rs
@@ -15,7 +15,7 @@
 fn is_used(cell: &mut Cell, now: Instant) -> bool {
     let ticket = cell.enqueue(want(0, 1, now - 20 * MS));
     let is_placed = !placed(cell, now).is_empty();
-    cell.withdraw(ticket);
+    cell.dequeue(ticket);
     if is_placed {
         cell.finish(now, key("e0"), 1, Outcome::Neutral);
     }
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -52,7 +52,7 @@
 fn refuse(cell: &mut Cell, now: Instant, rank: u16) -> Duration {
     let ticket = cell.enqueue(want(rank, now));
     assert!(cell.assign(now).is_empty(), "a place came free");
-    cell.withdraw(ticket);
+    cell.dequeue(ticket);
     cell.refuse(now, &service(), rank, patience(0.0)).after
 }
 
@@ -70,13 +70,13 @@
     }
     let one_more = cell.enqueue(want(1, now));
     assert!(cell.should_shed(now, one_more));
-    cell.withdraw(one_more);
+    cell.dequeue(one_more);
     // A more urgent one is not concerned, nor one of few.
     let urgent = cell.enqueue(want(0, now));
     assert!(!cell.should_shed(now, urgent));
-    cell.withdraw(urgent);
+    cell.dequeue(urgent);
     for ticket in &waiting[1..] {
-        cell.withdraw(*ticket);
+        cell.dequeue(*ticket);
     }
     assert!(!cell.should_shed(now, waiting[0]));
     // A place that comes free goes to the one that stayed.
--- a/oxbowbend-gateway/src/waiting.rs
+++ b/oxbowbend-gateway/src/waiting.rs
@@ -46,7 +46,7 @@
     fn withdraw(&self) -> bool {
         let mut state = self.shared.lock();
         state.waiters.remove(&self.ticket);
-        state.cell.withdraw(self.ticket)
+        state.cell.dequeue(self.ticket)
     }
 }
 
