--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -328,7 +328,7 @@
     }
 
     /// Lets what waits for a service wait for another one.
-    pub fn move_waiting(&mut self, from: &ServiceId, to: &ServiceId) {
+    pub fn change_service(&mut self, from: &ServiceId, to: &ServiceId) {
         let waiting = self.waiting.values_mut().filter(|want| want.service == *from);
         waiting.for_each(|want| want.service = to.clone());
     }
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -255,7 +255,7 @@
     let ticket = cell.enqueue(QueuedRequest { service: "t".into(), ..want(0, 100, now) });
     assert!(cell.assign(now).is_empty());
     assert!(cell.serves(&"s".into()) && !cell.serves(&"t".into()));
-    cell.move_waiting(&"t".into(), &"s".into());
+    cell.change_service(&"t".into(), &"s".into());
     assert_eq!(placed(&mut cell, now), [(ticket, "e0".to_owned())]);
 }
 
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -87,8 +87,8 @@
         let Some(part) = self.rollouts.part_name(service) else { return };
         match phase {
             Phase::Canary | Phase::Shift => {}
-            Phase::RolledBack | Phase::Retired => self.cell.move_waiting(&part, service),
-            Phase::Complete => self.cell.move_waiting(service, &part),
+            Phase::RolledBack | Phase::Retired => self.cell.change_service(&part, service),
+            Phase::Complete => self.cell.change_service(service, &part),
         }
     }
 
