--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -371,7 +371,7 @@
     }
 
     /// Requests that wait here.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -18,7 +18,7 @@
     let _old = cell.enqueue(want(2, 100, now - 50 * MS));
     let urgent = cell.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut cell, now), [(urgent, "e0".to_owned())]);
-    assert_eq!(cell.waiting(), 1);
+    assert_eq!(cell.waiting_count(), 1);
 }
 
 #[test]
--- a/oxbowbend-gateway/src/gateway.rs
+++ b/oxbowbend-gateway/src/gateway.rs
@@ -261,7 +261,7 @@
             state.judge_ends(now);
             state.settle_rollouts(now);
             state.set_shares(now);
-            waiting = state.cell.waiting();
+            waiting = state.cell.waiting_count();
             let restarted = std::mem::take(&mut state.restarted);
             (news, state.heard(now), restarted, state.cell.resting(now))
         };
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -370,7 +370,7 @@
             state.rollouts.draw(now, key, n, false);
         }
         // Without a request that waits, no report gives anybody a place.
-        let has_work = state.cell.waiting() > 0;
+        let has_work = state.cell.waiting_count() > 0;
         drop(state);
         if has_work {
             self.place();
