--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -377,7 +377,7 @@
 
     /// Notes the time that an endpoint took to the first event of a request, before whose prompt it
     /// had so many tokens to read.
-    pub fn began(
+    pub fn record_first_event(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -93,8 +93,8 @@
 fn the_faster_endpoint_is_chosen() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
-    (0..10).for_each(|_| cell.began(now, key("e0"), 1000, 0, 300 * MS));
-    (0..10).for_each(|_| cell.began(now, key("e2"), 1000, 0, 60 * MS));
+    (0..10).for_each(|_| cell.record_first_event(now, key("e0"), 1000, 0, 300 * MS));
+    (0..10).for_each(|_| cell.record_first_event(now, key("e2"), 1000, 0, 60 * MS));
     let ticket = cell.enqueue(want(0, 1000, now));
     assert_eq!(placed(&mut cell, now), [(ticket, "e2".to_owned())]);
 }
@@ -103,8 +103,8 @@
 fn a_request_waits_for_the_place_that_is_in_time() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1), endpoint(2, 1)]);
-    (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 300 * MS));
-    (0..10).for_each(|_| cell.began(now, key("e2"), 700, 0, 50 * MS));
+    (0..10).for_each(|_| cell.record_first_event(now, key("e0"), 700, 0, 300 * MS));
+    (0..10).for_each(|_| cell.record_first_event(now, key("e2"), 700, 0, 50 * MS));
     cell.enqueue(want(0, 700, now));
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
     // 4,700 tokens take 1.5 s at e0 and 0.3 s at e2, of 0.5 s.
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -11,8 +11,8 @@
 fn a_long_prompt_does_not_hold_up_streams_at_a_slow_endpoint() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 4), endpoint(2, 1)]);
-    (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 86 * MS));
-    (0..10).for_each(|_| cell.began(now, key("e2"), 700, 0, 25 * MS));
+    (0..10).for_each(|_| cell.record_first_event(now, key("e0"), 700, 0, 86 * MS));
+    (0..10).for_each(|_| cell.record_first_event(now, key("e2"), 700, 0, 25 * MS));
     let stall = PrefillStall { chunk_tokens: 3000, max_gap_ms: 200 };
     let long = QueuedRequest { stall, objective: 1000 * MS, ..want(0, 3000, now) };
     cell.enqueue(want(0, 100, now));
@@ -20,7 +20,7 @@
     // 3,000 tokens take 258 ms at e0: alone there it holds up nobody.
     cell.enqueue(long.clone());
     assert_eq!(placed(&mut cell, now)[0].1, "e0");
-    cell.began(now, key("e0"), 3000, 0, 258 * MS);
+    cell.record_first_event(now, key("e0"), 3000, 0, 258 * MS);
     // It streams now. The next one waits for e2, but not beyond half of its time.
     cell.enqueue(long);
     assert_eq!(placed(&mut cell, now).len(), 0);
@@ -34,7 +34,7 @@
     // Of 500 ms: 400 units at 50 us take 20 ms, and 60 at the worst; 5,000 take 250 and 750.
     for (prompt, expected) in [(100, "e2"), (4700, "e0")] {
         let mut cell = cell("a", &endpoints);
-        (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 50 * MS));
+        (0..10).for_each(|_| cell.record_first_event(now, key("e0"), 700, 0, 50 * MS));
         cell.enqueue(want(0, prompt, now));
         assert_eq!(placed(&mut cell, now)[0].1, expected, "{prompt} tokens");
     }
@@ -44,10 +44,10 @@
 fn a_noted_pace_is_taken_until_there_is_a_measurement() {
     let now = Instant::now();
     let mut old = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
-    old.began(now, key("e0"), 700, 0, 90 * MS);
-    old.began(now, key("e2"), 700, 0, 30 * MS);
+    old.record_first_event(now, key("e0"), 700, 0, 90 * MS);
+    old.record_first_event(now, key("e2"), 700, 0, 30 * MS);
     let mut fresh = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
-    fresh.began(now, key("e2"), 700, 0, 20 * MS);
+    fresh.record_first_event(now, key("e2"), 700, 0, 20 * MS);
     old.known_paces(now).iter().for_each(|(e, ns)| fresh.restore_pace(*e, *ns));
     let mut known = [(key("e0"), 90_000), (key("e2"), 20_000)];
     known.sort();
@@ -62,8 +62,8 @@
     let short = QueuedRequest { objective: 50 * MS, ..want(0, 100, now) };
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     for cell in [&mut a, &mut b] {
-        (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 20 * MS));
-        (0..10).for_each(|_| cell.began(now, key("e2"), 700, 0, 40 * MS));
+        (0..10).for_each(|_| cell.record_first_event(now, key("e0"), 700, 0, 20 * MS));
+        (0..10).for_each(|_| cell.record_first_event(now, key("e2"), 700, 0, 40 * MS));
     }
     a.enqueue(QueuedRequest { objective: 5000 * MS, ..want(0, 30_000, now) });
     assert_eq!(placed(&mut a, now)[0].1, "e0");
@@ -71,7 +71,7 @@
     b.enqueue(short.clone());
     assert_eq!(placed(&mut b, now)[0].1, "e2");
     // Once it is read, and when it ends unread, the endpoint is as good as before.
-    a.began(now, key("e0"), 30_000, 0, 600 * MS);
+    a.record_first_event(now, key("e0"), 30_000, 0, 600 * MS);
     b.hear(now, a.report(now, ReportDetail::Loads), true);
     b.enqueue(short.clone());
     assert_eq!(placed(&mut b, now)[0].1, "e0");
@@ -84,7 +84,7 @@
     for (output, slow) in [(1, true), (400, false)] {
         let mut cell = cell("a", &[endpoint(0, 20), endpoint(2, 20), endpoint(4, 20)]);
         for (id, ms) in [("e0", 12), ("e2", 12), ("e4", 45)] {
-            (0..10).for_each(|_| cell.began(now, key(id), 700, 0, ms * MS));
+            (0..10).for_each(|_| cell.record_first_event(now, key(id), 700, 0, ms * MS));
         }
         for n in 0..40 {
             let prompt = 10 + n;
@@ -103,7 +103,7 @@
 fn of_one_rank_the_shorter_answer_goes_first_and_rank_before_it() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1)]);
-    cell.began(now, key("e0"), 700, 0, 12 * MS);
+    cell.record_first_event(now, key("e0"), 700, 0, 12 * MS);
     let long = cell.enqueue(QueuedRequest { output_tokens: 2000, ..want(0, 100, now - 10 * MS) });
     let lower = cell.enqueue(QueuedRequest { output_tokens: 10, ..want(1, 100, now - 100 * MS) });
     let short = cell.enqueue(QueuedRequest { output_tokens: 200, ..want(0, 100, now) });
@@ -120,7 +120,7 @@
     let start = Instant::now();
     let served = |tell: bool| {
         let mut cell = cell("a", &[endpoint(0, 1)]);
-        cell.began(start, key("e0"), 700, 0, 10 * MS);
+        cell.record_first_event(start, key("e0"), 700, 0, 10 * MS);
         let (mut free_at, mut served, mut runs) = (start, 0, std::collections::HashMap::new());
         for ms in 0..600_u32 {
             let now = start + ms * MS;
@@ -167,7 +167,7 @@
     for (is_dark, aside) in [(true, 1), (false, 0)] {
         let mut cell = cell("a", &[endpoint(0, 10), endpoint(2, 10)]);
         for id in ["e0", "e2"] {
-            cell.began(start, key(id), 700, 0, 20 * MS);
+            cell.record_first_event(start, key(id), 700, 0, 20 * MS);
             (0..3).for_each(|_| cell.finish(start, key(id), 0, Outcome::Good));
         }
         let later = start + 4000 * MS;
@@ -176,7 +176,7 @@
         }
         cell.assign(later);
         if !is_dark {
-            cell.began(later + 100 * MS, key("e0"), 100, 0, 100 * MS);
+            cell.record_first_event(later + 100 * MS, key("e0"), 100, 0, 100 * MS);
         }
         (0..4).for_each(|_| cell.suspect(later + 500 * MS, key("e0"), later));
         cell.assign(later + 500 * MS);
--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -43,8 +43,8 @@
     let (old, new) = (started(0, 4, 1000), started(0, 4, 2000));
     let other = started(2, 4, 1000);
     let mut cell = cell("a", &[old.clone(), other.clone()]);
-    (0..10).for_each(|_| cell.began(now, old.key(), 700, 0, 400 * MS));
-    (0..10).for_each(|_| cell.began(now, other.key(), 700, 0, 20 * MS));
+    (0..10).for_each(|_| cell.record_first_event(now, old.key(), 700, 0, 400 * MS));
+    (0..10).for_each(|_| cell.record_first_event(now, other.key(), 700, 0, 20 * MS));
     (0..4).for_each(|_| cell.judge(now, old.key(), Outcome::Bad));
     cell.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
@@ -68,7 +68,7 @@
         (cell("a", std::slice::from_ref(&old)), cell("b", std::slice::from_ref(&new)));
     a.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut a, now).len(), 1);
-    (0..10).for_each(|_| a.began(now, old.key(), 700, 0, 400 * MS));
+    (0..10).for_each(|_| a.record_first_event(now, old.key(), 700, 0, 400 * MS));
     (0..9).for_each(|_| a.judge(now, old.key(), Outcome::Bad));
     b.hear(now, a.report(now, ReportDetail::Full), true);
     assert_eq!(b.load(now, new.key()), 0);
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -421,7 +421,7 @@
 
     /// Notes the time to the first event of a run.
     pub(crate) fn began(&self, endpoint: EndpointKey, prompt: u32, backlog: u32, first: Duration) {
-        self.lock().cell.began(clock::now(), endpoint, prompt, backlog, first);
+        self.lock().cell.record_first_event(clock::now(), endpoint, prompt, backlog, first);
     }
 
     /// Ends a run.
