--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -394,7 +394,7 @@
 
     /// Notes that a request sent at `since` has had no answer for longer than expected. That speaks against the
     /// endpoint if it has answered nobody here meanwhile; else it may be the request.
-    pub fn suspect(&mut self, now: Instant, endpoint: EndpointKey, since: Instant) {
+    pub fn record_slow_response(&mut self, now: Instant, endpoint: EndpointKey, since: Instant) {
         let answered = self.endpoints.get(&endpoint).and_then(|site| site.last_answer);
         if answered.is_none_or(|at| at <= since) {
             self.judge(now, endpoint, Outcome::Bad);
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -178,7 +178,7 @@
         if !is_dark {
             cell.record_first_event(later + 100 * MS, key("e0"), 100, 0, 100 * MS);
         }
-        (0..4).for_each(|_| cell.suspect(later + 500 * MS, key("e0"), later));
+        (0..4).for_each(|_| cell.record_slow_response(later + 500 * MS, key("e0"), later));
         cell.assign(later + 500 * MS);
         assert_eq!(cell.take_news().len(), aside, "dark: {is_dark}");
     }
--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -53,7 +53,7 @@
     // Neither the pace of the earlier start counts, nor its failures, nor what comes to be known of them now.
     assert_eq!(cell.known_paces(now), [(other.key(), 20_000)]);
     (0..4).for_each(|_| cell.judge(now, old.key(), Outcome::Bad));
-    cell.suspect(now, old.key(), now);
+    cell.record_slow_response(now, old.key(), now);
     arrive(&mut cell, now, 4);
     let used = placed(&mut cell, now);
     assert!(used.iter().any(|(_, endpoint)| endpoint == "e0"), "{used:?}");
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -271,7 +271,7 @@
             TimeoutAction::Fail => return Err(Failure::Timeout),
             TimeoutAction::Retry => return Err(Failure::Hanging),
             TimeoutAction::MarkSuspect => {
-                self.shared.lock().cell.suspect(clock::now(), endpoint, began);
+                self.shared.lock().cell.record_slow_response(clock::now(), endpoint, began);
             }
         }
         match future::timeout(until(job.limit), beginning).await {
