--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -397,7 +397,7 @@
     pub fn record_slow_response(&mut self, now: Instant, endpoint: EndpointKey, since: Instant) {
         let answered = self.endpoints.get(&endpoint).and_then(|site| site.last_answer);
         if answered.is_none_or(|at| at <= since) {
-            self.judge(now, endpoint, Outcome::Bad);
+            self.record_outcome(now, endpoint, Outcome::Bad);
         }
     }
 
@@ -406,11 +406,11 @@
         let Some(site) = self.endpoints.get_mut(&endpoint) else { return };
         site.running = site.running.saturating_sub(1);
         site.unread = site.unread.saturating_sub(unread);
-        self.judge(now, endpoint, outcome);
+        self.record_outcome(now, endpoint, outcome);
     }
 
     /// Notes what a run that goes on says of its endpoint.
-    pub fn judge(&mut self, now: Instant, endpoint: EndpointKey, outcome: Outcome) {
+    pub fn record_outcome(&mut self, now: Instant, endpoint: EndpointKey, outcome: Outcome) {
         let Some(site) = self.endpoints.get_mut(&endpoint) else { return };
         let (good, bad) = match outcome {
             Outcome::Good => (1, 0),
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -129,7 +129,7 @@
     let endpoints = [endpoint(0, 8), endpoint(2, 8)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     b.hear(now, a.report(now, ReportDetail::Full), true);
-    (0..4).for_each(|_| a.judge(now, key("e0"), Outcome::Bad));
+    (0..4).for_each(|_| a.record_outcome(now, key("e0"), Outcome::Bad));
     b.hear(now, a.report(now, ReportDetail::Full), true);
     let ticket = b.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut b, now), [(ticket, "e2".to_owned())]);
@@ -142,7 +142,7 @@
     let endpoints: Vec<_> = (0..5).map(|n| endpoint(n, 1)).collect();
     let mut cell = cell("a", &endpoints);
     for e in &endpoints {
-        (0..9).for_each(|_| cell.judge(now, e.key(), Outcome::Bad));
+        (0..9).for_each(|_| cell.record_outcome(now, e.key(), Outcome::Bad));
     }
     for _ in 0..5 {
         cell.enqueue(want(0, 100, now));
@@ -156,7 +156,7 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 4), endpoint(2, 0)];
     let mut cell = cell("a", &endpoints);
-    (0..4).for_each(|_| cell.judge(now, key("e0"), Outcome::Bad));
+    (0..4).for_each(|_| cell.record_outcome(now, key("e0"), Outcome::Bad));
     for _ in 0..4 {
         cell.enqueue(want(0, 100, now));
     }
@@ -178,7 +178,7 @@
     let mut cell = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
     for n in 0..50 {
         let outcome = if n % 7 == 0 { Outcome::Bad } else { Outcome::Good };
-        cell.judge(now, key("e0"), outcome);
+        cell.record_outcome(now, key("e0"), outcome);
     }
     cell.assign(now);
     assert_eq!(cell.take_news(), []);
@@ -204,7 +204,7 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 1), endpoint(2, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    (0..9).for_each(|_| a.judge(now, key("e0"), Outcome::Bad));
+    (0..9).for_each(|_| a.record_outcome(now, key("e0"), Outcome::Bad));
     b.hear(now, a.report(now, ReportDetail::Loads), true);
     let mut full = a.report(now, ReportDetail::Full);
     full.spent = vec![("acc".into(), 1000)];
@@ -218,9 +218,9 @@
 fn a_report_of_changes_tells_only_what_has_just_changed() {
     let now = Instant::now();
     let mut a = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
-    a.judge(now, key("e0"), Outcome::Good);
+    a.record_outcome(now, key("e0"), Outcome::Good);
     let later = now + 1000 * MS;
-    a.judge(later, key("e2"), Outcome::Good);
+    a.record_outcome(later, key("e2"), Outcome::Good);
     let told = |report: oxbowbend_core::cell::Report| report.tallies.len();
     assert_eq!(told(a.report(later, ReportDetail::Loads)), 0);
     assert_eq!(told(a.report(later, ReportDetail::Changes)), 1);
@@ -233,15 +233,15 @@
     let endpoints = [endpoint(0, 4), endpoint(2, 4), endpoint(4, 4)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     // Failures of long ago, heard first in a report with all tallies, do not count.
-    (0..9).for_each(|_| a.judge(now, key("e0"), Outcome::Bad));
+    (0..9).for_each(|_| a.record_outcome(now, key("e0"), Outcome::Bad));
     let later = now + 1000 * MS;
-    a.judge(later, key("e2"), Outcome::Good);
+    a.record_outcome(later, key("e2"), Outcome::Good);
     b.hear(later, a.report(later, ReportDetail::Changes), true);
     b.hear(later, a.report(later, ReportDetail::Full), true);
     b.assign(later);
     assert_eq!(b.take_news(), []);
     // New ones do.
-    (0..9).for_each(|_| a.judge(later, key("e0"), Outcome::Bad));
+    (0..9).for_each(|_| a.record_outcome(later, key("e0"), Outcome::Bad));
     b.hear(later, a.report(later, ReportDetail::Changes), true);
     b.assign(later);
     assert_eq!(b.take_news().len(), 1);
--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -45,14 +45,14 @@
     let mut cell = cell("a", &[old.clone(), other.clone()]);
     (0..10).for_each(|_| cell.record_first_event(now, old.key(), 700, 0, 400 * MS));
     (0..10).for_each(|_| cell.record_first_event(now, other.key(), 700, 0, 20 * MS));
-    (0..4).for_each(|_| cell.judge(now, old.key(), Outcome::Bad));
+    (0..4).for_each(|_| cell.record_outcome(now, old.key(), Outcome::Bad));
     cell.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
     assert_eq!(cell.take_news().len(), 1);
     cell.set_endpoints([new.clone(), other.clone()]);
     // Neither the pace of the earlier start counts, nor its failures, nor what comes to be known of them now.
     assert_eq!(cell.known_paces(now), [(other.key(), 20_000)]);
-    (0..4).for_each(|_| cell.judge(now, old.key(), Outcome::Bad));
+    (0..4).for_each(|_| cell.record_outcome(now, old.key(), Outcome::Bad));
     cell.record_slow_response(now, old.key(), now);
     arrive(&mut cell, now, 4);
     let used = placed(&mut cell, now);
@@ -69,7 +69,7 @@
     a.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut a, now).len(), 1);
     (0..10).for_each(|_| a.record_first_event(now, old.key(), 700, 0, 400 * MS));
-    (0..9).for_each(|_| a.judge(now, old.key(), Outcome::Bad));
+    (0..9).for_each(|_| a.record_outcome(now, old.key(), Outcome::Bad));
     b.hear(now, a.report(now, ReportDetail::Full), true);
     assert_eq!(b.load(now, new.key()), 0);
     assert_eq!(b.known_paces(now), []);
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -90,7 +90,7 @@
 
     /// Nothing is sent to starts of endpoints that have ended.
     fn set_ended_aside(&mut self, now: Instant, ended: impl IntoIterator<Item = EndpointKey>) {
-        ended.into_iter().for_each(|key| self.cell.judge(now, key, Outcome::Absent));
+        ended.into_iter().for_each(|key| self.cell.record_outcome(now, key, Outcome::Absent));
     }
 }
 
