--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -450,7 +450,7 @@
     }
 
     /// What was newly believed of endpoints since the last call.
-    pub fn take_news(&mut self) -> Vec<Ejection> {
+    pub fn take_ejections(&mut self) -> Vec<Ejection> {
         std::mem::take(&mut self.ejections)
     }
 
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -133,7 +133,7 @@
     b.hear(now, a.report(now, ReportDetail::Full), true);
     let ticket = b.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut b, now), [(ticket, "e2".to_owned())]);
-    assert_eq!(b.take_news().len(), 1);
+    assert_eq!(b.take_ejections().len(), 1);
 }
 
 #[test]
@@ -148,7 +148,7 @@
         cell.enqueue(want(0, 100, now));
     }
     assert_eq!(cell.assign(now).len(), 3);
-    assert_eq!(cell.take_news().len(), 2);
+    assert_eq!(cell.take_ejections().len(), 2);
 }
 
 #[test]
@@ -181,7 +181,7 @@
         cell.record_outcome(now, key("e0"), outcome);
     }
     cell.assign(now);
-    assert_eq!(cell.take_news(), []);
+    assert_eq!(cell.take_ejections(), []);
 }
 
 #[test]
@@ -211,7 +211,7 @@
     let drawn = b.hear(now, full, true).expect("news");
     assert_eq!(drawn.spent.near[0].1, 0);
     b.assign(now);
-    assert_eq!(b.take_news(), []);
+    assert_eq!(b.take_ejections(), []);
 }
 
 #[test]
@@ -239,12 +239,12 @@
     b.hear(later, a.report(later, ReportDetail::Changes), true);
     b.hear(later, a.report(later, ReportDetail::Full), true);
     b.assign(later);
-    assert_eq!(b.take_news(), []);
+    assert_eq!(b.take_ejections(), []);
     // New ones do.
     (0..9).for_each(|_| a.record_outcome(later, key("e0"), Outcome::Bad));
     b.hear(later, a.report(later, ReportDetail::Changes), true);
     b.assign(later);
-    assert_eq!(b.take_news().len(), 1);
+    assert_eq!(b.take_ejections().len(), 1);
 }
 
 /// What waits for a version that is rolled back is served by the others.
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -180,6 +180,6 @@
         }
         (0..4).for_each(|_| cell.record_slow_response(later + 500 * MS, key("e0"), later));
         cell.assign(later + 500 * MS);
-        assert_eq!(cell.take_news().len(), aside, "dark: {is_dark}");
+        assert_eq!(cell.take_ejections().len(), aside, "dark: {is_dark}");
     }
 }
--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -48,7 +48,7 @@
     (0..4).for_each(|_| cell.record_outcome(now, old.key(), Outcome::Bad));
     cell.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
-    assert_eq!(cell.take_news().len(), 1);
+    assert_eq!(cell.take_ejections().len(), 1);
     cell.set_endpoints([new.clone(), other.clone()]);
     // Neither the pace of the earlier start counts, nor its failures, nor what comes to be known of them now.
     assert_eq!(cell.known_paces(now), [(other.key(), 20_000)]);
@@ -57,7 +57,7 @@
     arrive(&mut cell, now, 4);
     let used = placed(&mut cell, now);
     assert!(used.iter().any(|(_, endpoint)| endpoint == "e0"), "{used:?}");
-    assert_eq!(cell.take_news(), []);
+    assert_eq!(cell.take_ejections(), []);
 }
 
 #[test]
@@ -92,7 +92,7 @@
     assert_eq!(placed(&mut cell, now).len(), 2);
     // One such answer is enough, even for half of a service.
     cell.finish(now, absent.key(), 100, Outcome::Absent);
-    assert_eq!(cell.take_news().len(), 1);
+    assert_eq!(cell.take_ejections().len(), 1);
     cell.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut cell, now), []);
     // After a while it is tried again, by one request at a time.
@@ -102,5 +102,5 @@
     assert_eq!(tried.len(), 1);
     assert_eq!(tried[0].1, "e0");
     cell.finish(later, absent.key(), 100, Outcome::Absent);
-    assert_eq!(cell.take_news()[0].duration, Duration::from_secs(2));
+    assert_eq!(cell.take_ejections()[0].duration, Duration::from_secs(2));
 }
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -402,7 +402,7 @@
         let now = clock::now();
         let mut state = self.lock();
         let assignments = state.cell.assign(now);
-        for aside in state.cell.take_news() {
+        for aside in state.cell.take_ejections() {
             let pause = aside.duration.as_millis();
             log::warn!("event=endpoint_set_aside endpoint={} pause_ms={pause}", aside.endpoint);
         }
