--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -34,7 +34,7 @@
     pub revision: u64,
     /// Version of the operator's configuration that it applies.
     #[serde(rename = "v")]
-    pub version: u64,
+    pub config_version: u64,
     /// Where it answers questions.
     #[serde(rename = "a")]
     pub address: Option<SocketAddr>,
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -139,7 +139,7 @@
         report.digest = state.world.digest();
         report.epoch = state.world.epoch();
         report.revision = state.world.revision();
-        report.version = state.world.table().map_or(0, |t| t.version());
+        report.config_version = state.world.table().map_or(0, |t| t.version());
         report.address = Some(self.address);
         report.is_ready = state.world.is_loaded() && state.shutdown.is_none();
         report.is_stopping = state.shutdown.is_some();
@@ -198,7 +198,7 @@
             number: near.number,
             epoch: near.epoch,
             revision: near.revision,
-            version: near.version,
+            config_version: near.config_version,
             address: near.address,
             seen_ms: near.seen_ms,
             config_ms: near.config_ms,
@@ -299,7 +299,7 @@
         let world = &state.world;
         let version = world.table().map_or(0, |t| t.version());
         let is_newer = position > world.position() || (report.has_store && is_other);
-        let is_behind = report.version > version
+        let is_behind = report.config_version > version
             || (world.is_cut_off() && is_newer)
             || (is_source && (is_other || is_other_fleet));
         (is_behind, is_source)
@@ -384,7 +384,7 @@
         let version = state.world.table().map_or(0, |t| t.version());
         let theirs = state.cell.live_reports(clock::now()).find(|r| r.instance == *instance);
         let is_same = theirs.is_some_and(|r| r.roster == Some(state.roster()));
-        let is_old = theirs.is_none_or(|r| r.version > version);
+        let is_old = theirs.is_none_or(|r| r.config_version > version);
         let digest = state.world.is_loaded().then(|| state.world.digest());
         let instances = state.world.is_loaded() && is_same;
         // One document at a time: each takes the link of whoever sends it.
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -76,7 +76,7 @@
     /// Nothing can be served yet. Where another instance knows the configuration, this one soon will.
     fn not_ready(&self, now: Instant) -> Refusal {
         let state = self.shared.lock();
-        let come_back = match state.cell.live_reports(now).any(|r| r.version > 0) {
+        let come_back = match state.cell.live_reports(now).any(|r| r.config_version > 0) {
             true => STARTING,
             false => state.world.come_back(now),
         };
