--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -40,7 +40,7 @@
     pub address: Option<SocketAddr>,
     /// Milliseconds since the store last answered it; none if it does not follow the store itself.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
-    pub seen_ms: Option<u32>,
+    pub store_age_ms: Option<u32>,
     /// Milliseconds since the store told this instance, or one that knows the same, that its list of endpoints is the
     /// newest; none if it does not follow the store itself. Those that copy the list go by this.
     #[serde(rename = "G", default, skip_serializing_if = "Option::is_none")]
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -130,7 +130,7 @@
     fn near_report(&self, state: &mut State, now: Instant, reach: Reach, told: &ToldAll) -> Report {
         let mut report = state.cell.report(now, reach.extent());
         report.is_representative = state.is_representative(now);
-        report.seen_ms = state.sources.seen_ms(now);
+        report.store_age_ms = state.sources.seen_ms(now);
         report.list_ms = state.list_ms(now);
         if reach != Reach::Cell {
             report.config_ms = state.config_ms(now);
@@ -200,7 +200,7 @@
             revision: near.revision,
             config_version: near.config_version,
             address: near.address,
-            seen_ms: near.seen_ms,
+            store_age_ms: near.store_age_ms,
             config_ms: near.config_ms,
             digest: near.digest,
             has_store: near.has_store,
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -70,7 +70,7 @@
         let as_of = |ms: u32| now.checked_sub(Duration::from_millis(ms.into()));
         // In another epoch nothing that is known of the store holds, even if it looks the same.
         let is_same_epoch = report.epoch == self.world.epoch();
-        if let Some(as_of) = report.seen_ms.and_then(as_of) {
+        if let Some(as_of) = report.store_age_ms.and_then(as_of) {
             let is_same = report.digest == self.world.digest() && is_same_epoch;
             self.subscriptions.endpoints.heard(now, as_of, is_same);
         }
