--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -44,7 +44,7 @@
     /// Milliseconds since the store told this instance, or one that knows the same, that its list of endpoints is the
     /// newest; none if it does not follow the store itself. Those that copy the list go by this.
     #[serde(rename = "G", default, skip_serializing_if = "Option::is_none")]
-    pub list_ms: Option<u32>,
+    pub endpoints_age_ms: Option<u32>,
     /// Milliseconds since the store last told this instance that it knows the newest configuration. Told with
     /// beats only.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -131,7 +131,7 @@
         let mut report = state.cell.report(now, reach.extent());
         report.is_representative = state.is_representative(now);
         report.store_age_ms = state.sources.seen_ms(now);
-        report.list_ms = state.list_ms(now);
+        report.endpoints_age_ms = state.list_ms(now);
         if reach != Reach::Cell {
             report.config_ms = state.config_ms(now);
             report.roster = Some(state.roster());
--- a/oxbowbend-gateway/src/source.rs
+++ b/oxbowbend-gateway/src/source.rs
@@ -148,7 +148,7 @@
         let distrusted = self.distrusted.as_ref().filter(|(_, until)| now < *until);
         let distrusted = distrusted.map(|(instance, _)| instance);
         let is_source = |(report, age): &(&Report, Duration)| {
-            let seen = report.list_ms.map(|ms| Duration::from_millis(ms.into()) + *age);
+            let seen = report.endpoints_age_ms.map(|ms| Duration::from_millis(ms.into()) + *age);
             let is_in_order = report.instance < *me || is_store_away || self.is(&report.instance);
             is_in_order
                 && seen.is_some_and(|seen| seen < fresh)
--- a/oxbowbend-gateway/tests/sources.rs
+++ b/oxbowbend-gateway/tests/sources.rs
@@ -16,7 +16,7 @@
 
 fn report(name: &str, list_ms: Option<u32>) -> Report {
     let address = Some(([10, 0, 0, name.len() as u8], 7600).into());
-    Report { instance: name.into(), address, list_ms, ..Report::default() }
+    Report { instance: name.into(), address, endpoints_age_ms: list_ms, ..Report::default() }
 }
 
 /// Something that happens to sources.
