--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -48,7 +48,7 @@
     /// Milliseconds since the store last told this instance that it knows the newest configuration. Told with
     /// beats only.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
-    pub config_ms: Option<u32>,
+    pub config_age_ms: Option<u32>,
     /// Digest of the endpoints that it knows.
     #[serde(rename = "d", default)]
     pub digest: u64,
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -133,7 +133,7 @@
         report.store_age_ms = state.sources.seen_ms(now);
         report.endpoints_age_ms = state.list_ms(now);
         if reach != Reach::Cell {
-            report.config_ms = state.config_ms(now);
+            report.config_age_ms = state.config_ms(now);
             report.roster = Some(state.roster());
         }
         report.digest = state.world.digest();
@@ -201,7 +201,7 @@
             config_version: near.config_version,
             address: near.address,
             store_age_ms: near.store_age_ms,
-            config_ms: near.config_ms,
+            config_age_ms: near.config_age_ms,
             digest: near.digest,
             has_store: near.has_store,
             is_ready: near.is_ready,
