--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -51,7 +51,7 @@
     pub config_age_ms: Option<u32>,
     /// Digest of the endpoints that it knows.
     #[serde(rename = "d", default)]
-    pub digest: u64,
+    pub endpoints_digest: u64,
     /// Digest of the instances that it knows to be in the fleet. Told with beats only.
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
     pub roster: Option<u64>,
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -136,7 +136,7 @@
             report.config_age_ms = state.config_ms(now);
             report.roster = Some(state.roster());
         }
-        report.digest = state.world.digest();
+        report.endpoints_digest = state.world.digest();
         report.epoch = state.world.epoch();
         report.revision = state.world.revision();
         report.config_version = state.world.table().map_or(0, |t| t.version());
@@ -202,7 +202,7 @@
             address: near.address,
             store_age_ms: near.store_age_ms,
             config_age_ms: near.config_age_ms,
-            digest: near.digest,
+            endpoints_digest: near.endpoints_digest,
             has_store: near.has_store,
             is_ready: near.is_ready,
             is_stopping: near.is_stopping,
@@ -290,7 +290,8 @@
         state.compare(clock::now(), report);
         let is_source = state.sources.is(&report.instance);
         let position = Position { epoch: report.epoch, revision: report.revision };
-        let is_other = report.digest != state.world.digest() && position >= state.world.position();
+        let is_other =
+            report.endpoints_digest != state.world.digest() && position >= state.world.position();
         if is_source {
             state.sources.compared(clock::now(), &report.instance, is_other);
         }
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -71,7 +71,7 @@
         // In another epoch nothing that is known of the store holds, even if it looks the same.
         let is_same_epoch = report.epoch == self.world.epoch();
         if let Some(as_of) = report.store_age_ms.and_then(as_of) {
-            let is_same = report.digest == self.world.digest() && is_same_epoch;
+            let is_same = report.endpoints_digest == self.world.digest() && is_same_epoch;
             self.subscriptions.endpoints.heard(now, as_of, is_same);
         }
         let version = self.world.table().map_or(0, |t| t.version());
