--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -54,7 +54,7 @@
     pub endpoints_digest: u64,
     /// Digest of the instances that it knows to be in the fleet. Told with beats only.
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
-    pub roster: Option<u64>,
+    pub instances_digest: Option<u64>,
     /// Whether it reaches the store.
     #[serde(rename = "s", default)]
     pub has_store: bool,
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -134,7 +134,7 @@
         report.endpoints_age_ms = state.list_ms(now);
         if reach != Reach::Cell {
             report.config_age_ms = state.config_ms(now);
-            report.roster = Some(state.roster());
+            report.instances_digest = Some(state.roster());
         }
         report.endpoints_digest = state.world.digest();
         report.epoch = state.world.epoch();
@@ -296,7 +296,7 @@
             state.sources.compared(clock::now(), &report.instance, is_other);
         }
         // Cells are worked out from the instances, so all of a cell go by one list of them.
-        let is_other_fleet = report.roster.is_some_and(|roster| roster != state.roster());
+        let is_other_fleet = report.instances_digest.is_some_and(|roster| roster != state.roster());
         let world = &state.world;
         let version = world.table().map_or(0, |t| t.version());
         let is_newer = position > world.position() || (report.has_store && is_other);
@@ -384,7 +384,7 @@
         let state = self.shared.lock();
         let version = state.world.table().map_or(0, |t| t.version());
         let theirs = state.cell.live_reports(clock::now()).find(|r| r.instance == *instance);
-        let is_same = theirs.is_some_and(|r| r.roster == Some(state.roster()));
+        let is_same = theirs.is_some_and(|r| r.instances_digest == Some(state.roster()));
         let is_old = theirs.is_none_or(|r| r.config_version > version);
         let digest = state.world.is_loaded().then(|| state.world.digest());
         let instances = state.world.is_loaded() && is_same;
