--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -300,7 +300,7 @@
             zone: self.zone.clone(),
             life: self.incarnation,
             number: self.sequence,
-            in_full: extent == ReportDetail::Full,
+            has_all_counters: extent == ReportDetail::Full,
             reach: is_beat.then_some(self.reachable_count),
             heard_names: is_beat.then_some(self.reachable_filter),
             loads,
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -125,7 +125,7 @@
 
     fn take_tallies(&mut self, now: Instant, peer: &mut Peer, report: &Report) {
         let is_first = !peer.is_counted;
-        peer.is_counted |= report.in_full;
+        peer.is_counted |= report.has_all_counters;
         for tally in &report.tallies {
             let told = (tally.successes, tally.failures);
             let pace = pace::Pace::reported(tally.ns_per_unit, tally.samples);
@@ -157,7 +157,7 @@
             is_first_cell: !peer.knows_cell,
             is_first_fleet: !peer.knows_fleet,
         };
-        peer.knows_own |= report.in_full;
+        peer.knows_own |= report.has_all_counters;
         peer.knows_cell |= report.is_cell_told;
         peer.knows_fleet |= is_near && report.fleet.as_ref().is_some_and(|view| view.is_full);
         let view = report.fleet.as_ref();
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -76,7 +76,7 @@
     pub loads: Vec<EndpointLoad>,
     /// Whether all counters are told, of accounts and of endpoints used lately.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
-    pub in_full: bool,
+    pub has_all_counters: bool,
     /// What it has seen of endpoints that it used lately. Told now and then only.
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     pub tallies: Vec<EndpointStats>,
