--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -304,7 +304,7 @@
             reach: is_beat.then_some(self.reachable_count),
             heard_names: is_beat.then_some(self.reachable_filter),
             loads,
-            tallies,
+            endpoint_stats: tallies,
             claims: claims.collect(),
             ..Report::default()
         };
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -126,7 +126,7 @@
     fn take_tallies(&mut self, now: Instant, peer: &mut Peer, report: &Report) {
         let is_first = !peer.is_counted;
         peer.is_counted |= report.has_all_counters;
-        for tally in &report.tallies {
+        for tally in &report.endpoint_stats {
             let told = (tally.successes, tally.failures);
             let pace = pace::Pace::reported(tally.ns_per_unit, tally.samples);
             peer.paces.insert(tally.endpoint, pace);
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -79,7 +79,7 @@
     pub has_all_counters: bool,
     /// What it has seen of endpoints that it used lately. Told now and then only.
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
-    pub tallies: Vec<EndpointStats>,
+    pub endpoint_stats: Vec<EndpointStats>,
     /// What waits at it, the first in order first.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub claims: Vec<WaitingRequest>,
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -221,7 +221,7 @@
     a.record_outcome(now, key("e0"), Outcome::Good);
     let later = now + 1000 * MS;
     a.record_outcome(later, key("e2"), Outcome::Good);
-    let told = |report: oxbowbend_core::cell::Report| report.tallies.len();
+    let told = |report: oxbowbend_core::cell::Report| report.endpoint_stats.len();
     assert_eq!(told(a.report(later, ReportDetail::Loads)), 0);
     assert_eq!(told(a.report(later, ReportDetail::Changes)), 1);
     assert_eq!(told(a.report(later, ReportDetail::Full)), 2);
