--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -162,7 +162,7 @@
         peer.knows_fleet |= is_near && report.fleet.as_ref().is_some_and(|view| view.is_full);
         let view = report.fleet.as_ref();
         let spent = ReportedCounters {
-            own: &report.spent,
+            own: &report.admitted_units,
             cell: &report.cell_spent,
             fleet: view.map_or(&[], |view| &view.spent),
         };
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -85,7 +85,7 @@
     pub claims: Vec<WaitingRequest>,
     /// Units admitted in this life, by client account.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
-    pub spent: Vec<(AccountId, u64)>,
+    pub admitted_units: Vec<(AccountId, u64)>,
     /// Whether it represents its cell among the others.
     #[serde(rename = "k", default, skip_serializing_if = "is_false")]
     pub is_representative: bool,
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -190,7 +190,7 @@
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     let with = |mut report: oxbowbend_core::cell::Report, units| {
-        report.spent = vec![("acc".into(), units)];
+        report.admitted_units = vec![("acc".into(), units)];
         report
     };
     let drawn =
@@ -207,7 +207,7 @@
     (0..9).for_each(|_| a.record_outcome(now, key("e0"), Outcome::Bad));
     b.hear(now, a.report(now, ReportDetail::Loads), true);
     let mut full = a.report(now, ReportDetail::Full);
-    full.spent = vec![("acc".into(), 1000)];
+    full.admitted_units = vec![("acc".into(), 1000)];
     let drawn = b.hear(now, full, true).expect("news");
     assert_eq!(drawn.spent.near[0].1, 0);
     b.assign(now);
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -129,7 +129,7 @@
     let now = Instant::now();
     let (mut other, mut me) = (cell("b", &[]), cell("a", &[]));
     let with = |mut report: Report, units| {
-        report.spent = spent(units);
+        report.admitted_units = spent(units);
         report
     };
     me.hear(now, with(report(&mut other, now), 100), true);
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -78,7 +78,7 @@
         Report {
             is_stopping: self.is_stopping,
             is_representative,
-            spent,
+            admitted_units: spent,
             fleet: is_representative.then_some(view),
             cell_spent: if is_representative { cell_spent } else { Vec::new() },
             cell_lately,
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -117,7 +117,7 @@
             told.evidence.far.extend(far_report.cell_evidence.iter().cloned());
             self.send(&far_report, &addresses.far).await;
         }
-        told.spent.near.extend(report.spent.iter().cloned());
+        told.spent.near.extend(report.admitted_units.iter().cloned());
         told.evidence.near.extend(report.evidence.iter().cloned());
         if let Some(view) = &report.fleet {
             told.spent.fleet.extend(view.spent.iter().cloned());
@@ -146,7 +146,7 @@
         report.has_store = state.has_store() && !self.door.is_closing();
         let quotas = &state.admission.quotas;
         if reach != Reach::Cell || quotas.is_busy() {
-            report.spent = changed(quotas.spent(), &told.spent.near, reach);
+            report.admitted_units = changed(quotas.spent(), &told.spent.near, reach);
             report.evidence = changed(state.rollouts.counters(), &told.evidence.near, reach);
             report.fleet = report.is_representative.then(|| FleetSummary {
                 beyond: state.beyond(now),
