--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -102,18 +102,18 @@
     /// What it told of other cells, if that is not too old.
     pub(super) fn live_view(&self, now: Instant, ttl: Duration) -> Option<RemoteInstances> {
         let is_live = self.viewed.is_some_and(|at| now.saturating_duration_since(at) < ttl);
-        self.report.fleet.as_ref().filter(|_| is_live).map(|view| view.beyond)
+        self.report.fleet_summary.as_ref().filter(|_| is_live).map(|view| view.beyond)
     }
 
     /// Takes in a report. What it leaves out stays as it was told before.
     pub(super) fn take(&mut self, now: Instant, report: Report) {
         let before = std::mem::take(&mut self.report);
-        self.viewed = if report.fleet.is_some() { Some(now) } else { self.viewed };
+        self.viewed = if report.fleet_summary.is_some() { Some(now) } else { self.viewed };
         let peers = if report.peers.is_empty() { before.peers } else { report.peers.clone() };
         self.report = Report {
             reach: report.reach.or(before.reach),
             heard_names: report.heard_names.or(before.heard_names),
-            fleet: report.fleet.clone().or(before.fleet),
+            fleet_summary: report.fleet_summary.clone().or(before.fleet_summary),
             peers,
             ..report
         };
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -108,7 +108,7 @@
             (peer.summed, peer.summed_fleet) = (None, None);
         } else if !is_near {
             peer.summed = Some(now);
-        } else if report.fleet.is_some() {
+        } else if report.fleet_summary.is_some() {
             peer.summed_fleet = Some(now);
         }
         peer.take(now, report);
@@ -159,8 +159,9 @@
         };
         peer.knows_own |= report.has_all_counters;
         peer.knows_cell |= report.is_cell_told;
-        peer.knows_fleet |= is_near && report.fleet.as_ref().is_some_and(|view| view.is_full);
-        let view = report.fleet.as_ref();
+        peer.knows_fleet |=
+            is_near && report.fleet_summary.as_ref().is_some_and(|view| view.is_full);
+        let view = report.fleet_summary.as_ref();
         let spent = ReportedCounters {
             own: &report.admitted_units,
             cell: &report.cell_spent,
@@ -193,7 +194,8 @@
         let since = |at: Instant| now.saturating_duration_since(at);
         let is_going_on = |at: Option<Instant>| at.is_some_and(|at| since(at) < GOING_ON);
         if is_near {
-            let Some(view) = report.fleet.as_ref().filter(|_| !is_going_on(peer.summed_fleet))
+            let Some(view) =
+                report.fleet_summary.as_ref().filter(|_| !is_going_on(peer.summed_fleet))
             else {
                 return Vec::new();
             };
@@ -215,7 +217,7 @@
     fn note_sums(&mut self, now: Instant, report: &Report, is_near: bool) {
         if !is_near {
             self.cell_totals_at.insert(report.cell, now);
-        } else if report.fleet.is_some() {
+        } else if report.fleet_summary.is_some() {
             self.fleet_totals_at = Some(now);
         }
     }
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -94,7 +94,7 @@
     pub cell_ready: u32,
     /// What it knows of other cells, told to its own.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
-    pub fleet: Option<super::FleetSummary>,
+    pub fleet_summary: Option<super::FleetSummary>,
     /// Units admitted by all of its cell, as far as it has heard in this life, by client account. Told
     /// to other cells.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -25,7 +25,7 @@
 }
 
 fn as_representative(cell: &mut Cell, now: Instant, view: FleetSummary) -> Report {
-    Report { is_representative: true, fleet: Some(view), ..report(cell, now) }
+    Report { is_representative: true, fleet_summary: Some(view), ..report(cell, now) }
 }
 
 #[test]
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -79,7 +79,7 @@
             is_stopping: self.is_stopping,
             is_representative,
             admitted_units: spent,
-            fleet: is_representative.then_some(view),
+            fleet_summary: is_representative.then_some(view),
             cell_spent: if is_representative { cell_spent } else { Vec::new() },
             cell_lately,
             is_cell_told: is_full && is_representative,
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -119,7 +119,7 @@
         }
         told.spent.near.extend(report.admitted_units.iter().cloned());
         told.evidence.near.extend(report.evidence.iter().cloned());
-        if let Some(view) = &report.fleet {
+        if let Some(view) = &report.fleet_summary {
             told.spent.fleet.extend(view.spent.iter().cloned());
             told.evidence.fleet.extend(view.evidence.iter().cloned());
         }
@@ -148,7 +148,7 @@
         if reach != Reach::Cell || quotas.is_busy() {
             report.admitted_units = changed(quotas.spent(), &told.spent.near, reach);
             report.evidence = changed(state.rollouts.counters(), &told.evidence.near, reach);
-            report.fleet = report.is_representative.then(|| FleetSummary {
+            report.fleet_summary = report.is_representative.then(|| FleetSummary {
                 beyond: state.beyond(now),
                 spent: changed(quotas.far_spent(), &told.spent.fleet, reach),
                 lately: told.lately(now, || quotas.far_lately(now)),
