--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -164,7 +164,7 @@
         let view = report.fleet_summary.as_ref();
         let spent = ReportedCounters {
             own: &report.admitted_units,
-            cell: &report.cell_spent,
+            cell: &report.cell_admitted_units,
             fleet: view.map_or(&[], |view| &view.spent),
         };
         let evidence = ReportedCounters {
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -98,7 +98,7 @@
     /// Units admitted by all of its cell, as far as it has heard in this life, by client account. Told
     /// to other cells.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
-    pub cell_spent: Vec<(AccountId, u64)>,
+    pub cell_admitted_units: Vec<(AccountId, u64)>,
     /// Which cell that is. Told to other cells.
     #[serde(rename = "D", default, skip_serializing_if = "is_zero")]
     pub cell: u32,
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -269,7 +269,7 @@
         let mut report = a.report(now, ReportDetail::Loads);
         report.is_cell_told = is_cell_told;
         report.is_representative = speaks;
-        report.cell_spent = vec![("acc".into(), cell_spent)];
+        report.cell_admitted_units = vec![("acc".into(), cell_spent)];
         let news = b.hear(now, report, false).expect("news");
         news.spent.far.first().map_or(0, |(_, units)| *units)
     };
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -73,7 +73,7 @@
     let mut far_report = |units| Report {
         is_representative: true,
         is_cell_told: true,
-        cell_spent: spent(units),
+        cell_admitted_units: spent(units),
         ..report(&mut far, now)
     };
     let mut alone = cell("c", &[]);
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -80,7 +80,7 @@
             is_representative,
             admitted_units: spent,
             fleet_summary: is_representative.then_some(view),
-            cell_spent: if is_representative { cell_spent } else { Vec::new() },
+            cell_admitted_units: if is_representative { cell_spent } else { Vec::new() },
             cell_lately,
             is_cell_told: is_full && is_representative,
             windows,
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -113,7 +113,7 @@
             (report, far_report, addresses)
         };
         if let Some(far_report) = far_report {
-            told.spent.far.extend(far_report.cell_spent.iter().cloned());
+            told.spent.far.extend(far_report.cell_admitted_units.iter().cloned());
             told.evidence.far.extend(far_report.cell_evidence.iter().cloned());
             self.send(&far_report, &addresses.far).await;
         }
@@ -211,7 +211,7 @@
             is_representative,
             is_cell_told: is_representative && (reach.is_full() || told.has_just_begun(now)),
             cell: state.group.index as u32,
-            cell_spent,
+            cell_admitted_units: cell_spent,
             cell_lately: told.lately(now, || quotas.cell_lately(now)),
             cell_evidence,
             rollouts: state.rollouts.tell(now, Teller::Far),
