--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -209,14 +209,14 @@
         }
         peer.recount_cell();
         // Until it stepped in, this instance was told of all other cells.
-        let last = self.cell_totals_at.get(&report.cell).copied().max(self.fleet_totals_at);
+        let last = self.cell_totals_at.get(&report.cell_index).copied().max(self.fleet_totals_at);
         admitted(&report.cell_lately, last.map(since))
     }
 
     /// Notes that sums were counted.
     fn note_sums(&mut self, now: Instant, report: &Report, is_near: bool) {
         if !is_near {
-            self.cell_totals_at.insert(report.cell, now);
+            self.cell_totals_at.insert(report.cell_index, now);
         } else if report.fleet_summary.is_some() {
             self.fleet_totals_at = Some(now);
         }
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -101,7 +101,7 @@
     pub cell_admitted_units: Vec<(AccountId, u64)>,
     /// Which cell that is. Told to other cells.
     #[serde(rename = "D", default, skip_serializing_if = "is_zero")]
-    pub cell: u32,
+    pub cell_index: u32,
     /// What of these units was admitted lately. Told by one that has begun to represent its cell.
     #[serde(rename = "L", default, skip_serializing_if = "Vec::is_empty")]
     pub cell_lately: Vec<(AccountId, Lately)>,
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -150,7 +150,7 @@
                 let is_far = report.is_representative && beat % 2 == 0;
                 if to != from && (is_near || is_far && node.represents.is_some()) {
                     let cell = (from / CELL) as u32;
-                    node.hear(now, Report { cell, ..report.clone() }, is_near);
+                    node.hear(now, Report { cell_index: cell, ..report.clone() }, is_near);
                 }
             }
         }
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -210,7 +210,7 @@
             cell_ready: state.near_ready(now) as u32 + u32::from(near.is_ready),
             is_representative,
             is_cell_told: is_representative && (reach.is_full() || told.has_just_begun(now)),
-            cell: state.group.index as u32,
+            cell_index: state.group.index as u32,
             cell_admitted_units: cell_spent,
             cell_lately: told.lately(now, || quotas.cell_lately(now)),
             cell_evidence,
