--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -210,7 +210,7 @@
         peer.recount_cell();
         // Until it stepped in, this instance was told of all other cells.
         let last = self.cell_totals_at.get(&report.cell_index).copied().max(self.fleet_totals_at);
-        admitted(&report.cell_lately, last.map(since))
+        admitted(&report.cell_recent_units, last.map(since))
     }
 
     /// Notes that sums were counted.
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -104,7 +104,7 @@
     pub cell_index: u32,
     /// What of these units was admitted lately. Told by one that has begun to represent its cell.
     #[serde(rename = "L", default, skip_serializing_if = "Vec::is_empty")]
-    pub cell_lately: Vec<(AccountId, Lately)>,
+    pub cell_recent_units: Vec<(AccountId, Lately)>,
     /// Whether all accounts that its cell has admitted units of are among them.
     #[serde(rename = "b", default, skip_serializing_if = "is_false")]
     pub is_cell_told: bool,
