--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -158,7 +158,7 @@
             is_first_fleet: !peer.knows_fleet,
         };
         peer.knows_own |= report.has_all_counters;
-        peer.knows_cell |= report.is_cell_told;
+        peer.knows_cell |= report.has_all_cell_counters;
         peer.knows_fleet |=
             is_near && report.fleet_summary.as_ref().is_some_and(|view| view.is_full);
         let view = report.fleet_summary.as_ref();
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -107,7 +107,7 @@
     pub cell_recent_units: Vec<(AccountId, Lately)>,
     /// Whether all accounts that its cell has admitted units of are among them.
     #[serde(rename = "b", default, skip_serializing_if = "is_false")]
-    pub is_cell_told: bool,
+    pub has_all_cell_counters: bool,
     /// Roll-outs, and how far they are.
     #[serde(rename = "R", default, skip_serializing_if = "Vec::is_empty")]
     pub rollouts: Vec<ToldRollout>,
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -267,7 +267,7 @@
     b.set_representative(true);
     let mut told = |is_cell_told, speaks, cell_spent: u64| {
         let mut report = a.report(now, ReportDetail::Loads);
-        report.is_cell_told = is_cell_told;
+        report.has_all_cell_counters = is_cell_told;
         report.is_representative = speaks;
         report.cell_admitted_units = vec![("acc".into(), cell_spent)];
         let news = b.hear(now, report, false).expect("news");
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -72,7 +72,7 @@
     let (mut first, mut far) = (cell("a", &[]), cell("z", &[]));
     let mut far_report = |units| Report {
         is_representative: true,
-        is_cell_told: true,
+        has_all_cell_counters: true,
         cell_admitted_units: spent(units),
         ..report(&mut far, now)
     };
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -82,7 +82,7 @@
             fleet_summary: is_representative.then_some(view),
             cell_admitted_units: if is_representative { cell_spent } else { Vec::new() },
             cell_recent_units: cell_lately,
-            is_cell_told: is_full && is_representative,
+            has_all_cell_counters: is_full && is_representative,
             windows,
             ..report
         }
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -209,7 +209,8 @@
             reach: near.reach,
             cell_ready: state.near_ready(now) as u32 + u32::from(near.is_ready),
             is_representative,
-            is_cell_told: is_representative && (reach.is_full() || told.has_just_begun(now)),
+            has_all_cell_counters: is_representative
+                && (reach.is_full() || told.has_just_begun(now)),
             cell_index: state.group.index as u32,
             cell_admitted_units: cell_spent,
             cell_recent_units: told.lately(now, || quotas.cell_lately(now)),
