--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -120,7 +120,7 @@
     /// What accounts have used in each of the last seconds, the newest first. Told while an instance of its cell has
     /// just started.
     #[serde(rename = "W", default, skip_serializing_if = "Vec::is_empty")]
-    pub windows: Vec<(AccountId, Window)>,
+    pub usage_windows: Vec<(AccountId, Window)>,
     /// What endpoints have said of themselves. Told with beats only.
     #[serde(rename = "B", default, skip_serializing_if = "EndpointNotices::is_empty")]
     pub said: EndpointNotices,
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -83,13 +83,13 @@
             cell_admitted_units: if is_representative { cell_spent } else { Vec::new() },
             cell_recent_units: cell_lately,
             has_all_cell_counters: is_full && is_representative,
-            windows,
+            usage_windows: windows,
             ..report
         }
     }
 
     fn hear(&mut self, now: Instant, mut report: Report, is_near: bool) {
-        let windows = std::mem::take(&mut report.windows);
+        let windows = std::mem::take(&mut report.usage_windows);
         let Some(heard) = self.cell.hear(now, report, is_near) else { return };
         if is_near && now - self.since < Duration::from_secs(1) {
             for (account, window) in &windows {
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -352,7 +352,7 @@
         let mut state = self.lock();
         state.hear_of_ends(now, &report.quarantine);
         let is_near = state.group.cells <= 1 || state.group.peers.contains(&report.instance);
-        let windows = std::mem::take(&mut report.windows);
+        let windows = std::mem::take(&mut report.usage_windows);
         state.hear_of_rollouts(now, &report, is_near);
         let Some(heard) = state.cell.hear(now, report, is_near) else { return };
         state.log_said();
