--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -309,7 +309,7 @@
             ..Report::default()
         };
         if is_beat {
-            report.said = self.tell_of_endpoints(now);
+            report.endpoint_notices = self.tell_of_endpoints(now);
         }
         report
     }
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -103,7 +103,7 @@
             self.take_tallies(now, &mut peer, &report);
         }
         let heard = self.growth(now, &mut peer, &report, is_near);
-        self.hear_of_endpoints(now, &report.said, is_near);
+        self.hear_of_endpoints(now, &report.endpoint_notices, is_near);
         if !report.is_representative {
             (peer.summed, peer.summed_fleet) = (None, None);
         } else if !is_near {
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -123,7 +123,7 @@
     pub usage_windows: Vec<(AccountId, Window)>,
     /// What endpoints have said of themselves. Told with beats only.
     #[serde(rename = "B", default, skip_serializing_if = "EndpointNotices::is_empty")]
-    pub said: EndpointNotices,
+    pub endpoint_notices: EndpointNotices,
     /// What it knows of requests that end endpoints.
     #[serde(rename = "Q", default, skip_serializing_if = "Told::is_empty")]
     pub quarantine: Told,
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -190,14 +190,14 @@
     let change = b.take_limit_changes()[0];
     assert_eq!((change.per_s, change.origin, change.age), (Some(1.0), Origin::Cell, 40 * MS));
     // What it was told it tells nobody of its cell.
-    assert!(b.report(now + 60 * MS, ReportDetail::Changes).said.limits.is_empty());
+    assert!(b.report(now + 60 * MS, ReportDetail::Changes).endpoint_notices.limits.is_empty());
     assert_eq!(b.tell_others_of_endpoints(now + 60 * MS).limits.len(), 1);
     b.endpoint_said(now + 200 * MS, key("e0"), now + 100 * MS, says(None));
     a.hear(now + 250 * MS, b.report(now + 240 * MS, ReportDetail::Changes), true);
     assert_eq!((a.limited(), b.limited()), (0, 0));
     // An old word does not bring it back.
     let mut late = a.report(now + 260 * MS, ReportDetail::Changes);
-    late.said.limits = vec![oxbowbend_core::cell::ToldLimit {
+    late.endpoint_notices.limits = vec![oxbowbend_core::cell::ToldLimit {
         endpoint: key("e0"),
         per_s: Some(1.0),
         age_ms: 300,
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -217,7 +217,7 @@
             cell_evidence,
             rollouts: state.rollouts.tell(now, Teller::Far),
             quarantine: near.quarantine.clone(),
-            said: state.cell.tell_others_of_endpoints(now),
+            endpoint_notices: state.cell.tell_others_of_endpoints(now),
             peers,
             ..Report::default()
         }
