--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -109,12 +109,16 @@
     pub(super) fn take(&mut self, now: Instant, report: Report) {
         let before = std::mem::take(&mut self.report);
         self.viewed = if report.fleet_summary.is_some() { Some(now) } else { self.viewed };
-        let peers = if report.peers.is_empty() { before.peers } else { report.peers.clone() };
+        let peers = if report.representative_addresses.is_empty() {
+            before.representative_addresses
+        } else {
+            report.representative_addresses.clone()
+        };
         self.report = Report {
             reach: report.reach.or(before.reach),
             heard_names: report.heard_names.or(before.heard_names),
             fleet_summary: report.fleet_summary.clone().or(before.fleet_summary),
-            peers,
+            representative_addresses: peers,
             ..report
         };
         self.heard = now;
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -129,7 +129,7 @@
     pub quarantine: Told,
     /// Where it knows representatives of other cells to be, or at the first start of a fleet all instances.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
-    pub peers: Vec<SocketAddr>,
+    pub representative_addresses: Vec<SocketAddr>,
 }
 
 /// What endpoints have said of themselves in their answers.
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -117,7 +117,7 @@
     let (mut first, mut me) = (cell("a", &[]), cell("b", &[]));
     let elsewhere = ([10, 0, 0, 9], 80).into();
     let told = as_representative(&mut first, now, view(0, 12));
-    me.hear(now, Report { peers: vec![elsewhere], ..told }, true);
+    me.hear(now, Report { representative_addresses: vec![elsewhere], ..told }, true);
     // Frequent reports leave the addresses out.
     me.hear(now + 10 * MS, as_representative(&mut first, now, view(0, 12)), true);
     me.forget(now + Duration::from_secs(10));
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -166,7 +166,7 @@
         report.quarantine = state.quarantine.tell(now, reach.extent(), passes_on);
         if reach.is_full() {
             let others = state.cell.other_reports(now).filter(|r| r.is_representative);
-            report.peers = others.filter_map(|r| r.address).collect();
+            report.representative_addresses = others.filter_map(|r| r.address).collect();
         }
         report
     }
@@ -189,7 +189,7 @@
         }
         let peers = match reach {
             Reach::First { introduces: true } if state.is_new_fleet() => known(state, now),
-            _ => near.peers.clone(),
+            _ => near.representative_addresses.clone(),
         };
         Report {
             instance: near.instance.clone(),
@@ -218,7 +218,7 @@
             rollouts: state.rollouts.tell(now, Teller::Far),
             quarantine: near.quarantine.clone(),
             endpoint_notices: state.cell.tell_others_of_endpoints(now),
-            peers,
+            representative_addresses: peers,
             ..Report::default()
         }
     }
