--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -27,7 +27,7 @@
 pub struct FleetSummary {
     /// Their instances.
     #[serde(rename = "b")]
-    pub beyond: RemoteInstances,
+    pub remote_instances: RemoteInstances,
     /// Units that they have admitted, as far as the representative has heard in its life, by client account.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub spent: Vec<(AccountId, u64)>,
--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -102,7 +102,7 @@
     /// What it told of other cells, if that is not too old.
     pub(super) fn live_view(&self, now: Instant, ttl: Duration) -> Option<RemoteInstances> {
         let is_live = self.viewed.is_some_and(|at| now.saturating_duration_since(at) < ttl);
-        self.report.fleet_summary.as_ref().filter(|_| is_live).map(|view| view.beyond)
+        self.report.fleet_summary.as_ref().filter(|_| is_live).map(|view| view.remote_instances)
     }
 
     /// Takes in a report. What it leaves out stays as it was told before.
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -21,7 +21,12 @@
 /// What a representative tells its cell of others that have admitted so many units.
 fn view(units: u64, heard: u32) -> FleetSummary {
     let beyond = RemoteInstances { heard, ready: heard - 1 };
-    FleetSummary { beyond, spent: spent(units), is_full: true, ..FleetSummary::default() }
+    FleetSummary {
+        remote_instances: beyond,
+        spent: spent(units),
+        is_full: true,
+        ..FleetSummary::default()
+    }
 }
 
 fn as_representative(cell: &mut Cell, now: Instant, view: FleetSummary) -> Report {
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -149,7 +149,7 @@
             report.admitted_units = changed(quotas.spent(), &told.spent.near, reach);
             report.evidence = changed(state.rollouts.counters(), &told.evidence.near, reach);
             report.fleet_summary = report.is_representative.then(|| FleetSummary {
-                beyond: state.beyond(now),
+                remote_instances: state.beyond(now),
                 spent: changed(quotas.far_spent(), &told.spent.fleet, reach),
                 lately: told.lately(now, || quotas.far_lately(now)),
                 evidence: changed(state.rollouts.far_counters(), &told.evidence.fleet, reach),
