--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -33,7 +33,7 @@
     pub spent: Vec<(AccountId, u64)>,
     /// What of these units was admitted lately. Told by one that has begun to represent its cell.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
-    pub lately: Vec<(AccountId, Lately)>,
+    pub recent_units: Vec<(AccountId, Lately)>,
     /// Answers of versions that are rolled out, likewise.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub evidence: Vec<(EvidenceKey, u64)>,
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -202,7 +202,7 @@
             peer.recount_fleet();
             // Until it stepped down, this instance heard the other cells itself.
             let last = self.fleet_totals_at.max(self.cell_totals_at.values().copied().max());
-            return admitted(&view.lately, last.map(since));
+            return admitted(&view.recent_units, last.map(since));
         }
         if !report.is_representative || is_going_on(peer.summed) {
             return Vec::new();
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -63,7 +63,7 @@
         let quotas = &self.quotas;
         let view = FleetSummary {
             spent: owned(quotas.far_spent()),
-            lately: if has_begun { quotas.far_lately(now) } else { Vec::new() },
+            recent_units: if has_begun { quotas.far_lately(now) } else { Vec::new() },
             is_full,
             ..FleetSummary::default()
         };
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -151,7 +151,7 @@
             report.fleet_summary = report.is_representative.then(|| FleetSummary {
                 remote_instances: state.beyond(now),
                 spent: changed(quotas.far_spent(), &told.spent.fleet, reach),
-                lately: told.lately(now, || quotas.far_lately(now)),
+                recent_units: told.lately(now, || quotas.far_lately(now)),
                 evidence: changed(state.rollouts.far_counters(), &told.evidence.fleet, reach),
                 is_full: reach.is_full() || told.has_just_begun(now),
             });
