--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -39,7 +39,7 @@
     pub evidence: Vec<(EvidenceKey, u64)>,
     /// Whether all counters of which there are any are among these.
     #[serde(rename = "f", default)]
-    pub is_full: bool,
+    pub is_complete: bool,
 }
 
 /// Instances of other cells.
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -160,7 +160,7 @@
         peer.knows_own |= report.has_all_counters;
         peer.knows_cell |= report.has_all_cell_counters;
         peer.knows_fleet |=
-            is_near && report.fleet_summary.as_ref().is_some_and(|view| view.is_full);
+            is_near && report.fleet_summary.as_ref().is_some_and(|view| view.is_complete);
         let view = report.fleet_summary.as_ref();
         let spent = ReportedCounters {
             own: &report.admitted_units,
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -24,7 +24,7 @@
     FleetSummary {
         remote_instances: beyond,
         spent: spent(units),
-        is_full: true,
+        is_complete: true,
         ..FleetSummary::default()
     }
 }
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -64,7 +64,7 @@
         let view = FleetSummary {
             spent: owned(quotas.far_spent()),
             recent_units: if has_begun { quotas.far_lately(now) } else { Vec::new() },
-            is_full,
+            is_complete: is_full,
             ..FleetSummary::default()
         };
         let (spent, cell_spent) = (owned(quotas.spent()), owned(quotas.cell_spent()));
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -153,7 +153,7 @@
                 spent: changed(quotas.far_spent(), &told.spent.fleet, reach),
                 recent_units: told.lately(now, || quotas.far_lately(now)),
                 evidence: changed(state.rollouts.far_counters(), &told.evidence.fleet, reach),
-                is_full: reach.is_full() || told.has_just_begun(now),
+                is_complete: reach.is_full() || told.has_just_begun(now),
             });
         }
         if reach != Reach::Cell {
