--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -47,7 +47,7 @@
 pub struct RemoteInstances {
     /// Those that their representatives hear, these included.
     #[serde(rename = "h")]
-    pub heard: u32,
+    pub reachable: u32,
     /// Those of them that take on requests.
     #[serde(rename = "y")]
     pub ready: u32,
@@ -64,7 +64,7 @@
     pub fn beyond(&self, now: Instant) -> RemoteInstances {
         let mut beyond = RemoteInstances::default();
         for report in self.other_reports(now).filter(|r| r.is_representative) {
-            beyond.heard += report.reach.unwrap_or(1);
+            beyond.reachable += report.reach.unwrap_or(1);
             beyond.ready += report.cell_ready;
         }
         beyond
@@ -74,7 +74,7 @@
     /// started or stepped in hears of the others 0.3 s later, and until then says that there are none.
     pub fn told_beyond(&self, now: Instant) -> RemoteInstances {
         let told = self.peers.values().filter_map(|p| p.live_view(now, PEER_TTL));
-        told.max_by_key(|beyond| beyond.heard).unwrap_or_default()
+        told.max_by_key(|beyond| beyond.reachable).unwrap_or_default()
     }
 
     /// Where representatives of other cells are, as instances of this cell and of others have told.
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -135,7 +135,7 @@
 
     /// Other instances of the fleet that are heard.
     pub(crate) fn heard(&self, now: Instant) -> usize {
-        self.cell.heard(now) + self.beyond(now).heard as usize
+        self.cell.heard(now) + self.beyond(now).reachable as usize
     }
 
     /// Instances of other cells that are heard.
@@ -144,7 +144,7 @@
             0 | 1 => RemoteInstances::default(),
             _ if self.is_representative(now) => {
                 let all = [self.cell.beyond(now), self.cell.told_beyond(now)];
-                all.into_iter().max_by_key(|beyond| beyond.heard).unwrap_or_default()
+                all.into_iter().max_by_key(|beyond| beyond.reachable).unwrap_or_default()
             }
             _ => self.cell.told_beyond(now),
         }
