--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -61,13 +61,13 @@
     // What was admitted before it was heard is not of now.
     let growth = CounterDeltas { near: vec![], far: spent(0) };
     assert_eq!(heard.expect("news").spent, growth);
-    assert_eq!(me.told_beyond(now), RemoteInstances { reachable: 283, ready: 282 });
+    assert_eq!(me.reported_remote_instances(now), RemoteInstances { reachable: 283, ready: 282 });
     let heard = me.hear(now, as_representative(&mut first, now, view(1250, 283)), true);
     assert_eq!(heard.expect("news").spent.far, spent(250));
     // A report that leaves it out changes nothing.
     me.hear(now, Report { is_representative: true, ..report(&mut first, now) }, true);
-    assert_eq!(me.told_beyond(now).reachable, 283);
-    assert_eq!(me.told_beyond(now + PEER_TTL), RemoteInstances::default());
+    assert_eq!(me.reported_remote_instances(now).reachable, 283);
+    assert_eq!(me.reported_remote_instances(now + PEER_TTL), RemoteInstances::default());
 }
 
 /// Representatives also turn to instances that they have not heard of.
@@ -108,12 +108,12 @@
     // One that has just stepped in knows of nobody yet.
     let heard = view(700, 1);
     me.hear(now, as_representative(&mut second, now, heard), true);
-    assert_eq!(me.told_beyond(now).reachable, 283);
+    assert_eq!(me.reported_remote_instances(now).reachable, 283);
     // The first one falls silent: the second one's word counts, from where it was.
     let later = now + PEER_TTL;
     let heard = me.hear(later, as_representative(&mut second, later, view(900, 271)), true);
     assert_eq!(heard.expect("news").spent.far, spent(200));
-    assert_eq!(me.told_beyond(later).reachable, 271);
+    assert_eq!(me.reported_remote_instances(later).reachable, 271);
 }
 
 #[test]
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -143,10 +143,10 @@
         match self.group.cells {
             0 | 1 => RemoteInstances::default(),
             _ if self.is_representative(now) => {
-                let all = [self.cell.beyond(now), self.cell.told_beyond(now)];
+                let all = [self.cell.beyond(now), self.cell.reported_remote_instances(now)];
                 all.into_iter().max_by_key(|beyond| beyond.reachable).unwrap_or_default()
             }
-            _ => self.cell.told_beyond(now),
+            _ => self.cell.reported_remote_instances(now),
         }
     }
 
