--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -78,7 +78,7 @@
     }
 
     /// Where representatives of other cells are, as instances of this cell and of others have told.
-    pub fn told_addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+    pub fn representative_addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         let all = self.peers.values().chain(self.remote_peers.values());
         all.flat_map(|p| p.report.representative_addresses.iter().copied())
     }
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -126,7 +126,7 @@
     // Frequent reports leave the addresses out.
     me.hear(now + 10 * MS, as_representative(&mut first, now, view(0, 12)), true);
     me.forget(now + Duration::from_secs(10));
-    assert_eq!(me.told_addresses().collect::<Vec<_>>(), [elsewhere]);
+    assert_eq!(me.representative_addresses().collect::<Vec<_>>(), [elsewhere]);
 }
 
 #[test]
--- a/oxbowbend-gateway/src/audience.rs
+++ b/oxbowbend-gateway/src/audience.rs
@@ -219,13 +219,13 @@
         let mut all: Vec<_> = audience.seeds.clone();
         if is_start || is_cut_off || self.group.cells <= 1 {
             all.extend(others);
-            all.extend(self.cell.told_addresses());
+            all.extend(self.cell.representative_addresses());
             all.extend(known(self, now));
         } else if self.is_representative(now) {
             let count = self.world.instances().len().max(1);
             let from = (beat / KNOCK) as usize * STRANGERS % count;
             all.extend(others.cycle().skip(from).take(STRANGERS));
-            all.extend(self.cell.told_addresses());
+            all.extend(self.cell.representative_addresses());
         }
         all
     }
