--- a/oxbowbend-core/src/cell/layout.rs
+++ b/oxbowbend-core/src/cell/layout.rs
@@ -39,7 +39,7 @@
 
 impl CellLayout {
     /// The cell of instance `me` in a fleet that is split into cells of `size` instances at most.
-    pub fn of(
+    pub fn compute(
         me: &InstanceId,
         members: &BTreeMap<InstanceId, ZoneId>,
         endpoints: &[Endpoint],
--- a/oxbowbend-core/tests/layout.rs
+++ b/oxbowbend-core/tests/layout.rs
@@ -31,7 +31,7 @@
     let members = members(DEFAULT_MAX_CELL_SIZE);
     let endpoints = endpoints("a", 7);
     for me in members.keys() {
-        let group = CellLayout::of(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE);
+        let group = CellLayout::compute(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE);
         assert_eq!((group.cells, group.peers.len(), group.endpoints.len()), (1, 11, 7));
     }
 }
@@ -42,7 +42,7 @@
     let endpoints = endpoints("a", 90);
     let mut cells: BTreeMap<BTreeSet<InstanceId>, BTreeSet<_>> = BTreeMap::new();
     for me in members.keys() {
-        let group = CellLayout::of(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE);
+        let group = CellLayout::compute(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE);
         let mut all = group.peers.clone();
         all.insert(me.clone());
         let ids: BTreeSet<_> = group.endpoints.iter().map(|e| e.id.clone()).collect();
@@ -61,7 +61,7 @@
     let endpoints = endpoints("b", 4);
     for me in members.keys() {
         assert_eq!(
-            CellLayout::of(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE).endpoints.len(),
+            CellLayout::compute(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE).endpoints.len(),
             4
         );
     }
@@ -74,7 +74,7 @@
     let mut after = before.clone();
     after.remove("i40");
     let cell = |members, me| {
-        CellLayout::of(me, members, &endpoints, DEFAULT_MAX_CELL_SIZE).endpoints[0].id.clone()
+        CellLayout::compute(me, members, &endpoints, DEFAULT_MAX_CELL_SIZE).endpoints[0].id.clone()
     };
     let moved = after.keys().filter(|me| cell(&before, me) != cell(&after, me)).count();
     assert!(moved <= 8, "{moved} instances moved");
@@ -89,7 +89,7 @@
     let cells_of = |endpoints: &[Endpoint]| {
         let mut cell_of = BTreeMap::new();
         for me in members.keys() {
-            let group = CellLayout::of(me, &members, endpoints, DEFAULT_MAX_CELL_SIZE);
+            let group = CellLayout::compute(me, &members, endpoints, DEFAULT_MAX_CELL_SIZE);
             let mut all = group.peers.clone();
             all.insert(me.clone());
             cell_of.extend(group.endpoints.into_iter().map(|e| (e.id, all.clone())));
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -78,7 +78,7 @@
         if members == self.members && endpoints == self.endpoints {
             return;
         }
-        let group = CellLayout::of(&self.me, &members, &endpoints, self.cell_size);
+        let group = CellLayout::compute(&self.me, &members, &endpoints, self.cell_size);
         if group.peers != self.group.peers || group.cells != self.group.cells {
             log::info!(
                 "event=cell cells={} peers={} endpoints={} instances={}",
