--- a/oxbowbend-core/src/cell/layout.rs
+++ b/oxbowbend-core/src/cell/layout.rs
@@ -30,7 +30,7 @@
     /// Its endpoints.
     pub endpoints: Vec<Endpoint>,
     /// How many cells there are.
-    pub cells: usize,
+    pub cell_count: usize,
     /// Which of them this is, from 0.
     pub index: usize,
     /// Services whose endpoints belong to all cells.
@@ -58,7 +58,7 @@
         CellLayout {
             peers: peers.map(|(name, _)| (*name).clone()).collect(),
             endpoints: endpoints_of(mine, cells, endpoints, &shared),
-            cells,
+            cell_count: cells,
             index: mine,
             shared,
         }
--- a/oxbowbend-core/tests/layout.rs
+++ b/oxbowbend-core/tests/layout.rs
@@ -32,7 +32,7 @@
     let endpoints = endpoints("a", 7);
     for me in members.keys() {
         let group = CellLayout::compute(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE);
-        assert_eq!((group.cells, group.peers.len(), group.endpoints.len()), (1, 11, 7));
+        assert_eq!((group.cell_count, group.peers.len(), group.endpoints.len()), (1, 11, 7));
     }
 }
 
--- a/oxbowbend-gateway/src/audience.rs
+++ b/oxbowbend-gateway/src/audience.rs
@@ -217,7 +217,7 @@
         let others = others.map(|(_, e)| e.address);
         let is_start = matches!(reach, Reach::First { .. }) && self.is_new_fleet();
         let mut all: Vec<_> = audience.seeds.clone();
-        if is_start || is_cut_off || self.group.cells <= 1 {
+        if is_start || is_cut_off || self.group.cell_count <= 1 {
             all.extend(others);
             all.extend(self.cell.representative_addresses());
             all.extend(known(self, now));
--- a/oxbowbend-gateway/src/follow.rs
+++ b/oxbowbend-gateway/src/follow.rs
@@ -136,7 +136,7 @@
     fn gather(&self) -> Duration {
         let state = self.shared.lock();
         let gather = (GATHER.0 * state.instances as u32).min(GATHER.1);
-        if state.group.cells <= 1 {
+        if state.group.cell_count <= 1 {
             gather
         } else {
             gather.min(source::GATHER)
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -162,7 +162,7 @@
         if reach != Reach::Cell && state.cell.has_newcomer(now) {
             report.usage_windows = state.admission.quotas.windows(now);
         }
-        let passes_on = state.group.cells <= 1 || report.is_representative;
+        let passes_on = state.group.cell_count <= 1 || report.is_representative;
         report.quarantine = state.quarantine.tell(now, reach.extent(), passes_on);
         if reach.is_full() {
             let others = state.cell.other_reports(now).filter(|r| r.is_representative);
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -79,15 +79,15 @@
             return;
         }
         let group = CellLayout::compute(&self.me, &members, &endpoints, self.cell_size);
-        if group.peers != self.group.peers || group.cells != self.group.cells {
+        if group.peers != self.group.peers || group.cell_count != self.group.cell_count {
             log::info!(
                 "event=cell cells={} peers={} endpoints={} instances={}",
-                group.cells,
+                group.cell_count,
                 group.peers.len(),
                 group.endpoints.len(),
                 members.len()
             );
-            self.cell.set_peers(|name| group.cells <= 1 || group.peers.contains(name));
+            self.cell.set_peers(|name| group.cell_count <= 1 || group.peers.contains(name));
         }
         let all = || members.keys();
         let near = || all().filter(|name| **name == self.me || group.peers.contains(*name));
@@ -108,7 +108,7 @@
     /// Chooses the source anew. A fleet of one cell does without: it has too few calls to save.
     pub(crate) fn choose_source(&mut self, now: Instant) {
         let State { cell, group, sources, me, world, .. } = self;
-        let is_peer = |r: &Report| group.cells > 1 && group.peers.contains(&r.instance);
+        let is_peer = |r: &Report| group.cell_count > 1 && group.peers.contains(&r.instance);
         let reports = cell.aged_reports(now).filter(|(r, _)| is_peer(r));
         if !sources.choose(now, me, world.is_store_away(), reports) {
             return;
@@ -127,7 +127,7 @@
             self.cell.measure_reach(now, |i| peers.contains(i));
         // In a fleet of several cells sums come from representatives, whoever hears whom in a cell; and while
         // instances do not agree on who belongs to it, each hears somebody whom another does not.
-        let covered = if self.group.cells > 1 { near } else { covered };
+        let covered = if self.group.cell_count > 1 { near } else { covered };
         let share = part(self.heard(now), self.instances.saturating_sub(1));
         self.admission.set_share(share * part(covered, near));
         self.cell.set_visible_share(part(near, self.group.peers.len()));
@@ -140,7 +140,7 @@
 
     /// Instances of other cells that are heard.
     pub(crate) fn beyond(&self, now: Instant) -> RemoteInstances {
-        match self.group.cells {
+        match self.group.cell_count {
             0 | 1 => RemoteInstances::default(),
             _ if self.is_representative(now) => {
                 let all = [self.cell.beyond(now), self.cell.reported_remote_instances(now)];
@@ -173,7 +173,7 @@
         let is_peer = |r: &&Report| self.group.peers.contains(&r.instance);
         let is_stopping = self.shutdown.is_some();
         let goes_before = |r: &Report| (r.is_stopping, &r.instance) < (is_stopping, &self.me);
-        self.group.cells > 1 && !self.cell.live_reports(now).filter(is_peer).any(goes_before)
+        self.group.cell_count > 1 && !self.cell.live_reports(now).filter(is_peer).any(goes_before)
     }
 }
 
@@ -351,7 +351,7 @@
     pub(crate) fn hear(&self, now: Instant, mut report: Report) {
         let mut state = self.lock();
         state.hear_of_ends(now, &report.quarantine);
-        let is_near = state.group.cells <= 1 || state.group.peers.contains(&report.instance);
+        let is_near = state.group.cell_count <= 1 || state.group.peers.contains(&report.instance);
         let windows = std::mem::take(&mut report.usage_windows);
         state.hear_of_rollouts(now, &report, is_near);
         let Some(heard) = state.cell.hear(now, report, is_near) else { return };
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -40,7 +40,9 @@
         let rank = all.filter(is_before).count();
         let role = Role::new(rank, self.sources.in_force());
         match part {
-            Part::Endpoints if self.group.cells > 1 => Role { every: self.sources.watch(), ..role },
+            Part::Endpoints if self.group.cell_count > 1 => {
+                Role { every: self.sources.watch(), ..role }
+            }
             _ => role,
         }
     }
