--- a/oxbowbend-core/src/cell/layout.rs
+++ b/oxbowbend-core/src/cell/layout.rs
@@ -32,7 +32,7 @@
     /// How many cells there are.
     pub cell_count: usize,
     /// Which of them this is, from 0.
-    pub index: usize,
+    pub cell_index: usize,
     /// Services whose endpoints belong to all cells.
     pub shared: BTreeSet<ServiceId>,
 }
@@ -59,7 +59,7 @@
             peers: peers.map(|(name, _)| (*name).clone()).collect(),
             endpoints: endpoints_of(mine, cells, endpoints, &shared),
             cell_count: cells,
-            index: mine,
+            cell_index: mine,
             shared,
         }
     }
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -211,7 +211,7 @@
             is_representative,
             has_all_cell_counters: is_representative
                 && (reach.is_full() || told.has_just_begun(now)),
-            cell_index: state.group.index as u32,
+            cell_index: state.group.cell_index as u32,
             cell_admitted_units: cell_spent,
             cell_recent_units: told.lately(now, || quotas.cell_lately(now)),
             cell_evidence,
