--- a/oxbowbend-core/src/cell/layout.rs
+++ b/oxbowbend-core/src/cell/layout.rs
@@ -20,7 +20,7 @@
 /// with ten requests a second each they take 0.5% of a core.
 pub const DEFAULT_MAX_CELL_SIZE: usize = 12;
 /// Endpoints of a service for each cell below which all cells share the service.
-const MIN_ENDPOINTS: usize = 2;
+const MIN_ENDPOINTS_PER_CELL: usize = 2;
 
 /// The cell of one instance.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -71,7 +71,7 @@
     for endpoint in endpoints {
         *services.entry(&endpoint.service).or_default() += 1;
     }
-    let few = services.into_iter().filter(|(_, n)| *n < cells * MIN_ENDPOINTS);
+    let few = services.into_iter().filter(|(_, n)| *n < cells * MIN_ENDPOINTS_PER_CELL);
     few.map(|(service, _)| service.clone()).collect()
 }
 
