--- a/oxbowbend-core/src/cell/health.rs
+++ b/oxbowbend-core/src/cell/health.rs
@@ -35,7 +35,7 @@
 
 impl Health {
     /// Notes outcomes.
-    pub fn note(&mut self, now: Instant, good: u32, bad: u32) {
+    pub fn record(&mut self, now: Instant, good: u32, bad: u32) {
         if good + bad == 0 {
             return;
         }
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -431,7 +431,7 @@
         }
         site.good += u64::from(good);
         site.bad += u64::from(bad);
-        site.health.note(now, good, bad);
+        site.health.record(now, good, bad);
     }
 
     /// The paces of all endpoints that are known, to note for later lives.
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -135,7 +135,7 @@
             let old = old.unwrap_or(if is_first { told } else { (0, 0) });
             if let Some(site) = self.endpoints.get_mut(&tally.endpoint) {
                 let (good, bad) = (told.0.saturating_sub(old.0), told.1.saturating_sub(old.1));
-                site.health.note(now, good as u32, bad as u32);
+                site.health.record(now, good as u32, bad as u32);
                 self.last_failure = if bad > 0 { Some(now) } else { self.last_failure };
             }
         }
