--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -324,7 +324,7 @@
                 continue;
             }
             *aside += 1;
-            let pause = site.health.set_aside(now);
+            let pause = site.health.eject(now);
             self.ejections
                 .push(super::Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
         }
--- a/oxbowbend-core/src/cell/health.rs
+++ b/oxbowbend-core/src/cell/health.rs
@@ -59,7 +59,7 @@
     }
 
     /// Sets the endpoint aside; returns for how long.
-    pub fn set_aside(&mut self, now: Instant) -> Duration {
+    pub fn eject(&mut self, now: Instant) -> Duration {
         let pause = (FIRST_PAUSE * (1 << self.strikes.min(4))).min(LONGEST_PAUSE);
         self.strikes += 1;
         self.on_trial = true;
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -418,7 +418,7 @@
             Outcome::Neutral | Outcome::Absent => (0, 0),
         };
         if outcome == Outcome::Absent && !site.health.is_aside(now) {
-            let pause = site.health.set_aside(now);
+            let pause = site.health.eject(now);
             self.ejections.push(Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
             return;
         }
