--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -313,10 +313,10 @@
         for (_, site) in self.endpoints.iter().filter(|(key, s)| !self.is_leaving(**key, s)) {
             let (all, aside) = services.entry(site.endpoint.service.clone()).or_default();
             *all += 1;
-            *aside += usize::from(site.health.is_aside(now));
+            *aside += usize::from(site.health.is_ejected(now));
         }
         for site in self.endpoints.values_mut() {
-            if site.health.is_aside(now) || !site.health.is_failing(now) {
+            if site.health.is_ejected(now) || !site.health.is_failing(now) {
                 continue;
             }
             let Some((all, aside)) = services.get_mut(&site.endpoint.service) else { continue };
--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -198,7 +198,7 @@
 
     /// Whether an endpoint takes requests at all.
     pub(super) fn is_open(&self, now: Instant, key: EndpointKey, site: &EndpointState) -> bool {
-        !self.is_leaving(key, site) && !site.health.is_aside(now)
+        !self.is_leaving(key, site) && !site.health.is_ejected(now)
     }
 
     fn scope(&self, site: &EndpointState) -> Scope {
--- a/oxbowbend-core/src/cell/health.rs
+++ b/oxbowbend-core/src/cell/health.rs
@@ -70,7 +70,7 @@
     }
 
     /// Whether the endpoint is set aside now.
-    pub fn is_aside(&self, now: Instant) -> bool {
+    pub fn is_ejected(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -417,7 +417,7 @@
             Outcome::Bad => (0, 1),
             Outcome::Neutral | Outcome::Absent => (0, 0),
         };
-        if outcome == Outcome::Absent && !site.health.is_aside(now) {
+        if outcome == Outcome::Absent && !site.health.is_ejected(now) {
             let pause = site.health.eject(now);
             self.ejections.push(Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
             return;
