--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -269,7 +269,7 @@
             let (running, unread) = loads.get(key).copied().unwrap_or_default();
             let load = s.running + running;
             let usable = (f64::from(s.endpoint.slots) * self.visible_share).ceil() as u32;
-            let slots = if s.health.is_on_trial() { 1 } else { usable };
+            let slots = if s.health.is_on_probation() { 1 } else { usable };
             (load, slots.saturating_sub(load), s.unread.saturating_add(unread))
         };
         open.map(|(key, s)| {
--- a/oxbowbend-core/src/cell/health.rs
+++ b/oxbowbend-core/src/cell/health.rs
@@ -75,7 +75,7 @@
     }
 
     /// Whether it may have one request at a time only.
-    pub fn is_on_trial(&self) -> bool {
+    pub fn is_on_probation(&self) -> bool {
         self.on_trial
     }
 }
