--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -305,7 +305,8 @@
     /// end of a request took 3 in 100 of an instance's processor time; without a late failure there is
     /// nothing to find.
     fn set_failing_aside(&mut self, now: Instant) {
-        let is_old = |at: Instant| now.saturating_duration_since(at) > super::health::WINDOW;
+        let is_old =
+            |at: Instant| now.saturating_duration_since(at) > super::health::OUTCOME_WINDOW;
         if self.last_failure.is_none_or(is_old) {
             return;
         }
--- a/oxbowbend-core/src/cell/health.rs
+++ b/oxbowbend-core/src/cell/health.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Time for which outcomes count: about 18 requests an endpoint at the users' sites.
-pub(super) const WINDOW: Duration = Duration::from_secs(3);
+pub(super) const OUTCOME_WINDOW: Duration = Duration::from_secs(3);
 /// Failures in the window below which nothing follows.
 const MIN_BAD: u32 = 4;
 /// Failures that end a trial badly. One may be the request's own.
@@ -49,7 +49,7 @@
 
     /// Whether the endpoint has failed enough to be set aside.
     pub fn is_failing(&mut self, now: Instant) -> bool {
-        while self.outcomes.front().is_some_and(|(t, ..)| now.duration_since(*t) > WINDOW) {
+        while self.outcomes.front().is_some_and(|(t, ..)| now.duration_since(*t) > OUTCOME_WINDOW) {
             self.outcomes.pop_front();
         }
         let good: u32 = self.outcomes.iter().map(|(_, g, _)| g).sum();
