--- a/oxbowbend-core/src/cell/health.rs
+++ b/oxbowbend-core/src/cell/health.rs
@@ -27,10 +27,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     outcomes: VecDeque<(Instant, u32, u32)>,
-    until: Option<Instant>,
-    strikes: u32,
-    on_trial: bool,
-    trial_good: u32,
+    ejected_until: Option<Instant>,
+    ejection_count: u32,
+    is_on_probation: bool,
+    probation_successes: u32,
 }
 
 impl Health {
@@ -40,10 +40,10 @@
             return;
         }
         self.outcomes.push_back((now, good, bad));
-        self.trial_good += good;
-        if self.on_trial && self.trial_good >= TRIAL_GOOD {
-            self.on_trial = false;
-            self.strikes = 0;
+        self.probation_successes += good;
+        if self.is_on_probation && self.probation_successes >= TRIAL_GOOD {
+            self.is_on_probation = false;
+            self.ejection_count = 0;
         }
     }
 
@@ -54,28 +54,28 @@
         }
         let good: u32 = self.outcomes.iter().map(|(_, g, _)| g).sum();
         let bad: u32 = self.outcomes.iter().map(|(.., b)| b).sum();
-        let least = if self.on_trial { TRIAL_BAD } else { MIN_BAD };
+        let least = if self.is_on_probation { TRIAL_BAD } else { MIN_BAD };
         bad >= least && f64::from(bad) >= BAD_SHARE * f64::from(good + bad)
     }
 
     /// Sets the endpoint aside; returns for how long.
     pub fn eject(&mut self, now: Instant) -> Duration {
-        let pause = (FIRST_PAUSE * (1 << self.strikes.min(4))).min(LONGEST_PAUSE);
-        self.strikes += 1;
-        self.on_trial = true;
-        self.trial_good = 0;
-        self.until = Some(now + pause);
+        let pause = (FIRST_PAUSE * (1 << self.ejection_count.min(4))).min(LONGEST_PAUSE);
+        self.ejection_count += 1;
+        self.is_on_probation = true;
+        self.probation_successes = 0;
+        self.ejected_until = Some(now + pause);
         self.outcomes.clear();
         pause
     }
 
     /// Whether the endpoint is set aside now.
     pub fn is_ejected(&self, now: Instant) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
     /// Whether it may have one request at a time only.
     pub fn is_on_probation(&self) -> bool {
-        self.on_trial
+        self.is_on_probation
     }
 }
