--- a/oxbowbend-core/src/cell/health.rs
+++ b/oxbowbend-core/src/cell/health.rs
@@ -10,18 +10,18 @@
 /// Time for which outcomes count: about 18 requests an endpoint at the users' sites.
 pub(super) const OUTCOME_WINDOW: Duration = Duration::from_secs(3);
 /// Failures in the window below which nothing follows.
-const MIN_BAD: u32 = 4;
+const MIN_FAILURES: u32 = 4;
 /// Failures that end a trial badly. One may be the request's own.
-const TRIAL_BAD: u32 = 2;
+const PROBATION_FAILURES: u32 = 2;
 /// Good answers that end a trial well.
-const TRIAL_GOOD: u32 = 3;
+const PROBATION_SUCCESSES: u32 = 3;
 /// Share of failures from which an endpoint is set aside. The users' services fail up to 14 in
 /// 100 requests of one kind by themselves; a failing endpoint fails 40 in 100.
-const BAD_SHARE: f64 = 0.3;
+const FAILURE_RATIO: f64 = 0.3;
 /// First time for which an endpoint is set aside.
-const FIRST_PAUSE: Duration = Duration::from_millis(1000);
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(1000);
 /// Longest such time.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(4);
 
 /// What a service's endpoint has lately done.
 #[derive(Clone, Debug, Default)]
@@ -41,7 +41,7 @@
         }
         self.outcomes.push_back((now, good, bad));
         self.probation_successes += good;
-        if self.is_on_probation && self.probation_successes >= TRIAL_GOOD {
+        if self.is_on_probation && self.probation_successes >= PROBATION_SUCCESSES {
             self.is_on_probation = false;
             self.ejection_count = 0;
         }
@@ -54,13 +54,13 @@
         }
         let good: u32 = self.outcomes.iter().map(|(_, g, _)| g).sum();
         let bad: u32 = self.outcomes.iter().map(|(.., b)| b).sum();
-        let least = if self.is_on_probation { TRIAL_BAD } else { MIN_BAD };
-        bad >= least && f64::from(bad) >= BAD_SHARE * f64::from(good + bad)
+        let least = if self.is_on_probation { PROBATION_FAILURES } else { MIN_FAILURES };
+        bad >= least && f64::from(bad) >= FAILURE_RATIO * f64::from(good + bad)
     }
 
     /// Sets the endpoint aside; returns for how long.
     pub fn eject(&mut self, now: Instant) -> Duration {
-        let pause = (FIRST_PAUSE * (1 << self.ejection_count.min(4))).min(LONGEST_PAUSE);
+        let pause = (BASE_EJECTION_TIME * (1 << self.ejection_count.min(4))).min(MAX_EJECTION_TIME);
         self.ejection_count += 1;
         self.is_on_probation = true;
         self.probation_successes = 0;
