--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -25,14 +25,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CounterDeltas<K> {
     /// Those of an instance of this cell.
-    pub near: Vec<(K, u64)>,
+    pub own_cell: Vec<(K, u64)>,
     /// Those of other cells.
-    pub far: Vec<(K, u64)>,
+    pub other_cells: Vec<(K, u64)>,
 }
 
 impl<K> Default for CounterDeltas<K> {
     fn default() -> CounterDeltas<K> {
-        CounterDeltas { near: Vec::new(), far: Vec::new() }
+        CounterDeltas { own_cell: Vec::new(), other_cells: Vec::new() }
     }
 }
 
@@ -75,12 +75,15 @@
         let cell = count_on(&mut counted.cell, told.cell, self.is_first_cell);
         if !self.is_near {
             return CounterDeltas {
-                near: Vec::new(),
-                far: if self.is_teller { cell } else { Vec::new() },
+                own_cell: Vec::new(),
+                other_cells: if self.is_teller { cell } else { Vec::new() },
             };
         }
         let fleet = count_on(&mut counted.fleet, told.fleet, self.is_first_fleet);
-        CounterDeltas { near: own, far: if self.is_teller { fleet } else { Vec::new() } }
+        CounterDeltas {
+            own_cell: own,
+            other_cells: if self.is_teller { fleet } else { Vec::new() },
+        }
     }
 }
 
@@ -175,7 +178,7 @@
         let mut spent = counting.growth(&mut peer.spent, spent);
         if counting.is_teller {
             self.note_sums(now, report, is_near);
-            spent.far.extend(lately);
+            spent.other_cells.extend(lately);
         }
         ReportDeltas { spent, evidence: counting.growth(&mut peer.evidence, evidence) }
     }
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -59,11 +59,11 @@
     let (mut first, mut me) = (cell("a", &[]), cell("c", &[]));
     let heard = me.hear(now, as_representative(&mut first, now, view(1000, 283)), true);
     // What was admitted before it was heard is not of now.
-    let growth = CounterDeltas { near: vec![], far: spent(0) };
+    let growth = CounterDeltas { own_cell: vec![], other_cells: spent(0) };
     assert_eq!(heard.expect("news").spent, growth);
     assert_eq!(me.reported_remote_instances(now), RemoteInstances { reachable: 283, ready: 282 });
     let heard = me.hear(now, as_representative(&mut first, now, view(1250, 283)), true);
-    assert_eq!(heard.expect("news").spent.far, spent(250));
+    assert_eq!(heard.expect("news").spent.other_cells, spent(250));
     // A report that leaves it out changes nothing.
     me.hear(now, Report { is_representative: true, ..report(&mut first, now) }, true);
     assert_eq!(me.reported_remote_instances(now).reachable, 283);
@@ -84,15 +84,18 @@
     let mut alone = cell("c", &[]);
     alone.set_representative(true);
     alone.hear(now, far_report(100), false);
-    assert_eq!(alone.hear(now, far_report(250), false).expect("news").spent.far, spent(150));
+    assert_eq!(
+        alone.hear(now, far_report(250), false).expect("news").spent.other_cells,
+        spent(150)
+    );
     let mut me = cell("c", &[]);
     me.hear(now, far_report(300), false);
     me.hear(now, as_representative(&mut first, now, view(1000, 12)), true);
-    assert_eq!(me.hear(now, far_report(450), false).expect("news").spent.far, []);
+    assert_eq!(me.hear(now, far_report(450), false).expect("news").spent.other_cells, []);
     // Without one, what it is told itself counts again, and only what is new.
     let later = now + PEER_TTL;
     me.set_representative(true);
-    assert_eq!(me.hear(later, far_report(470), false).expect("news").spent.far, spent(20));
+    assert_eq!(me.hear(later, far_report(470), false).expect("news").spent.other_cells, spent(20));
 }
 
 #[test]
@@ -102,9 +105,9 @@
     me.hear(now, as_representative(&mut first, now, view(1000, 283)), true);
     me.hear(now, as_representative(&mut second, now, view(600, 283)), true);
     let heard = me.hear(now, as_representative(&mut first, now, view(1100, 283)), true);
-    assert_eq!(heard.expect("news").spent.far, spent(100));
+    assert_eq!(heard.expect("news").spent.other_cells, spent(100));
     let heard = me.hear(now, as_representative(&mut second, now, view(700, 283)), true);
-    assert_eq!(heard.expect("news").spent.far, []);
+    assert_eq!(heard.expect("news").spent.other_cells, []);
     // One that has just stepped in knows of nobody yet.
     let heard = view(700, 1);
     me.hear(now, as_representative(&mut second, now, heard), true);
@@ -112,7 +115,7 @@
     // The first one falls silent: the second one's word counts, from where it was.
     let later = now + PEER_TTL;
     let heard = me.hear(later, as_representative(&mut second, later, view(900, 271)), true);
-    assert_eq!(heard.expect("news").spent.far, spent(200));
+    assert_eq!(heard.expect("news").spent.other_cells, spent(200));
     assert_eq!(me.reported_remote_instances(later).reachable, 271);
 }
 
@@ -144,7 +147,7 @@
     me.set_peers(|_| true);
     // What it admitted meanwhile was told by those who represented its cell.
     let heard = me.hear(now, with(report(&mut other, now), 130), true);
-    assert_eq!(heard.expect("news").spent.near, spent(0));
+    assert_eq!(heard.expect("news").spent.own_cell, spent(0));
     let heard = me.hear(now, with(report(&mut other, now), 150), true);
-    assert_eq!(heard.expect("news").spent.near, spent(20));
+    assert_eq!(heard.expect("news").spent.own_cell, spent(20));
 }
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -361,12 +361,12 @@
                 state.admission.quotas.restore_told(now, account, window);
             }
         }
-        state.draw(now, heard.spent.near, true);
-        state.draw(now, heard.spent.far, false);
-        for (key, n) in heard.evidence.near {
+        state.draw(now, heard.spent.own_cell, true);
+        state.draw(now, heard.spent.other_cells, false);
+        for (key, n) in heard.evidence.own_cell {
             state.rollouts.draw(now, key, n, true);
         }
-        for (key, n) in heard.evidence.far {
+        for (key, n) in heard.evidence.other_cells {
             state.rollouts.draw(now, key, n, false);
         }
         // Without a request that waits, no report gives anybody a place.
