--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -49,11 +49,11 @@
 #[derive(Clone, Copy, Debug)]
 struct DeltaContext {
     /// Whether the sender belongs to this cell.
-    is_near: bool,
+    is_same_cell: bool,
     /// Whether its sums of other cells, or of its own if it belongs to another one, are not told by somebody else.
-    is_teller: bool,
+    is_totals_source: bool,
     /// Whether its counters were not all known before, by whose they are.
-    is_first: bool,
+    is_first_own: bool,
     is_first_cell: bool,
     is_first_fleet: bool,
 }
@@ -71,18 +71,18 @@
         counted: &mut CounterBaselines<K>,
         told: ReportedCounters<'_, K>,
     ) -> CounterDeltas<K> {
-        let own = count_on(&mut counted.own, told.own, self.is_first);
+        let own = count_on(&mut counted.own, told.own, self.is_first_own);
         let cell = count_on(&mut counted.cell, told.cell, self.is_first_cell);
-        if !self.is_near {
+        if !self.is_same_cell {
             return CounterDeltas {
                 own_cell: Vec::new(),
-                other_cells: if self.is_teller { cell } else { Vec::new() },
+                other_cells: if self.is_totals_source { cell } else { Vec::new() },
             };
         }
         let fleet = count_on(&mut counted.fleet, told.fleet, self.is_first_fleet);
         CounterDeltas {
             own_cell: own,
-            other_cells: if self.is_teller { fleet } else { Vec::new() },
+            other_cells: if self.is_totals_source { fleet } else { Vec::new() },
         }
     }
 }
@@ -154,9 +154,9 @@
     ) -> ReportDeltas {
         let lately = self.begin_sums(now, peer, report, is_near);
         let counting = DeltaContext {
-            is_near,
-            is_teller: self.is_teller(now, report, is_near),
-            is_first: !peer.knows_own,
+            is_same_cell: is_near,
+            is_totals_source: self.is_teller(now, report, is_near),
+            is_first_own: !peer.knows_own,
             is_first_cell: !peer.knows_cell,
             is_first_fleet: !peer.knows_fleet,
         };
@@ -176,7 +176,7 @@
             fleet: view.map_or(&[], |view| &view.evidence),
         };
         let mut spent = counting.growth(&mut peer.spent, spent);
-        if counting.is_teller {
+        if counting.is_totals_source {
             self.note_sums(now, report, is_near);
             spent.other_cells.extend(lately);
         }
