--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -66,7 +66,7 @@
 }
 
 impl DeltaContext {
-    fn growth<K: Clone + Eq + Hash>(
+    fn deltas<K: Clone + Eq + Hash>(
         self,
         counted: &mut CounterBaselines<K>,
         told: ReportedCounters<'_, K>,
@@ -175,12 +175,12 @@
             cell: &report.cell_evidence,
             fleet: view.map_or(&[], |view| &view.evidence),
         };
-        let mut spent = counting.growth(&mut peer.spent, spent);
+        let mut spent = counting.deltas(&mut peer.spent, spent);
         if counting.is_totals_source {
             self.note_sums(now, report, is_near);
             spent.other_cells.extend(lately);
         }
-        ReportDeltas { spent, evidence: counting.growth(&mut peer.evidence, evidence) }
+        ReportDeltas { spent, evidence: counting.deltas(&mut peer.evidence, evidence) }
     }
 
     /// Whether a report begins to tell sums that another one has told before: then the counters start anew, and what
