--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -12,14 +12,14 @@
 use crate::rollout::evidence::EvidenceKey;
 
 /// Silence after which an instance of this cell is forgotten.
-const FORGET: Duration = Duration::from_secs(30);
+const PEER_RETENTION: Duration = Duration::from_secs(30);
 /// The same for others: whoever is heard of them is heard several times a second, or once at its start.
-const FORGET_OTHERS: Duration = Duration::from_secs(8);
+const REMOTE_PEER_RETENTION: Duration = Duration::from_secs(8);
 
 /// Time within which one that represents its cell tells of it again, whatever is lost: it does so every 0.26 s.
-const GOING_ON: Duration = Duration::from_secs(2);
+const TOTALS_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for which an instance that has just started is told what it cannot know: five beats, of which three may be lost.
-const INTRODUCED: Duration = Duration::from_millis(600);
+const NEWCOMER_PERIOD: Duration = Duration::from_millis(600);
 
 /// By how much counters have grown since the report before.
 #[derive(Clone, Debug, PartialEq)]
@@ -195,7 +195,7 @@
         is_near: bool,
     ) -> Vec<(AccountId, u64)> {
         let since = |at: Instant| now.saturating_duration_since(at);
-        let is_going_on = |at: Option<Instant>| at.is_some_and(|at| since(at) < GOING_ON);
+        let is_going_on = |at: Option<Instant>| at.is_some_and(|at| since(at) < TOTALS_TIMEOUT);
         if is_near {
             let Some(view) =
                 report.fleet_summary.as_ref().filter(|_| !is_going_on(peer.summed_fleet))
@@ -256,14 +256,14 @@
 
     /// Forgets instances that have been silent for long.
     pub fn forget(&mut self, now: Instant) {
-        self.peers.retain(|_, p| p.is_live(now, FORGET));
-        self.remote_peers.retain(|_, p| p.is_live(now, FORGET_OTHERS));
+        self.peers.retain(|_, p| p.is_live(now, PEER_RETENTION));
+        self.remote_peers.retain(|_, p| p.is_live(now, REMOTE_PEER_RETENTION));
         self.forget_said(now);
     }
 
-    /// Whether another instance of this cell has been heard for the first time within [`INTRODUCED`].
+    /// Whether another instance of this cell has been heard for the first time within [`NEWCOMER_PERIOD`].
     pub fn has_newcomer(&self, now: Instant) -> bool {
-        self.live_peers(now).any(|p| now.saturating_duration_since(p.since) < INTRODUCED)
+        self.live_peers(now).any(|p| now.saturating_duration_since(p.since) < NEWCOMER_PERIOD)
     }
 
     /// Other instances of this cell that were heard within [`PEER_TTL`].
