--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -90,7 +90,12 @@
 impl Cell {
     /// Takes in another instance's report; `is_near` if it belongs to this cell. Returns nothing if the
     /// report is no news.
-    pub fn hear(&mut self, now: Instant, report: Report, is_near: bool) -> Option<ReportDeltas> {
+    pub fn receive_report(
+        &mut self,
+        now: Instant,
+        report: Report,
+        is_near: bool,
+    ) -> Option<ReportDeltas> {
         if report.instance == self.local_id {
             return None;
         }
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -41,7 +41,7 @@
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     a.enqueue(want(0, 100, now));
     assert_eq!(a.assign(now).len(), 1);
-    b.hear(now, a.report(now, ReportDetail::Full), true);
+    b.receive_report(now, a.report(now, ReportDetail::Full), true);
     b.enqueue(want(0, 100, now));
     assert_eq!(b.assign(now).len(), 0);
     assert_eq!(b.assign(now + PEER_TTL).len(), 1);
@@ -57,8 +57,8 @@
         b.enqueue(want(rank_b, 100, now - UNHEARD));
         let (from_a, from_b) =
             (a.report(now, ReportDetail::Full), b.report(now, ReportDetail::Full));
-        a.hear(now, from_b, true);
-        b.hear(now, from_a, true);
+        a.receive_report(now, from_b, true);
+        b.receive_report(now, from_a, true);
         let got = (a.assign(now).len(), b.assign(now).len());
         assert_eq!(got, if first == "a" { (1, 0) } else { (0, 1) });
     }
@@ -70,7 +70,7 @@
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     a.enqueue(want(0, 100, now));
-    b.hear(now, a.report(now, ReportDetail::Full), true);
+    b.receive_report(now, a.report(now, ReportDetail::Full), true);
     b.enqueue(want(1, 100, now));
     assert_eq!(b.assign(now).len(), 0);
     assert_eq!(b.assign(now + WAITING_TTL).len(), 1);
@@ -84,8 +84,8 @@
     let idle = a.report(now, ReportDetail::Full);
     a.enqueue(want(0, 100, now));
     a.assign(now);
-    assert!(b.hear(now, a.report(now, ReportDetail::Full), true).is_some());
-    assert!(b.hear(now, idle, true).is_none());
+    assert!(b.receive_report(now, a.report(now, ReportDetail::Full), true).is_some());
+    assert!(b.receive_report(now, idle, true).is_none());
     assert_eq!(b.load(now, key("e0")), 1);
 }
 
@@ -128,9 +128,9 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 8), endpoint(2, 8)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    b.hear(now, a.report(now, ReportDetail::Full), true);
+    b.receive_report(now, a.report(now, ReportDetail::Full), true);
     (0..4).for_each(|_| a.record_outcome(now, key("e0"), Outcome::Bad));
-    b.hear(now, a.report(now, ReportDetail::Full), true);
+    b.receive_report(now, a.report(now, ReportDetail::Full), true);
     let ticket = b.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut b, now), [(ticket, "e2".to_owned())]);
     assert_eq!(b.take_ejections().len(), 1);
@@ -195,8 +195,14 @@
     };
     let drawn =
         |heard: Option<ReportDeltas>| heard.expect("news").spent.own_cell.first().map(|(_, u)| *u);
-    assert_eq!(drawn(b.hear(now, with(a.report(now, ReportDetail::Full), 1000), true)), Some(0));
-    assert_eq!(drawn(b.hear(now, with(a.report(now, ReportDetail::Full), 1200), true)), Some(200));
+    assert_eq!(
+        drawn(b.receive_report(now, with(a.report(now, ReportDetail::Full), 1000), true)),
+        Some(0)
+    );
+    assert_eq!(
+        drawn(b.receive_report(now, with(a.report(now, ReportDetail::Full), 1200), true)),
+        Some(200)
+    );
 }
 
 #[test]
@@ -205,10 +211,10 @@
     let endpoints = [endpoint(0, 1), endpoint(2, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     (0..9).for_each(|_| a.record_outcome(now, key("e0"), Outcome::Bad));
-    b.hear(now, a.report(now, ReportDetail::Loads), true);
+    b.receive_report(now, a.report(now, ReportDetail::Loads), true);
     let mut full = a.report(now, ReportDetail::Full);
     full.admitted_units = vec![("acc".into(), 1000)];
-    let drawn = b.hear(now, full, true).expect("news");
+    let drawn = b.receive_report(now, full, true).expect("news");
     assert_eq!(drawn.spent.own_cell[0].1, 0);
     b.assign(now);
     assert_eq!(b.take_ejections(), []);
@@ -236,13 +242,13 @@
     (0..9).for_each(|_| a.record_outcome(now, key("e0"), Outcome::Bad));
     let later = now + 1000 * MS;
     a.record_outcome(later, key("e2"), Outcome::Good);
-    b.hear(later, a.report(later, ReportDetail::Changes), true);
-    b.hear(later, a.report(later, ReportDetail::Full), true);
+    b.receive_report(later, a.report(later, ReportDetail::Changes), true);
+    b.receive_report(later, a.report(later, ReportDetail::Full), true);
     b.assign(later);
     assert_eq!(b.take_ejections(), []);
     // New ones do.
     (0..9).for_each(|_| a.record_outcome(later, key("e0"), Outcome::Bad));
-    b.hear(later, a.report(later, ReportDetail::Changes), true);
+    b.receive_report(later, a.report(later, ReportDetail::Changes), true);
     b.assign(later);
     assert_eq!(b.take_ejections().len(), 1);
 }
@@ -270,7 +276,7 @@
         report.has_all_cell_counters = is_cell_told;
         report.is_representative = speaks;
         report.cell_admitted_units = vec![("acc".into(), cell_spent)];
-        let news = b.hear(now, report, false).expect("news");
+        let news = b.receive_report(now, report, false).expect("news");
         news.spent.other_cells.first().map_or(0, |(_, units)| *units)
     };
     assert_eq!(told(true, false, 1000), 0, "known from the start on");
@@ -307,7 +313,7 @@
     let reports: Vec<_> = cells.iter_mut().map(|c| c.report(now, ReportDetail::Full)).collect();
     let mut taken = std::collections::BTreeSet::new();
     for cell in &mut cells {
-        reports.iter().for_each(|r| drop(cell.hear(now, r.clone(), true)));
+        reports.iter().for_each(|r| drop(cell.receive_report(now, r.clone(), true)));
         taken.extend(placed(cell, now).into_iter().map(|(_, endpoint)| endpoint));
     }
     assert_eq!(taken.len(), 12);
@@ -325,7 +331,7 @@
         let endpoints = [endpoint(0, free)];
         let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
         if has_peer {
-            a.hear(now, b.report(now, ReportDetail::Loads), true);
+            a.receive_report(now, b.report(now, ReportDetail::Loads), true);
         }
         a.enqueue(want(0, 100, now - MS * age));
         assert_eq!(a.assign(now).len(), placed, "{free} free, {age} ms, heard: {has_peer}");
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -45,10 +45,10 @@
             cell_ready: ready,
             ..report(&mut cell(name, &[]), now)
         };
-        me.hear(now, told, false);
+        me.receive_report(now, told, false);
     }
     // Another instance that turned to this one for a reason of its own is not a cell.
-    me.hear(now, report(&mut cell("z", &[]), now), false);
+    me.receive_report(now, report(&mut cell("z", &[]), now), false);
     assert_eq!(me.beyond(now), RemoteInstances { reachable: 23, ready: 21 });
     assert_eq!(me.beyond(now + PEER_TTL), RemoteInstances::default());
 }
@@ -57,15 +57,15 @@
 fn a_cell_knows_the_others_from_its_representative() {
     let now = Instant::now();
     let (mut first, mut me) = (cell("a", &[]), cell("c", &[]));
-    let heard = me.hear(now, as_representative(&mut first, now, view(1000, 283)), true);
+    let heard = me.receive_report(now, as_representative(&mut first, now, view(1000, 283)), true);
     // What was admitted before it was heard is not of now.
     let growth = CounterDeltas { own_cell: vec![], other_cells: spent(0) };
     assert_eq!(heard.expect("news").spent, growth);
     assert_eq!(me.reported_remote_instances(now), RemoteInstances { reachable: 283, ready: 282 });
-    let heard = me.hear(now, as_representative(&mut first, now, view(1250, 283)), true);
+    let heard = me.receive_report(now, as_representative(&mut first, now, view(1250, 283)), true);
     assert_eq!(heard.expect("news").spent.other_cells, spent(250));
     // A report that leaves it out changes nothing.
-    me.hear(now, Report { is_representative: true, ..report(&mut first, now) }, true);
+    me.receive_report(now, Report { is_representative: true, ..report(&mut first, now) }, true);
     assert_eq!(me.reported_remote_instances(now).reachable, 283);
     assert_eq!(me.reported_remote_instances(now + PEER_TTL), RemoteInstances::default());
 }
@@ -83,38 +83,42 @@
     };
     let mut alone = cell("c", &[]);
     alone.set_representative(true);
-    alone.hear(now, far_report(100), false);
+    alone.receive_report(now, far_report(100), false);
     assert_eq!(
-        alone.hear(now, far_report(250), false).expect("news").spent.other_cells,
+        alone.receive_report(now, far_report(250), false).expect("news").spent.other_cells,
         spent(150)
     );
     let mut me = cell("c", &[]);
-    me.hear(now, far_report(300), false);
-    me.hear(now, as_representative(&mut first, now, view(1000, 12)), true);
-    assert_eq!(me.hear(now, far_report(450), false).expect("news").spent.other_cells, []);
+    me.receive_report(now, far_report(300), false);
+    me.receive_report(now, as_representative(&mut first, now, view(1000, 12)), true);
+    assert_eq!(me.receive_report(now, far_report(450), false).expect("news").spent.other_cells, []);
     // Without one, what it is told itself counts again, and only what is new.
     let later = now + PEER_TTL;
     me.set_representative(true);
-    assert_eq!(me.hear(later, far_report(470), false).expect("news").spent.other_cells, spent(20));
+    assert_eq!(
+        me.receive_report(later, far_report(470), false).expect("news").spent.other_cells,
+        spent(20)
+    );
 }
 
 #[test]
 fn two_representatives_of_a_cell_count_once_and_one_follows_the_other() {
     let now = Instant::now();
     let (mut first, mut second, mut me) = (cell("a", &[]), cell("b", &[]), cell("c", &[]));
-    me.hear(now, as_representative(&mut first, now, view(1000, 283)), true);
-    me.hear(now, as_representative(&mut second, now, view(600, 283)), true);
-    let heard = me.hear(now, as_representative(&mut first, now, view(1100, 283)), true);
+    me.receive_report(now, as_representative(&mut first, now, view(1000, 283)), true);
+    me.receive_report(now, as_representative(&mut second, now, view(600, 283)), true);
+    let heard = me.receive_report(now, as_representative(&mut first, now, view(1100, 283)), true);
     assert_eq!(heard.expect("news").spent.other_cells, spent(100));
-    let heard = me.hear(now, as_representative(&mut second, now, view(700, 283)), true);
+    let heard = me.receive_report(now, as_representative(&mut second, now, view(700, 283)), true);
     assert_eq!(heard.expect("news").spent.other_cells, []);
     // One that has just stepped in knows of nobody yet.
     let heard = view(700, 1);
-    me.hear(now, as_representative(&mut second, now, heard), true);
+    me.receive_report(now, as_representative(&mut second, now, heard), true);
     assert_eq!(me.reported_remote_instances(now).reachable, 283);
     // The first one falls silent: the second one's word counts, from where it was.
     let later = now + PEER_TTL;
-    let heard = me.hear(later, as_representative(&mut second, later, view(900, 271)), true);
+    let heard =
+        me.receive_report(later, as_representative(&mut second, later, view(900, 271)), true);
     assert_eq!(heard.expect("news").spent.other_cells, spent(200));
     assert_eq!(me.reported_remote_instances(later).reachable, 271);
 }
@@ -125,9 +129,9 @@
     let (mut first, mut me) = (cell("a", &[]), cell("b", &[]));
     let elsewhere = ([10, 0, 0, 9], 80).into();
     let told = as_representative(&mut first, now, view(0, 12));
-    me.hear(now, Report { representative_addresses: vec![elsewhere], ..told }, true);
+    me.receive_report(now, Report { representative_addresses: vec![elsewhere], ..told }, true);
     // Frequent reports leave the addresses out.
-    me.hear(now + 10 * MS, as_representative(&mut first, now, view(0, 12)), true);
+    me.receive_report(now + 10 * MS, as_representative(&mut first, now, view(0, 12)), true);
     me.forget(now + Duration::from_secs(10));
     assert_eq!(me.representative_addresses().collect::<Vec<_>>(), [elsewhere]);
 }
@@ -140,14 +144,14 @@
         report.admitted_units = spent(units);
         report
     };
-    me.hear(now, with(report(&mut other, now), 100), true);
+    me.receive_report(now, with(report(&mut other, now), 100), true);
     assert_eq!((me.heard(now), me.other_reports(now).count()), (1, 0));
     me.set_peers(|_| false);
     assert_eq!((me.heard(now), me.other_reports(now).count()), (0, 1));
     me.set_peers(|_| true);
     // What it admitted meanwhile was told by those who represented its cell.
-    let heard = me.hear(now, with(report(&mut other, now), 130), true);
+    let heard = me.receive_report(now, with(report(&mut other, now), 130), true);
     assert_eq!(heard.expect("news").spent.own_cell, spent(0));
-    let heard = me.hear(now, with(report(&mut other, now), 150), true);
+    let heard = me.receive_report(now, with(report(&mut other, now), 150), true);
     assert_eq!(heard.expect("news").spent.own_cell, spent(20));
 }
--- a/oxbowbend-core/tests/leaving.rs
+++ b/oxbowbend-core/tests/leaving.rs
@@ -15,7 +15,7 @@
 };
 
 fn hears_from(to: &mut Cell, from: &mut Cell, now: Instant) {
-    to.hear(now, from.report(now, ReportDetail::Changes), true);
+    to.receive_report(now, from.report(now, ReportDetail::Changes), true);
 }
 
 #[test]
@@ -68,7 +68,11 @@
     let mut other = cell("d", &[endpoint(2, 4)]);
     for listed in [0, 1] {
         other.set_listed([key("e0")].into_iter().take(listed));
-        other.hear(now + 20 * MS * listed as u32, b[0].report(now, ReportDetail::Changes), false);
+        other.receive_report(
+            now + 20 * MS * listed as u32,
+            b[0].report(now, ReportDetail::Changes),
+            false,
+        );
         assert_eq!(other.introduce_endpoints(now).leaving.len(), listed);
     }
     // Of one that is not listed nothing is told, and it is forgotten.
--- a/oxbowbend-core/tests/limit_exploration.rs
+++ b/oxbowbend-core/tests/limit_exploration.rs
@@ -156,7 +156,7 @@
             let report = self.cells[from].report(at, ReportDetail::Full);
             for to in (0..INSTANCES).filter(|to| *to != from) {
                 if event != Event::Cut || (from != 0 && to != 0) {
-                    self.cells[to].hear(at + 5 * MS, report.clone(), true);
+                    self.cells[to].receive_report(at + 5 * MS, report.clone(), true);
                 }
             }
         }
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -186,14 +186,14 @@
     let now = Instant::now() + Duration::from_secs(60);
     let (mut a, mut b) = (instance(0, &all), instance(1, &all));
     a.endpoint_said(now, key("e0"), now, says(Some(1.0)));
-    b.hear(now + 50 * MS, a.report(now + 40 * MS, ReportDetail::Changes), true);
+    b.receive_report(now + 50 * MS, a.report(now + 40 * MS, ReportDetail::Changes), true);
     let change = b.take_limit_changes()[0];
     assert_eq!((change.per_s, change.origin, change.age), (Some(1.0), Origin::Cell, 40 * MS));
     // What it was told it tells nobody of its cell.
     assert!(b.report(now + 60 * MS, ReportDetail::Changes).endpoint_notices.limits.is_empty());
     assert_eq!(b.tell_others_of_endpoints(now + 60 * MS).limits.len(), 1);
     b.endpoint_said(now + 200 * MS, key("e0"), now + 100 * MS, says(None));
-    a.hear(now + 250 * MS, b.report(now + 240 * MS, ReportDetail::Changes), true);
+    a.receive_report(now + 250 * MS, b.report(now + 240 * MS, ReportDetail::Changes), true);
     assert_eq!((a.limited(), b.limited()), (0, 0));
     // An old word does not bring it back.
     let mut late = a.report(now + 260 * MS, ReportDetail::Changes);
@@ -202,7 +202,7 @@
         per_s: Some(1.0),
         age_ms: 300,
     }];
-    b.hear(now + 270 * MS, late, true);
+    b.receive_report(now + 270 * MS, late, true);
     assert_eq!(b.limited(), 0);
 }
 
--- a/oxbowbend-core/tests/placement.rs
+++ b/oxbowbend-core/tests/placement.rs
@@ -67,12 +67,12 @@
     }
     a.enqueue(QueuedRequest { objective: 5000 * MS, ..want(0, 30_000, now) });
     assert_eq!(placed(&mut a, now)[0].1, "e0");
-    b.hear(now, a.report(now, ReportDetail::Loads), true);
+    b.receive_report(now, a.report(now, ReportDetail::Loads), true);
     b.enqueue(short.clone());
     assert_eq!(placed(&mut b, now)[0].1, "e2");
     // Once it is read, and when it ends unread, the endpoint is as good as before.
     a.record_first_event(now, key("e0"), 30_000, 0, 600 * MS);
-    b.hear(now, a.report(now, ReportDetail::Loads), true);
+    b.receive_report(now, a.report(now, ReportDetail::Loads), true);
     b.enqueue(short.clone());
     assert_eq!(placed(&mut b, now)[0].1, "e0");
 }
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -90,7 +90,7 @@
 
     fn hear(&mut self, now: Instant, mut report: Report, is_near: bool) {
         let windows = std::mem::take(&mut report.usage_windows);
-        let Some(heard) = self.cell.hear(now, report, is_near) else { return };
+        let Some(heard) = self.cell.receive_report(now, report, is_near) else { return };
         if is_near && now - self.since < Duration::from_secs(1) {
             for (account, window) in &windows {
                 self.quotas.restore_told(now, account, window);
@@ -204,7 +204,7 @@
     let mut me = Cell::new("a".into(), "z".into(), 1);
     let mut other = Cell::new("b".into(), "z".into(), 1);
     let report = Report { is_stopping: true, ..other.report(now, ReportDetail::Full) };
-    me.hear(now, report, true);
+    me.receive_report(now, report, true);
     assert_eq!(me.measure_reach(now, |_| true).heard, 1);
     let silent = now + Duration::from_millis(1600);
     assert_eq!(me.measure_reach(silent, |_| true).heard, 0);
--- a/oxbowbend-core/tests/reachability.rs
+++ b/oxbowbend-core/tests/reachability.rs
@@ -42,7 +42,7 @@
         for (at, cell) in cells.iter_mut().enumerate() {
             for (from, report) in reports.iter().enumerate() {
                 if links.are_linked(at, from) {
-                    cell.hear(now, report.clone(), true);
+                    cell.receive_report(now, report.clone(), true);
                 }
             }
         }
@@ -102,15 +102,15 @@
     let now = Instant::now();
     let (mut a, mut b, mut c) = (cell("a", &[]), cell("b", &[]), cell("c", &[]));
     // `b` hears `c`, and `a` hears `b` alone.
-    b.hear(now, c.report(now, ReportDetail::Full), true);
-    a.hear(now, b.report(now, ReportDetail::Full), true);
+    b.receive_report(now, c.report(now, ReportDetail::Full), true);
+    a.receive_report(now, b.report(now, ReportDetail::Full), true);
     b.measure_reach(now, |_| true);
     assert_eq!(a.measure_reach(now, |_| true), Reachability { heard: 1, covered: 1 });
-    a.hear(now, b.report(now, ReportDetail::Full), true);
+    a.receive_report(now, b.report(now, ReportDetail::Full), true);
     let heard = |covered| Reachability { heard: 1, covered };
     assert_eq!(a.measure_reach(now, |_| true), heard(1));
     assert_eq!(a.measure_reach(now + 399 * MS, |_| true), heard(1));
     assert_eq!(a.measure_reach(now + 400 * MS, |_| true), heard(0));
-    a.hear(now + 400 * MS, c.report(now, ReportDetail::Full), true);
+    a.receive_report(now + 400 * MS, c.report(now, ReportDetail::Full), true);
     assert_eq!(a.measure_reach(now + 400 * MS, |_| true), Reachability { heard: 2, covered: 2 });
 }
--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -70,14 +70,14 @@
     assert_eq!(placed(&mut a, now).len(), 1);
     (0..10).for_each(|_| a.record_first_event(now, old.key(), 700, 0, 400 * MS));
     (0..9).for_each(|_| a.record_outcome(now, old.key(), Outcome::Bad));
-    b.hear(now, a.report(now, ReportDetail::Full), true);
+    b.receive_report(now, a.report(now, ReportDetail::Full), true);
     assert_eq!(b.load(now, new.key()), 0);
     assert_eq!(b.known_paces(now), []);
     b.enqueue(want(0, 100, now - UNHEARD));
     assert_eq!(placed(&mut b, now).len(), 1);
     // Of the same start, all of it counts.
     let mut c = cell("c", std::slice::from_ref(&old));
-    c.hear(now, a.report(now, ReportDetail::Full), true);
+    c.receive_report(now, a.report(now, ReportDetail::Full), true);
     assert_eq!(c.load(now, old.key()), 1);
     assert_eq!(c.known_paces(now).len(), 1);
 }
--- a/oxbowbend-core/tests/rests.rs
+++ b/oxbowbend-core/tests/rests.rs
@@ -51,7 +51,7 @@
     let now = Instant::now() + Duration::from_secs(10);
     let (mut a, mut b) = (cell("a", &[endpoint(0, 4)]), cell("b", &[endpoint(0, 4)]));
     asks_for_rest(&mut a, now, "e0", 1000);
-    b.hear(now, a.report(now, ReportDetail::Full), true);
+    b.receive_report(now, a.report(now, ReportDetail::Full), true);
     assert!(is_used(&mut b, now) && !is_used(&mut a, now));
     let patience = Patience { objective: 100 * MS, longest: Duration::from_secs(3), spread: 0.0 };
     let told = a.refuse(now + 400 * MS, &"s".into(), 0, patience);
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -354,7 +354,7 @@
         let is_near = state.group.cell_count <= 1 || state.group.peers.contains(&report.instance);
         let windows = std::mem::take(&mut report.usage_windows);
         state.hear_of_rollouts(now, &report, is_near);
-        let Some(heard) = state.cell.hear(now, report, is_near) else { return };
+        let Some(heard) = state.cell.receive_report(now, report, is_near) else { return };
         state.log_said();
         if is_near && state.is_new(now) {
             for (account, window) in &windows {
