--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -260,7 +260,7 @@
     }
 
     /// Forgets instances that have been silent for long.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn expire_peers(&mut self, now: Instant) {
         self.peers.retain(|_, p| p.is_live(now, PEER_RETENTION));
         self.remote_peers.retain(|_, p| p.is_live(now, REMOTE_PEER_RETENTION));
         self.forget_said(now);
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -132,7 +132,7 @@
     me.receive_report(now, Report { representative_addresses: vec![elsewhere], ..told }, true);
     // Frequent reports leave the addresses out.
     me.receive_report(now + 10 * MS, as_representative(&mut first, now, view(0, 12)), true);
-    me.forget(now + Duration::from_secs(10));
+    me.expire_peers(now + Duration::from_secs(10));
     assert_eq!(me.representative_addresses().collect::<Vec<_>>(), [elsewhere]);
 }
 
--- a/oxbowbend-core/tests/leaving.rs
+++ b/oxbowbend-core/tests/leaving.rs
@@ -78,6 +78,6 @@
     // Of one that is not listed nothing is told, and it is forgotten.
     assert!(c[0].report(now, ReportDetail::Changes).endpoint_notices.leaving.is_empty());
     hears_from(&mut c[0], &mut b[0], now + 10 * MS);
-    c[0].forget(now + Duration::from_secs(61));
+    c[0].expire_peers(now + Duration::from_secs(61));
     assert_eq!(c[0].leavers(), 0);
 }
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -102,7 +102,7 @@
         let now = clock::now();
         let (report, far_report, addresses) = {
             let mut state = self.shared.lock();
-            state.cell.forget(now);
+            state.cell.expire_peers(now);
             let addresses = state.addresses(now, &self.audience, reach, beat);
             let is_representative = state.is_representative(now);
             state.cell.set_representative(is_representative);
