--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -63,7 +63,7 @@
     /// What this instance hears of other cells as its cell's representative.
     pub fn beyond(&self, now: Instant) -> RemoteInstances {
         let mut beyond = RemoteInstances::default();
-        for report in self.other_reports(now).filter(|r| r.is_representative) {
+        for report in self.remote_reports(now).filter(|r| r.is_representative) {
             beyond.reachable += report.reach.unwrap_or(1);
             beyond.ready += report.cell_ready;
         }
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -282,7 +282,7 @@
     }
 
     /// Last reports of the instances of other cells that were heard within [`PEER_TTL`].
-    pub fn other_reports(&self, now: Instant) -> impl Iterator<Item = &Report> {
+    pub fn remote_reports(&self, now: Instant) -> impl Iterator<Item = &Report> {
         self.remote_peers.values().filter(move |p| p.is_live(now, PEER_TTL)).map(|p| &p.report)
     }
 
--- a/oxbowbend-gateway/src/audience.rs
+++ b/oxbowbend-gateway/src/audience.rs
@@ -156,7 +156,7 @@
 
 /// Addresses of all instances that are heard.
 pub(crate) fn known(state: &State, now: Instant) -> Vec<SocketAddr> {
-    let all = state.cell.live_reports(now).chain(state.cell.other_reports(now));
+    let all = state.cell.live_reports(now).chain(state.cell.remote_reports(now));
     all.filter_map(|r| r.address).collect()
 }
 
@@ -187,7 +187,7 @@
             near.extend(entered().filter(|(name, _)| is_near(name)).map(|(_, e)| e.address));
         }
         if reach.is_far() && self.is_representative(now) {
-            let others = self.cell.other_reports(now).filter(|r| r.is_representative);
+            let others = self.cell.remote_reports(now).filter(|r| r.is_representative);
             far.extend(others.filter_map(|r| r.address));
         }
         if reach.is_full() {
--- a/oxbowbend-gateway/src/follow.rs
+++ b/oxbowbend-gateway/src/follow.rs
@@ -339,7 +339,7 @@
     let mine = (Reverse(state.cell.reachable_count()), me);
     let is_before = |r: &Report| r.has_store && (Reverse(r.reach.unwrap_or(0)), &r.instance) < mine;
     let (mut used, mut paces) = (Vec::new(), Vec::new());
-    let mut all = state.cell.live_reports(now).chain(state.cell.other_reports(now));
+    let mut all = state.cell.live_reports(now).chain(state.cell.remote_reports(now));
     let is_first = !all.any(is_before);
     drop(all);
     if state.has_store() && is_first {
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -165,7 +165,7 @@
         let passes_on = state.group.cell_count <= 1 || report.is_representative;
         report.quarantine = state.quarantine.tell(now, reach.extent(), passes_on);
         if reach.is_full() {
-            let others = state.cell.other_reports(now).filter(|r| r.is_representative);
+            let others = state.cell.remote_reports(now).filter(|r| r.is_representative);
             report.representative_addresses = others.filter_map(|r| r.address).collect();
         }
         report
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -128,7 +128,7 @@
     /// other and that the store answers.
     fn writes_statuses(&self, now: Instant) -> bool {
         let is_before = |r: &Report| r.has_store && r.instance < self.me;
-        let mut all = self.cell.live_reports(now).chain(self.cell.other_reports(now));
+        let mut all = self.cell.live_reports(now).chain(self.cell.remote_reports(now));
         self.has_store() && !all.any(is_before)
     }
 }
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -72,7 +72,7 @@
         let mut members: BTreeMap<_, _> = BTreeMap::from([(self.me.clone(), self.zone.clone())]);
         let entered = self.world.instances().iter();
         members.extend(entered.map(|(name, e)| (name.clone(), e.zone.clone())));
-        let heard = self.cell.live_reports(now).chain(self.cell.other_reports(now));
+        let heard = self.cell.live_reports(now).chain(self.cell.remote_reports(now));
         members.extend(heard.map(|r| (r.instance.clone(), r.zone.clone())));
         let endpoints = self.endpoints_by_version(now);
         if members == self.members && endpoints == self.endpoints {
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -36,7 +36,7 @@
     /// endpoints, and are told of changes later than it; so these are verified more often.
     pub(crate) fn role(&self, now: Instant, part: Part) -> Role {
         let is_before = |r: &&Report| r.has_store && r.instance < self.me;
-        let all = self.cell.live_reports(now).chain(self.cell.other_reports(now));
+        let all = self.cell.live_reports(now).chain(self.cell.remote_reports(now));
         let rank = all.filter(is_before).count();
         let role = Role::new(rank, self.sources.in_force());
         match part {
