--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -287,7 +287,7 @@
     }
 
     /// Last reports of the instances of this cell that were heard within [`PEER_TTL`], with their ages.
-    pub fn aged_reports(&self, now: Instant) -> impl Iterator<Item = (&Report, Duration)> {
+    pub fn live_reports_with_age(&self, now: Instant) -> impl Iterator<Item = (&Report, Duration)> {
         self.live_peers(now).map(move |p| (&p.report, now.saturating_duration_since(p.heard)))
     }
 
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -109,7 +109,7 @@
     pub(crate) fn choose_source(&mut self, now: Instant) {
         let State { cell, group, sources, me, world, .. } = self;
         let is_peer = |r: &Report| group.cell_count > 1 && group.peers.contains(&r.instance);
-        let reports = cell.aged_reports(now).filter(|(r, _)| is_peer(r));
+        let reports = cell.live_reports_with_age(now).filter(|(r, _)| is_peer(r));
         if !sources.choose(now, me, world.is_store_away(), reports) {
             return;
         }
