--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -35,7 +35,7 @@
     /// When it was heard first in this life.
     pub(super) since: Instant,
     /// Good and bad answers told so far. Reports leave endpoints out that were not used lately.
-    pub(super) counted: HashMap<EndpointKey, (u64, u64)>,
+    pub(super) outcomes: HashMap<EndpointKey, (u64, u64)>,
     /// Whether a full report was heard, which the counters go on from.
     pub(super) is_counted: bool,
     /// Units admitted, by account.
@@ -84,7 +84,7 @@
             report: Report::default(),
             heard: now,
             since: now,
-            counted: HashMap::new(),
+            outcomes: HashMap::new(),
             is_counted: false,
             spent: CounterBaselines::default(),
             evidence: CounterBaselines::default(),
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -139,7 +139,7 @@
             let pace = pace::Pace::reported(tally.ns_per_unit, tally.samples);
             peer.paces.insert(tally.endpoint, pace);
             // What a new acquaintance has counted so far is not of now.
-            let old = peer.counted.insert(tally.endpoint, told);
+            let old = peer.outcomes.insert(tally.endpoint, told);
             let old = old.unwrap_or(if is_first { told } else { (0, 0) });
             if let Some(site) = self.endpoints.get_mut(&tally.endpoint) {
                 let (good, bad) = (told.0.saturating_sub(old.0), told.1.saturating_sub(old.1));
