--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -37,15 +37,15 @@
     /// Good and bad answers told so far. Reports leave endpoints out that were not used lately.
     pub(super) outcomes: HashMap<EndpointKey, (u64, u64)>,
     /// Whether a full report was heard, which the counters go on from.
-    pub(super) is_counted: bool,
+    pub(super) has_outcome_baseline: bool,
     /// Units admitted, by account.
     pub(super) spent: CounterBaselines<AccountId>,
     /// Answers of versions that are rolled out.
     pub(super) evidence: CounterBaselines<EvidenceKey>,
     /// Whether a report with all of its own counters was heard, of those of its cell, of those of the others.
-    pub(super) knows_own: bool,
-    pub(super) knows_cell: bool,
-    pub(super) knows_fleet: bool,
+    pub(super) has_own_baseline: bool,
+    pub(super) has_cell_baseline: bool,
+    pub(super) has_fleet_baseline: bool,
     /// When it last told of its cell as its representative, and its cell of all others, since it has been that.
     pub(super) summed: Option<Instant>,
     pub(super) summed_fleet: Option<Instant>,
@@ -62,21 +62,21 @@
     pub(super) fn recount(&mut self) {
         self.spent.own.clear();
         self.evidence.own.clear();
-        self.knows_own = false;
+        self.has_own_baseline = false;
     }
 
     /// The same with those of its cell.
     pub(super) fn recount_cell(&mut self) {
         self.spent.cell.clear();
         self.evidence.cell.clear();
-        self.knows_cell = false;
+        self.has_cell_baseline = false;
     }
 
     /// The same with those of all other cells.
     pub(super) fn recount_fleet(&mut self) {
         self.spent.fleet.clear();
         self.evidence.fleet.clear();
-        self.knows_fleet = false;
+        self.has_fleet_baseline = false;
     }
 
     pub(super) fn new(now: Instant) -> Peer {
@@ -85,12 +85,12 @@
             heard: now,
             since: now,
             outcomes: HashMap::new(),
-            is_counted: false,
+            has_outcome_baseline: false,
             spent: CounterBaselines::default(),
             evidence: CounterBaselines::default(),
-            knows_own: false,
-            knows_cell: false,
-            knows_fleet: false,
+            has_own_baseline: false,
+            has_cell_baseline: false,
+            has_fleet_baseline: false,
             summed: None,
             summed_fleet: None,
             viewed: None,
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -132,8 +132,8 @@
     }
 
     fn take_tallies(&mut self, now: Instant, peer: &mut Peer, report: &Report) {
-        let is_first = !peer.is_counted;
-        peer.is_counted |= report.has_all_counters;
+        let is_first = !peer.has_outcome_baseline;
+        peer.has_outcome_baseline |= report.has_all_counters;
         for tally in &report.endpoint_stats {
             let told = (tally.successes, tally.failures);
             let pace = pace::Pace::reported(tally.ns_per_unit, tally.samples);
@@ -161,13 +161,13 @@
         let counting = DeltaContext {
             is_same_cell: is_near,
             is_totals_source: self.is_teller(now, report, is_near),
-            is_first_own: !peer.knows_own,
-            is_first_cell: !peer.knows_cell,
-            is_first_fleet: !peer.knows_fleet,
+            is_first_own: !peer.has_own_baseline,
+            is_first_cell: !peer.has_cell_baseline,
+            is_first_fleet: !peer.has_fleet_baseline,
         };
-        peer.knows_own |= report.has_all_counters;
-        peer.knows_cell |= report.has_all_cell_counters;
-        peer.knows_fleet |=
+        peer.has_own_baseline |= report.has_all_counters;
+        peer.has_cell_baseline |= report.has_all_cell_counters;
+        peer.has_fleet_baseline |=
             is_near && report.fleet_summary.as_ref().is_some_and(|view| view.is_complete);
         let view = report.fleet_summary.as_ref();
         let spent = ReportedCounters {
