--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -59,21 +59,21 @@
 
 impl Peer {
     /// Goes on from its next full report with its own counters: others have told meanwhile what it admitted.
-    pub(super) fn recount(&mut self) {
+    pub(super) fn reset_own_baseline(&mut self) {
         self.spent.own.clear();
         self.evidence.own.clear();
         self.has_own_baseline = false;
     }
 
     /// The same with those of its cell.
-    pub(super) fn recount_cell(&mut self) {
+    pub(super) fn reset_cell_baseline(&mut self) {
         self.spent.cell.clear();
         self.evidence.cell.clear();
         self.has_cell_baseline = false;
     }
 
     /// The same with those of all other cells.
-    pub(super) fn recount_fleet(&mut self) {
+    pub(super) fn reset_fleet_baseline(&mut self) {
         self.spent.fleet.clear();
         self.evidence.fleet.clear();
         self.has_fleet_baseline = false;
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -207,7 +207,7 @@
             else {
                 return Vec::new();
             };
-            peer.recount_fleet();
+            peer.reset_fleet_baseline();
             // Until it stepped down, this instance heard the other cells itself.
             let last = self.fleet_totals_at.max(self.cell_totals_at.values().copied().max());
             return admitted(&view.recent_units, last.map(since));
@@ -215,7 +215,7 @@
         if !report.is_representative || is_going_on(peer.summed) {
             return Vec::new();
         }
-        peer.recount_cell();
+        peer.reset_cell_baseline();
         // Until it stepped in, this instance was told of all other cells.
         let last = self.cell_totals_at.get(&report.cell_index).copied().max(self.fleet_totals_at);
         admitted(&report.cell_recent_units, last.map(since))
@@ -253,7 +253,7 @@
         for (name, mut peer) in others {
             let is_near = is_near(&name);
             if is_near {
-                peer.recount();
+                peer.reset_own_baseline();
             }
             self.map_of(is_near).insert(name, peer);
         }
