--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -73,7 +73,7 @@
     /// What this instance knows of other cells from its representatives, the last one included: one that has just
     /// started or stepped in hears of the others 0.3 s later, and until then says that there are none.
     pub fn reported_remote_instances(&self, now: Instant) -> RemoteInstances {
-        let told = self.peers.values().filter_map(|p| p.live_view(now, PEER_TTL));
+        let told = self.peers.values().filter_map(|p| p.live_remote_instances(now, PEER_TTL));
         told.max_by_key(|beyond| beyond.reachable).unwrap_or_default()
     }
 
--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -100,7 +100,11 @@
     }
 
     /// What it told of other cells, if that is not too old.
-    pub(super) fn live_view(&self, now: Instant, ttl: Duration) -> Option<RemoteInstances> {
+    pub(super) fn live_remote_instances(
+        &self,
+        now: Instant,
+        ttl: Duration,
+    ) -> Option<RemoteInstances> {
         let is_live = self.viewed.is_some_and(|at| now.saturating_duration_since(at) < ttl);
         self.report.fleet_summary.as_ref().filter(|_| is_live).map(|view| view.remote_instances)
     }
