--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -135,7 +135,7 @@
 
 /// Takes in counters and returns by how much they have grown. Of one not seen before, all is growth
 /// unless it is the first report.
-pub(super) fn count_on<K: Clone + Eq + Hash>(
+pub(super) fn advance_counters<K: Clone + Eq + Hash>(
     counted: &mut HashMap<K, u64>,
     told: &[(K, u64)],
     is_first: bool,
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -4,7 +4,7 @@
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-use super::peer::{count_on, CounterBaselines, Peer};
+use super::peer::{advance_counters, CounterBaselines, Peer};
 use super::report::Report;
 use super::{pace, Cell, PEER_TTL};
 use crate::ids::{AccountId, InstanceId};
@@ -71,15 +71,15 @@
         counted: &mut CounterBaselines<K>,
         told: ReportedCounters<'_, K>,
     ) -> CounterDeltas<K> {
-        let own = count_on(&mut counted.own, told.own, self.is_first_own);
-        let cell = count_on(&mut counted.cell, told.cell, self.is_first_cell);
+        let own = advance_counters(&mut counted.own, told.own, self.is_first_own);
+        let cell = advance_counters(&mut counted.cell, told.cell, self.is_first_cell);
         if !self.is_same_cell {
             return CounterDeltas {
                 own_cell: Vec::new(),
                 other_cells: if self.is_totals_source { cell } else { Vec::new() },
             };
         }
-        let fleet = count_on(&mut counted.fleet, told.fleet, self.is_first_fleet);
+        let fleet = advance_counters(&mut counted.fleet, told.fleet, self.is_first_fleet);
         CounterDeltas {
             own_cell: own,
             other_cells: if self.is_totals_source { fleet } else { Vec::new() },
