--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -53,7 +53,7 @@
 
 impl Cell {
     /// Works out what is heard of those that belong to the cell; reports tell of it from now on.
-    pub fn measure_reach(
+    pub fn update_reachability(
         &mut self,
         now: Instant,
         is_near: impl Fn(&InstanceId) -> bool,
--- a/oxbowbend-core/tests/reachability.rs
+++ b/oxbowbend-core/tests/reachability.rs
@@ -46,7 +46,7 @@
                 }
             }
         }
-        reaches = cells.iter_mut().map(|c| c.measure_reach(now, |_| true)).collect();
+        reaches = cells.iter_mut().map(|c| c.update_reachability(now, |_| true)).collect();
     }
     reaches
 }
@@ -104,13 +104,16 @@
     // `b` hears `c`, and `a` hears `b` alone.
     b.receive_report(now, c.report(now, ReportDetail::Full), true);
     a.receive_report(now, b.report(now, ReportDetail::Full), true);
-    b.measure_reach(now, |_| true);
-    assert_eq!(a.measure_reach(now, |_| true), Reachability { heard: 1, covered: 1 });
+    b.update_reachability(now, |_| true);
+    assert_eq!(a.update_reachability(now, |_| true), Reachability { heard: 1, covered: 1 });
     a.receive_report(now, b.report(now, ReportDetail::Full), true);
     let heard = |covered| Reachability { heard: 1, covered };
-    assert_eq!(a.measure_reach(now, |_| true), heard(1));
-    assert_eq!(a.measure_reach(now + 399 * MS, |_| true), heard(1));
-    assert_eq!(a.measure_reach(now + 400 * MS, |_| true), heard(0));
+    assert_eq!(a.update_reachability(now, |_| true), heard(1));
+    assert_eq!(a.update_reachability(now + 399 * MS, |_| true), heard(1));
+    assert_eq!(a.update_reachability(now + 400 * MS, |_| true), heard(0));
     a.receive_report(now + 400 * MS, c.report(now, ReportDetail::Full), true);
-    assert_eq!(a.measure_reach(now + 400 * MS, |_| true), Reachability { heard: 2, covered: 2 });
+    assert_eq!(
+        a.update_reachability(now + 400 * MS, |_| true),
+        Reachability { heard: 2, covered: 2 }
+    );
 }
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -124,7 +124,7 @@
     pub(crate) fn set_shares(&mut self, now: Instant) {
         let peers = &self.group.peers;
         let Reachability { heard: near, covered } =
-            self.cell.measure_reach(now, |i| peers.contains(i));
+            self.cell.update_reachability(now, |i| peers.contains(i));
         // In a fleet of several cells sums come from representatives, whoever hears whom in a cell; and while
         // instances do not agree on who belongs to it, each hears somebody whom another does not.
         let covered = if self.group.cell_count > 1 { near } else { covered };
