--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -20,9 +20,9 @@
 
 /// Time for which it must have heard others. Instances notice within two beats of each other that one
 /// has started or fallen silent.
-const LASTING: Duration = Duration::from_millis(400);
+const UNCOVERED_DELAY: Duration = Duration::from_millis(400);
 /// Bits of a name in a set of names. With 12 names 1.5 in 100 others are taken to be in the set.
-const BITS_OF_A_NAME: u64 = 3;
+const HASHES_PER_NAME: u64 = 3;
 
 /// What an instance hears of its cell.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -38,15 +38,15 @@
 pub struct InstanceFilter([u64; 2]);
 
 impl InstanceFilter {
-    fn add(&mut self, name: &str) {
-        for seed in 0..BITS_OF_A_NAME {
+    fn insert(&mut self, name: &str) {
+        for seed in 0..HASHES_PER_NAME {
             let hash = xxh3_64_with_seed(name.as_bytes(), seed);
             self.0[(hash >> 6 & 1) as usize] |= 1 << (hash & 63);
         }
     }
 
     /// Whether all of these are among others.
-    fn are_among(self, others: InstanceFilter) -> bool {
+    fn is_subset_of(self, others: InstanceFilter) -> bool {
         self.0[0] & !others.0[0] == 0 && self.0[1] & !others.0[1] == 0
     }
 }
@@ -59,16 +59,16 @@
         is_near: impl Fn(&InstanceId) -> bool,
     ) -> Reachability {
         let mut names = InstanceFilter::default();
-        names.add(&self.local_id);
+        names.insert(&self.local_id);
         let mut near = Vec::new();
         for peer in self.peers.values_mut().filter(|p| p.is_live(now, PEER_TTL)) {
             if is_near(&peer.report.instance) {
-                names.add(&peer.report.instance);
+                names.insert(&peer.report.instance);
                 near.push(peer);
             }
         }
         let heard = near.len();
-        let covered = near.into_iter().filter_map(|p| (!p.is_wider(now, names)).then_some(()));
+        let covered = near.into_iter().filter_map(|p| (!p.is_uncovered(now, names)).then_some(()));
         let covered = covered.count();
         (self.reachable_filter, self.reachable_count) = (names, heard as u32 + 1);
         Reachability { heard, covered }
@@ -82,12 +82,12 @@
 
 impl super::peer::Peer {
     /// Whether it has long heard somebody who is not among these.
-    fn is_wider(&mut self, now: Instant, names: InstanceFilter) -> bool {
-        if self.report.heard_names.unwrap_or_default().are_among(names) {
+    fn is_uncovered(&mut self, now: Instant, names: InstanceFilter) -> bool {
+        if self.report.heard_names.unwrap_or_default().is_subset_of(names) {
             self.wider_since = None;
             return false;
         }
         let since = *self.wider_since.get_or_insert(now);
-        now.saturating_duration_since(since) >= LASTING
+        now.saturating_duration_since(since) >= UNCOVERED_DELAY
     }
 }
