--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -210,7 +210,7 @@
     ) -> Vec<ToldLimit> {
         let age = |b: &Belief| now.saturating_duration_since(b.heard);
         let is_told = |(key, b): &(&EndpointKey, &Belief)| {
-            audience.is_told(b.origin) && (b.per_s.is_some() || age(b) < TELL_END) && is_for(key)
+            audience.receives(b.origin) && (b.per_s.is_some() || age(b) < TELL_END) && is_for(key)
         };
         let mut told: Vec<_> = self.beliefs.iter().filter(is_told).collect();
         told.sort_by_key(|(key, b)| (age(b), **key));
--- a/oxbowbend-core/src/cell/signals.rs
+++ b/oxbowbend-core/src/cell/signals.rs
@@ -70,7 +70,7 @@
 impl Audience {
     /// Whether it is told what is known from there. Each word passes from an answer to the cell, and from there once from cell to
     /// cell: what was told on would seem younger each time, and never end.
-    pub(super) fn is_told(self, origin: Origin) -> bool {
+    pub(super) fn receives(self, origin: Origin) -> bool {
         match origin {
             Origin::Answer | Origin::Entry => true,
             Origin::Cell => matches!(self, Audience::Others | Audience::Newcomer),
