--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -78,7 +78,7 @@
     /// What its cell is told of endpoints.
     pub(super) fn tell_of_endpoints(&self, now: Instant) -> EndpointNotices {
         let audience = match self.is_representative {
-            true => Audience::CellOfRepresentative,
+            true => Audience::RepresentedCell,
             false => Audience::Cell,
         };
         self.tell(now, audience, |key| self.endpoints.contains_key(key))
--- a/oxbowbend-core/src/cell/signals.rs
+++ b/oxbowbend-core/src/cell/signals.rs
@@ -60,7 +60,7 @@
     /// The own cell, by any of its instances.
     Cell,
     /// The own cell, by its representative.
-    CellOfRepresentative,
+    RepresentedCell,
     /// Other cells.
     Others,
     /// An instance that has just started.
@@ -74,7 +74,7 @@
         match origin {
             Origin::Answer | Origin::Entry => true,
             Origin::Cell => matches!(self, Audience::Others | Audience::Newcomer),
-            Origin::Fleet => matches!(self, Audience::CellOfRepresentative | Audience::Newcomer),
+            Origin::Fleet => matches!(self, Audience::RepresentedCell | Audience::Newcomer),
         }
     }
 }
