--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -91,7 +91,7 @@
             let service = self.endpoints.get(key).map(|s| &s.endpoint.service);
             service.is_some_and(|service| self.shared_services.contains(service))
         };
-        self.tell(now, Audience::Others, is_shared)
+        self.tell(now, Audience::OtherCells, is_shared)
     }
 
     /// What an instance is told that has just started.
--- a/oxbowbend-core/src/cell/signals.rs
+++ b/oxbowbend-core/src/cell/signals.rs
@@ -62,7 +62,7 @@
     /// The own cell, by its representative.
     RepresentedCell,
     /// Other cells.
-    Others,
+    OtherCells,
     /// An instance that has just started.
     Newcomer,
 }
@@ -73,7 +73,7 @@
     pub(super) fn receives(self, origin: Origin) -> bool {
         match origin {
             Origin::Answer | Origin::Entry => true,
-            Origin::Cell => matches!(self, Audience::Others | Audience::Newcomer),
+            Origin::Cell => matches!(self, Audience::OtherCells | Audience::Newcomer),
             Origin::Fleet => matches!(self, Audience::RepresentedCell | Audience::Newcomer),
         }
     }
--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -77,7 +77,7 @@
     /// assert!(shutdown.admits(now + Duration::from_secs(5), Some(Duration::from_millis(200)), false));
     /// assert!(!shutdown.admits(now + Duration::from_secs(5), Some(Duration::from_secs(2)), false));
     /// assert!(!shutdown.admits(now + Duration::from_secs(5), None, false));
-    /// // Others are ready.
+    /// // OtherCells are ready.
     /// assert!(!shutdown.admits(now + Duration::from_secs(5), Some(Duration::from_millis(200)), true));
     /// ```
     pub fn admits(&self, now: Instant, expected: Option<Duration>, others_ready: bool) -> bool {
