--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -45,20 +45,25 @@
     /// Instances by name before this one that the store answers; without one this instance verifies.
     pub rank: u32,
     /// How often knowledge is verified.
-    pub every: Duration,
+    pub verify_interval: Duration,
 }
 
 impl Role {
     /// The role behind so many instances, where changes must be in force within that time.
     pub fn new(rank: usize, in_force: Duration) -> Role {
-        Role { rank: rank.min(u32::MAX as usize) as u32, every: in_force.mul_f64(VERIFY_SHARE) }
+        Role {
+            rank: rank.min(u32::MAX as usize) as u32,
+            verify_interval: in_force.mul_f64(VERIFY_SHARE),
+        }
     }
 
     /// Age from which knowledge is verified by this instance, whoever should have done so.
     fn limit(&self) -> Duration {
         match self.rank {
-            0 => self.every,
-            rank => (self.every + STEP_IN + STEP * (rank - 1)).min(self.every * 2),
+            0 => self.verify_interval,
+            rank => {
+                (self.verify_interval + STEP_IN + STEP * (rank - 1)).min(self.verify_interval * 2)
+            }
         }
     }
 }
@@ -154,7 +159,7 @@
     pub fn begin(&mut self, now: Instant, role: Role) -> WatchParams {
         let wait = match role.rank {
             _ if self.is_probe_due => Duration::ZERO,
-            0 => role.every.saturating_sub(self.told_age(now).unwrap_or(Duration::ZERO)),
+            0 => role.verify_interval.saturating_sub(self.told_age(now).unwrap_or(Duration::ZERO)),
             _ => LONG,
         };
         self.pending = Some(PendingWatch { began: now, wait });
@@ -195,7 +200,7 @@
     pub fn give_up(&mut self, now: Instant, role: Role) -> Option<CancelReason> {
         let pending = self.pending?;
         // Such a one is answered, or fails, by its own limit.
-        if pending.wait <= role.every {
+        if pending.wait <= role.verify_interval {
             return None;
         }
         let given_up = if self.is_overtaken(now, pending) {
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -41,7 +41,7 @@
         let role = Role::new(rank, self.sources.in_force());
         match part {
             Part::Endpoints if self.group.cell_count > 1 => {
-                Role { every: self.sources.watch(), ..role }
+                Role { verify_interval: self.sources.watch(), ..role }
             }
             _ => role,
         }
