--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -58,7 +58,7 @@
     }
 
     /// Age from which knowledge is verified by this instance, whoever should have done so.
-    fn limit(&self) -> Duration {
+    fn max_age(&self) -> Duration {
         match self.rank {
             0 => self.verify_interval,
             rank => {
@@ -206,7 +206,7 @@
         let given_up = if self.is_overtaken(now, pending) {
             self.tolerance = Some(MismatchBackoff::after(now, self.tolerance));
             CancelReason::Overtaken
-        } else if self.age(now).is_none_or(|age| age >= role.limit()) {
+        } else if self.age(now).is_none_or(|age| age >= role.max_age()) {
             CancelReason::Unverified
         } else {
             return None;
