--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -150,13 +150,13 @@
     /// let role = Role::new(0, Duration::from_secs(2));
     /// let mut subscription = Subscription::default();
     /// subscription.listed(now);
-    /// assert_eq!(subscription.begin(now, role).wait, Duration::from_millis(1200));
+    /// assert_eq!(subscription.start_watch(now, role).wait, Duration::from_millis(1200));
     /// // An unanswered watch says nothing of the store yet; one that did not wait does.
     /// assert!(!subscription.failed(WatchFailure::Unanswered));
-    /// assert_eq!(subscription.begin(now, role).wait, Duration::ZERO);
+    /// assert_eq!(subscription.start_watch(now, role).wait, Duration::ZERO);
     /// assert!(subscription.failed(WatchFailure::Unanswered));
     /// ```
-    pub fn begin(&mut self, now: Instant, role: Role) -> WatchParams {
+    pub fn start_watch(&mut self, now: Instant, role: Role) -> WatchParams {
         let wait = match role.rank {
             _ if self.is_probe_due => Duration::ZERO,
             0 => role.verify_interval.saturating_sub(self.told_age(now).unwrap_or(Duration::ZERO)),
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -161,7 +161,7 @@
         if follower.watch.is_some() || now < follower.paused_until {
             return;
         }
-        let call = follower.subscription.begin(at, role);
+        let call = follower.subscription.start_watch(at, role);
         if is_out && outage.silence == Silence::Refuses {
             follower.fail(now, WatchFailure::Refused);
             return;
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -30,11 +30,11 @@
         (40, 30_000, Some(2400)),
     ] {
         let (mut subscription, role) = listed(now, rank);
-        assert_eq!(subscription.begin(now, role).wait, wait * MS, "rank {rank}");
+        assert_eq!(subscription.start_watch(now, role).wait, wait * MS, "rank {rank}");
         let given_up = (0..3000).find(|ms| subscription.give_up(now + *ms * MS, role).is_some());
         assert_eq!(given_up, gives_up, "rank {rank}");
         if given_up.is_some() {
-            assert_eq!(subscription.begin(now + IN_FORCE, role).wait, Duration::ZERO);
+            assert_eq!(subscription.start_watch(now + IN_FORCE, role).wait, Duration::ZERO);
         }
     }
 }
@@ -44,7 +44,7 @@
     let now = Instant::now();
     for (is_same, given_up) in [(true, None), (false, Some(CancelReason::Unverified))] {
         let (mut subscription, role) = listed(now, 1);
-        subscription.begin(now, role);
+        subscription.start_watch(now, role);
         subscription.heard(now + 1650 * MS, now + 1600 * MS, is_same);
         assert_eq!(subscription.give_up(now + 1750 * MS, role), given_up);
     }
@@ -54,7 +54,7 @@
 fn a_watch_that_should_have_told_what_another_instance_knows_is_given_up() {
     let now = Instant::now();
     let (mut subscription, role) = listed(now, 1);
-    subscription.begin(now, role);
+    subscription.start_watch(now, role);
     let mut gaps = Vec::new();
     let mut last = now + 400 * MS;
     // The difference lasts, though the store says each time that there is nothing newer.
@@ -66,9 +66,9 @@
             gaps.push(at - last);
             last = at;
         }
-        subscription.begin(at, role);
+        subscription.start_watch(at, role);
         subscription.answered(at);
-        subscription.begin(at, role);
+        subscription.start_watch(at, role);
     }
     assert!(gaps.len() >= 4, "{gaps:?}");
     assert!(gaps[0] >= 300 * MS && gaps[0] < 330 * MS, "{gaps:?}");
@@ -79,7 +79,7 @@
 fn an_older_state_of_another_instance_says_nothing() {
     let now = Instant::now();
     let (mut subscription, role) = listed(now, 1);
-    subscription.begin(now, role);
+    subscription.start_watch(now, role);
     for ms in 0..1500 {
         subscription.heard(now + ms * MS, now - 5 * MS, false);
         assert_eq!(subscription.give_up(now + ms * MS, role), None);
@@ -92,13 +92,13 @@
     let (mut subscription, role) = listed(now, 0);
     let mut limits = Vec::new();
     for is_away in [false, true, true, true] {
-        let call = subscription.begin(now, role);
+        let call = subscription.start_watch(now, role);
         limits.push((call.limit - call.wait).as_millis());
         assert_eq!(subscription.failed(WatchFailure::Unanswered), is_away);
     }
     assert_eq!(limits, [500, 1000, 1500, 1500]);
     let (mut subscription, role) = listed(now, 0);
-    subscription.begin(now, role);
+    subscription.start_watch(now, role);
     assert!(subscription.failed(WatchFailure::Refused));
 }
 
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -103,7 +103,7 @@
         let _ = self.given_up[part as usize].1.try_recv();
         let mut state = self.lock();
         let role = state.role(now, part);
-        state.subscriptions.get(part).begin(now, role)
+        state.subscriptions.get(part).start_watch(now, role)
     }
 
     /// Waits until the watch of a part is given up.
