--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -152,9 +152,9 @@
     /// subscription.listed(now);
     /// assert_eq!(subscription.start_watch(now, role).wait, Duration::from_millis(1200));
     /// // An unanswered watch says nothing of the store yet; one that did not wait does.
-    /// assert!(!subscription.failed(WatchFailure::Unanswered));
+    /// assert!(!subscription.record_failure(WatchFailure::Unanswered));
     /// assert_eq!(subscription.start_watch(now, role).wait, Duration::ZERO);
-    /// assert!(subscription.failed(WatchFailure::Unanswered));
+    /// assert!(subscription.record_failure(WatchFailure::Unanswered));
     /// ```
     pub fn start_watch(&mut self, now: Instant, role: Role) -> WatchParams {
         let wait = match role.rank {
@@ -177,7 +177,7 @@
     }
 
     /// Notes that a watch has failed; returns whether that means that the store is away.
-    pub fn failed(&mut self, failure: WatchFailure) -> bool {
+    pub fn record_failure(&mut self, failure: WatchFailure) -> bool {
         let was_probe = self.pending.take().is_some_and(|p| p.wait == Duration::ZERO);
         self.is_probe_due = true;
         self.failures += 1;
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -229,7 +229,7 @@
 impl Follower {
     fn fail(&mut self, now: i64, failure: WatchFailure) {
         self.watch = None;
-        if self.subscription.failed(failure) {
+        if self.subscription.record_failure(failure) {
             self.has_store = false;
             self.paused_until = now + millis(PAUSE);
         }
--- a/oxbowbend-gateway/src/follow.rs
+++ b/oxbowbend-gateway/src/follow.rs
@@ -192,7 +192,7 @@
             StoreError::Timeout(_) => WatchFailure::Unanswered,
             _ => WatchFailure::Refused,
         };
-        let is_away = self.shared.lock().subscriptions.get(part).failed(failure);
+        let is_away = self.shared.lock().subscriptions.get(part).record_failure(failure);
         if is_away {
             self.lost(e);
         }
