--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -197,7 +197,7 @@
     }
 
     /// Whether the watch that waits is to be given up, and why. The next one does not wait.
-    pub fn give_up(&mut self, now: Instant, role: Role) -> Option<CancelReason> {
+    pub fn check_cancel(&mut self, now: Instant, role: Role) -> Option<CancelReason> {
         let pending = self.pending?;
         // Such a one is answered, or fails, by its own limit.
         if pending.wait <= role.verify_interval {
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -155,7 +155,7 @@
         let is_out = self.is_out(now);
         let outage = self.outage;
         let follower = &mut self.followers[n];
-        if follower.subscription.give_up(at, role).is_some() {
+        if follower.subscription.check_cancel(at, role).is_some() {
             follower.watch = None;
         }
         if follower.watch.is_some() || now < follower.paused_until {
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -31,7 +31,8 @@
     ] {
         let (mut subscription, role) = listed(now, rank);
         assert_eq!(subscription.start_watch(now, role).wait, wait * MS, "rank {rank}");
-        let given_up = (0..3000).find(|ms| subscription.give_up(now + *ms * MS, role).is_some());
+        let given_up =
+            (0..3000).find(|ms| subscription.check_cancel(now + *ms * MS, role).is_some());
         assert_eq!(given_up, gives_up, "rank {rank}");
         if given_up.is_some() {
             assert_eq!(subscription.start_watch(now + IN_FORCE, role).wait, Duration::ZERO);
@@ -46,7 +47,7 @@
         let (mut subscription, role) = listed(now, 1);
         subscription.start_watch(now, role);
         subscription.heard(now + 1650 * MS, now + 1600 * MS, is_same);
-        assert_eq!(subscription.give_up(now + 1750 * MS, role), given_up);
+        assert_eq!(subscription.check_cancel(now + 1750 * MS, role), given_up);
     }
 }
 
@@ -61,7 +62,7 @@
     for ms in (400..12_000).step_by(20) {
         let at = now + ms * MS;
         subscription.heard(at, at - 10 * MS, false);
-        let Some(given_up) = subscription.give_up(at, role) else { continue };
+        let Some(given_up) = subscription.check_cancel(at, role) else { continue };
         if given_up == CancelReason::Overtaken {
             gaps.push(at - last);
             last = at;
@@ -82,7 +83,7 @@
     subscription.start_watch(now, role);
     for ms in 0..1500 {
         subscription.heard(now + ms * MS, now - 5 * MS, false);
-        assert_eq!(subscription.give_up(now + ms * MS, role), None);
+        assert_eq!(subscription.check_cancel(now + ms * MS, role), None);
     }
 }
 
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -50,7 +50,7 @@
     /// Gives a watch up that is not to be relied on.
     fn give_up(&mut self, now: Instant, part: Part) -> Option<CancelReason> {
         let role = self.role(now, part);
-        self.subscriptions.get(part).give_up(now, role)
+        self.subscriptions.get(part).check_cancel(now, role)
     }
 
     /// Milliseconds since the store last told this instance that there is no newer configuration; none while
