--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -159,7 +159,7 @@
     pub fn start_watch(&mut self, now: Instant, role: Role) -> WatchParams {
         let wait = match role.rank {
             _ if self.is_probe_due => Duration::ZERO,
-            0 => role.verify_interval.saturating_sub(self.told_age(now).unwrap_or(Duration::ZERO)),
+            0 => role.verify_interval.saturating_sub(self.own_age(now).unwrap_or(Duration::ZERO)),
             _ => LONG,
         };
         self.pending = Some(PendingWatch { began: now, wait });
@@ -223,7 +223,7 @@
     }
 
     /// Time since the store told this instance that there was nothing newer, to tell others.
-    pub fn told_age(&self, now: Instant) -> Option<Duration> {
+    pub fn own_age(&self, now: Instant) -> Option<Duration> {
         self.verified.map(|at| now.saturating_duration_since(at))
     }
 
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -208,7 +208,7 @@
         let at = self.at(now);
         for n in 0..INSTANCES {
             let follower = &self.followers[n];
-            let age = follower.subscription.told_age(at).filter(|_| !follower.is_dead);
+            let age = follower.subscription.own_age(at).filter(|_| !follower.is_dead);
             let (version, has_store) = (follower.version, follower.has_store);
             self.heard[n] = age.map(|age| Told { version, as_of: now - millis(age), has_store });
         }
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -56,7 +56,7 @@
     /// Milliseconds since the store last told this instance that there is no newer configuration; none while
     /// it does not follow it.
     pub(crate) fn config_ms(&mut self, now: Instant) -> Option<u32> {
-        let age = self.subscriptions.config.told_age(now).filter(|_| self.sources.is_store())?;
+        let age = self.subscriptions.config.own_age(now).filter(|_| self.sources.is_store())?;
         Some(age.as_millis().min(u32::MAX.into()) as u32)
     }
 
