--- a/oxbowbend-core/src/suspicion.rs
+++ b/oxbowbend-core/src/suspicion.rs
@@ -28,7 +28,7 @@
 }
 
 /// Time after which an endpoint is suspected.
-pub fn due(expected: Duration, objective: Duration) -> Duration {
+pub fn suspicion_delay(expected: Duration, objective: Duration) -> Duration {
     (expected * TIMES).max(objective).max(LEAST)
 }
 
@@ -39,9 +39,9 @@
 ///
 /// use oxbowbend_core::suspicion::{self, TimeoutAction};
 ///
-/// let due = suspicion::due(Duration::from_millis(100), Duration::from_millis(300));
-/// assert_eq!(due, Duration::from_millis(400));
-/// assert_eq!(suspicion::judge(due, Duration::from_secs(1), true), TimeoutAction::Retry);
+/// let suspicion_delay = suspicion::suspicion_delay(Duration::from_millis(100), Duration::from_millis(300));
+/// assert_eq!(suspicion_delay, Duration::from_millis(400));
+/// assert_eq!(suspicion::judge(suspicion_delay, Duration::from_secs(1), true), TimeoutAction::Retry);
 /// ```
 pub fn judge(due: Duration, limit: Duration, is_repeatable: bool) -> TimeoutAction {
     if due >= limit {
--- a/oxbowbend-core/tests/suspicion.rs
+++ b/oxbowbend-core/tests/suspicion.rs
@@ -19,7 +19,7 @@
         (1, 1, 251, true, TimeoutAction::Retry),
         (1, 1, 250, true, TimeoutAction::Fail),
     ] {
-        let due = suspicion::due(expected * MS, objective * MS);
+        let due = suspicion::suspicion_delay(expected * MS, objective * MS);
         let case = format!("{expected} {objective} {left} {may_repeat}");
         assert_eq!(suspicion::judge(due, left * MS, may_repeat), judged, "{case}");
     }
