--- a/oxbowbend-core/src/suspicion.rs
+++ b/oxbowbend-core/src/suspicion.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 /// Times the expected time after which an endpoint that has not begun is suspected.
-const TIMES: u32 = 4;
+const EXPECTED_TIME_FACTOR: u32 = 4;
 /// Least time before that, so that a short stall of either side is no suspicion.
-const LEAST: Duration = Duration::from_millis(250);
+const MIN_DELAY: Duration = Duration::from_millis(250);
 
 /// What to do about a request that its endpoint has not begun to answer when the earlier of the suspicion and
 /// the request's limit has come.
@@ -29,7 +29,7 @@
 
 /// Time after which an endpoint is suspected.
 pub fn suspicion_delay(expected: Duration, objective: Duration) -> Duration {
-    (expected * TIMES).max(objective).max(LEAST)
+    (expected * EXPECTED_TIME_FACTOR).max(objective).max(MIN_DELAY)
 }
 
 /// Judges a silence that has lasted for the shorter of both times.
