--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -245,7 +245,7 @@
                     zone: &p.report.zone,
                     taste,
                     objective,
-                    prompt: claim.prompt,
+                    prompt: claim.prompt_tokens,
                     output: claim.output,
                     stall: claim.stall,
                     avoid: &[],
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -291,7 +291,7 @@
             rank: w.rank,
             waited_ms: now.saturating_duration_since(w.arrived_at).as_millis() as u32,
             objective_ms: w.objective.as_millis() as u32,
-            prompt: w.prompt_tokens,
+            prompt_tokens: w.prompt_tokens,
             output: w.output_tokens,
             stall: w.stall,
         });
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -222,7 +222,7 @@
     pub objective_ms: u32,
     /// Tokens of its prompt.
     #[serde(rename = "p")]
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Tokens that its answer is expected to have.
     #[serde(rename = "n", default)]
     pub output: u32,
