--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -238,7 +238,7 @@
                 let objective = Duration::from_millis(claim.objective_ms.into());
                 let due = arrived + objective;
                 Some(Candidate {
-                    order: Order::new(now, claim.rank, due, claim.output, self.known.usual),
+                    order: Order::new(now, claim.rank, due, claim.output_tokens, self.known.usual),
                     ticket: None,
                     arrived,
                     service: &claim.service,
@@ -246,7 +246,7 @@
                     taste,
                     objective,
                     prompt: claim.prompt_tokens,
-                    output: claim.output,
+                    output: claim.output_tokens,
                     stall: claim.stall,
                     avoid: &[],
                 })
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -292,7 +292,7 @@
             waited_ms: now.saturating_duration_since(w.arrived_at).as_millis() as u32,
             objective_ms: w.objective.as_millis() as u32,
             prompt_tokens: w.prompt_tokens,
-            output: w.output_tokens,
+            output_tokens: w.output_tokens,
             stall: w.stall,
         });
         let mut report = Report {
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -225,7 +225,7 @@
     pub prompt_tokens: u32,
     /// Tokens that its answer is expected to have.
     #[serde(rename = "n", default)]
-    pub output: u32,
+    pub output_tokens: u32,
     /// How it holds up the streams beside it.
     #[serde(rename = "h")]
     pub stall: super::PrefillStall,
