--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -163,7 +163,7 @@
             }
             if let Some(site) = self.endpoints.get_mut(&a.endpoint.key()) {
                 site.running += 1;
-                site.unread += a.prompt;
+                site.pending_prompt_tokens += a.prompt;
             }
         }
         assignments
@@ -270,7 +270,7 @@
             let load = s.running + running;
             let usable = (f64::from(s.endpoint.slots) * self.visible_share).ceil() as u32;
             let slots = if s.health.is_on_probation() { 1 } else { usable };
-            (load, slots.saturating_sub(load), s.unread.saturating_add(unread))
+            (load, slots.saturating_sub(load), s.pending_prompt_tokens.saturating_add(unread))
         };
         open.map(|(key, s)| {
             let (load, room, unread) = place(key, s);
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -136,7 +136,7 @@
     hash: u64,
     running: u32,
     /// Tokens of prompts without a first event. Engines read prompts one after the other.
-    unread: u32,
+    pending_prompt_tokens: u32,
     good: u64,
     bad: u64,
     pace: pace::Pace,
@@ -234,7 +234,7 @@
                     hash: xxh3_64(endpoint.id.as_bytes()),
                     endpoint,
                     running: 0,
-                    unread: 0,
+                    pending_prompt_tokens: 0,
                     good: 0,
                     bad: 0,
                     pace: pace::Pace::default(),
@@ -266,7 +266,7 @@
         let load = |(key, s): (&EndpointKey, &EndpointState)| EndpointLoad {
             endpoint: *key,
             running: s.running,
-            pending_prompt_tokens: s.unread,
+            pending_prompt_tokens: s.pending_prompt_tokens,
         };
         let loads = running.map(load).collect();
         let lately =
@@ -386,7 +386,7 @@
         first: Duration,
     ) {
         if let Some(site) = self.endpoints.get_mut(&endpoint) {
-            site.unread = site.unread.saturating_sub(prompt);
+            site.pending_prompt_tokens = site.pending_prompt_tokens.saturating_sub(prompt);
             site.pace.learn(prompt.saturating_add(backlog), first);
             (site.last_used, site.last_answer) = (Some(now), Some(now));
         }
@@ -405,7 +405,7 @@
     pub fn finish(&mut self, now: Instant, endpoint: EndpointKey, unread: u32, outcome: Outcome) {
         let Some(site) = self.endpoints.get_mut(&endpoint) else { return };
         site.running = site.running.saturating_sub(1);
-        site.unread = site.unread.saturating_sub(unread);
+        site.pending_prompt_tokens = site.pending_prompt_tokens.saturating_sub(unread);
         self.record_outcome(now, endpoint, outcome);
     }
 
