--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -137,8 +137,8 @@
     running: u32,
     /// Tokens of prompts without a first event. Engines read prompts one after the other.
     pending_prompt_tokens: u32,
-    good: u64,
-    bad: u64,
+    successes: u64,
+    failures: u64,
     pace: pace::Pace,
     health: health::Health,
     last_used: Option<Instant>,
@@ -235,8 +235,8 @@
                     endpoint,
                     running: 0,
                     pending_prompt_tokens: 0,
-                    good: 0,
-                    bad: 0,
+                    successes: 0,
+                    failures: 0,
                     pace: pace::Pace::default(),
                     health: health::Health::default(),
                     last_used: None,
@@ -276,8 +276,8 @@
             let (ns_per_unit, samples) = s.pace.as_parts();
             EndpointStats {
                 endpoint: *key,
-                successes: s.good,
-                failures: s.bad,
+                successes: s.successes,
+                failures: s.failures,
                 ns_per_unit,
                 samples,
             }
@@ -429,8 +429,8 @@
         if bad > 0 {
             self.last_failure = Some(now);
         }
-        site.good += u64::from(good);
-        site.bad += u64::from(bad);
+        site.successes += u64::from(good);
+        site.failures += u64::from(bad);
         site.health.record(now, good, bad);
     }
 
