--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -298,7 +298,7 @@
         let mut report = Report {
             instance: self.local_id.clone(),
             zone: self.zone.clone(),
-            life: self.incarnation,
+            incarnation: self.incarnation,
             number: self.sequence,
             has_all_counters: extent == ReportDetail::Full,
             reach: is_beat.then_some(self.reachable_count),
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -22,7 +22,7 @@
     pub zone: ZoneId,
     /// Random number of this life.
     #[serde(rename = "l")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Number of the report in this life.
     #[serde(rename = "n")]
     pub number: u64,
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -194,7 +194,7 @@
         Report {
             instance: near.instance.clone(),
             zone: near.zone.clone(),
-            life: near.life,
+            incarnation: near.incarnation,
             number: near.number,
             epoch: near.epoch,
             revision: near.revision,
