--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -299,7 +299,7 @@
             instance: self.local_id.clone(),
             zone: self.zone.clone(),
             incarnation: self.incarnation,
-            number: self.sequence,
+            sequence: self.sequence,
             has_all_counters: extent == ReportDetail::Full,
             reach: is_beat.then_some(self.reachable_count),
             heard_names: is_beat.then_some(self.reachable_filter),
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -102,7 +102,7 @@
         let before = self.peers.remove(&report.instance);
         let before = before.or_else(|| self.remote_peers.remove(&report.instance));
         let before = before.filter(|b| b.report.incarnation == report.incarnation);
-        if let Some(before) = before.as_ref().filter(|b| b.report.number >= report.number) {
+        if let Some(before) = before.as_ref().filter(|b| b.report.sequence >= report.sequence) {
             self.map_of(is_near).insert(report.instance, before.clone());
             return None;
         }
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -25,7 +25,7 @@
     pub incarnation: u64,
     /// Number of the report in this life.
     #[serde(rename = "n")]
-    pub number: u64,
+    pub sequence: u64,
     /// Epoch of the store in which that revision is.
     #[serde(rename = "E", default, skip_serializing_if = "is_zero_epoch")]
     pub epoch: u64,
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -195,7 +195,7 @@
             instance: near.instance.clone(),
             zone: near.zone.clone(),
             incarnation: near.incarnation,
-            number: near.number,
+            sequence: near.sequence,
             epoch: near.epoch,
             revision: near.revision,
             config_version: near.config_version,
