--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -64,7 +64,7 @@
     pub fn beyond(&self, now: Instant) -> RemoteInstances {
         let mut beyond = RemoteInstances::default();
         for report in self.remote_reports(now).filter(|r| r.is_representative) {
-            beyond.reachable += report.reach.unwrap_or(1);
+            beyond.reachable += report.reachable_count.unwrap_or(1);
             beyond.ready += report.cell_ready;
         }
         beyond
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -301,7 +301,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             has_all_counters: extent == ReportDetail::Full,
-            reach: is_beat.then_some(self.reachable_count),
+            reachable_count: is_beat.then_some(self.reachable_count),
             heard_names: is_beat.then_some(self.reachable_filter),
             loads,
             endpoint_stats: tallies,
--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -119,7 +119,7 @@
             report.representative_addresses.clone()
         };
         self.report = Report {
-            reach: report.reach.or(before.reach),
+            reachable_count: report.reachable_count.or(before.reachable_count),
             heard_names: report.heard_names.or(before.heard_names),
             fleet_summary: report.fleet_summary.clone().or(before.fleet_summary),
             representative_addresses: peers,
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -66,7 +66,7 @@
     pub is_stopping: bool,
     /// Instances of its cell that it hears, itself included. Told with beats only.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
-    pub reach: Option<u32>,
+    pub reachable_count: Option<u32>,
     /// Their names, likewise.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
     pub heard_names: Option<super::InstanceFilter>,
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -41,7 +41,7 @@
     for (name, reach, ready) in [("m", 12, 12), ("x", 11, 9)] {
         let told = Report {
             is_representative: true,
-            reach: Some(reach),
+            reachable_count: Some(reach),
             cell_ready: ready,
             ..report(&mut cell(name, &[]), now)
         };
--- a/oxbowbend-gateway/src/follow.rs
+++ b/oxbowbend-gateway/src/follow.rs
@@ -337,7 +337,8 @@
     let now = clock::now();
     let mut state = shared.lock();
     let mine = (Reverse(state.cell.reachable_count()), me);
-    let is_before = |r: &Report| r.has_store && (Reverse(r.reach.unwrap_or(0)), &r.instance) < mine;
+    let is_before =
+        |r: &Report| r.has_store && (Reverse(r.reachable_count.unwrap_or(0)), &r.instance) < mine;
     let (mut used, mut paces) = (Vec::new(), Vec::new());
     let mut all = state.cell.live_reports(now).chain(state.cell.remote_reports(now));
     let is_first = !all.any(is_before);
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -206,7 +206,7 @@
             has_store: near.has_store,
             is_ready: near.is_ready,
             is_stopping: near.is_stopping,
-            reach: near.reach,
+            reachable_count: near.reachable_count,
             cell_ready: state.near_ready(now) as u32 + u32::from(near.is_ready),
             is_representative,
             has_all_cell_counters: is_representative
