--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -302,7 +302,7 @@
             sequence: self.sequence,
             has_all_counters: extent == ReportDetail::Full,
             reachable_count: is_beat.then_some(self.reachable_count),
-            heard_names: is_beat.then_some(self.reachable_filter),
+            reachable_filter: is_beat.then_some(self.reachable_filter),
             loads,
             endpoint_stats: tallies,
             claims: claims.collect(),
--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -120,7 +120,7 @@
         };
         self.report = Report {
             reachable_count: report.reachable_count.or(before.reachable_count),
-            heard_names: report.heard_names.or(before.heard_names),
+            reachable_filter: report.reachable_filter.or(before.reachable_filter),
             fleet_summary: report.fleet_summary.clone().or(before.fleet_summary),
             representative_addresses: peers,
             ..report
--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -83,7 +83,7 @@
 impl super::peer::Peer {
     /// Whether it has long heard somebody who is not among these.
     fn is_uncovered(&mut self, now: Instant, names: InstanceFilter) -> bool {
-        if self.report.heard_names.unwrap_or_default().is_subset_of(names) {
+        if self.report.reachable_filter.unwrap_or_default().is_subset_of(names) {
             self.wider_since = None;
             return false;
         }
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -69,7 +69,7 @@
     pub reachable_count: Option<u32>,
     /// Their names, likewise.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
-    pub heard_names: Option<super::InstanceFilter>,
+    pub reachable_filter: Option<super::InstanceFilter>,
     /// Requests that endpoints execute for it, and the tokens of prompts that these have not answered
     /// with a first event; none where there are none.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
