--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -232,7 +232,7 @@
         });
         let others = self.peers.values().filter(|p| p.is_live(now, WAITING_TTL)).flat_map(|p| {
             let taste = xxh3_64(p.report.instance.as_bytes());
-            p.report.claims.iter().filter_map(move |claim| {
+            p.report.waiting.iter().filter_map(move |claim| {
                 let waited = Duration::from_millis(claim.waited_ms.into());
                 let arrived = p.heard.checked_sub(waited)?;
                 let objective = Duration::from_millis(claim.objective_ms.into());
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -305,7 +305,7 @@
             reachable_filter: is_beat.then_some(self.reachable_filter),
             loads,
             endpoint_stats: tallies,
-            claims: claims.collect(),
+            waiting: claims.collect(),
             ..Report::default()
         };
         if is_beat {
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -82,7 +82,7 @@
     pub endpoint_stats: Vec<EndpointStats>,
     /// What waits at it, the first in order first.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
-    pub claims: Vec<WaitingRequest>,
+    pub waiting: Vec<WaitingRequest>,
     /// Units admitted in this life, by client account.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub admitted_units: Vec<(AccountId, u64)>,
