--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -30,7 +30,7 @@
     pub remote_instances: RemoteInstances,
     /// Units that they have admitted, as far as the representative has heard in its life, by client account.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
-    pub spent: Vec<(AccountId, u64)>,
+    pub admitted_units: Vec<(AccountId, u64)>,
     /// What of these units was admitted lately. Told by one that has begun to represent its cell.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub recent_units: Vec<(AccountId, Lately)>,
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -173,7 +173,7 @@
         let spent = ReportedCounters {
             own: &report.admitted_units,
             cell: &report.cell_admitted_units,
-            fleet: view.map_or(&[], |view| &view.spent),
+            fleet: view.map_or(&[], |view| &view.admitted_units),
         };
         let evidence = ReportedCounters {
             own: &report.evidence,
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -23,7 +23,7 @@
     let beyond = RemoteInstances { reachable: heard, ready: heard - 1 };
     FleetSummary {
         remote_instances: beyond,
-        spent: spent(units),
+        admitted_units: spent(units),
         is_complete: true,
         ..FleetSummary::default()
     }
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -62,7 +62,7 @@
         let is_full = beat.is_multiple_of(8) || has_begun || now - self.since < 6 * BEAT;
         let quotas = &self.quotas;
         let view = FleetSummary {
-            spent: owned(quotas.far_spent()),
+            admitted_units: owned(quotas.far_spent()),
             recent_units: if has_begun { quotas.far_lately(now) } else { Vec::new() },
             is_complete: is_full,
             ..FleetSummary::default()
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -120,7 +120,7 @@
         told.spent.near.extend(report.admitted_units.iter().cloned());
         told.evidence.near.extend(report.evidence.iter().cloned());
         if let Some(view) = &report.fleet_summary {
-            told.spent.fleet.extend(view.spent.iter().cloned());
+            told.spent.fleet.extend(view.admitted_units.iter().cloned());
             told.evidence.fleet.extend(view.evidence.iter().cloned());
         }
         self.send(&report, &addresses.near).await;
@@ -150,7 +150,7 @@
             report.evidence = changed(state.rollouts.counters(), &told.evidence.near, reach);
             report.fleet_summary = report.is_representative.then(|| FleetSummary {
                 remote_instances: state.beyond(now),
-                spent: changed(quotas.far_spent(), &told.spent.fleet, reach),
+                admitted_units: changed(quotas.far_spent(), &told.spent.fleet, reach),
                 recent_units: told.lately(now, || quotas.far_lately(now)),
                 evidence: changed(state.rollouts.far_counters(), &told.evidence.fleet, reach),
                 is_complete: reach.is_full() || told.has_just_begun(now),
