--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -61,7 +61,7 @@
     }
 
     /// What this instance hears of other cells as its cell's representative.
-    pub fn beyond(&self, now: Instant) -> RemoteInstances {
+    pub fn remote_instances(&self, now: Instant) -> RemoteInstances {
         let mut beyond = RemoteInstances::default();
         for report in self.remote_reports(now).filter(|r| r.is_representative) {
             beyond.reachable += report.reachable_count.unwrap_or(1);
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -37,7 +37,7 @@
 fn a_representative_sums_up_what_the_others_tell() {
     let now = Instant::now();
     let mut me = cell("a", &[]);
-    assert_eq!(me.beyond(now), RemoteInstances::default());
+    assert_eq!(me.remote_instances(now), RemoteInstances::default());
     for (name, reach, ready) in [("m", 12, 12), ("x", 11, 9)] {
         let told = Report {
             is_representative: true,
@@ -49,8 +49,8 @@
     }
     // Another instance that turned to this one for a reason of its own is not a cell.
     me.receive_report(now, report(&mut cell("z", &[]), now), false);
-    assert_eq!(me.beyond(now), RemoteInstances { reachable: 23, ready: 21 });
-    assert_eq!(me.beyond(now + PEER_TTL), RemoteInstances::default());
+    assert_eq!(me.remote_instances(now), RemoteInstances { reachable: 23, ready: 21 });
+    assert_eq!(me.remote_instances(now + PEER_TTL), RemoteInstances::default());
 }
 
 #[test]
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -143,7 +143,8 @@
         match self.group.cell_count {
             0 | 1 => RemoteInstances::default(),
             _ if self.is_representative(now) => {
-                let all = [self.cell.beyond(now), self.cell.reported_remote_instances(now)];
+                let all =
+                    [self.cell.remote_instances(now), self.cell.reported_remote_instances(now)];
                 all.into_iter().max_by_key(|beyond| beyond.reachable).unwrap_or_default()
             }
             _ => self.cell.reported_remote_instances(now),
