--- a/oxbowbend-core/src/cell/layout.rs
+++ b/oxbowbend-core/src/cell/layout.rs
@@ -34,7 +34,7 @@
     /// Which of them this is, from 0.
     pub cell_index: usize,
     /// Services whose endpoints belong to all cells.
-    pub shared: BTreeSet<ServiceId>,
+    pub shared_services: BTreeSet<ServiceId>,
 }
 
 impl CellLayout {
@@ -60,7 +60,7 @@
             endpoints: endpoints_of(mine, cells, endpoints, &shared),
             cell_count: cells,
             cell_index: mine,
-            shared,
+            shared_services: shared,
         }
     }
 }
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -91,7 +91,7 @@
         }
         let all = || members.keys();
         let near = || all().filter(|name| **name == self.me || group.peers.contains(*name));
-        self.cell.set_sharers(near(), all(), group.shared.clone());
+        self.cell.set_sharers(near(), all(), group.shared_services.clone());
         self.cell.set_listed(endpoints.iter().map(Endpoint::key));
         if group.endpoints != self.group.endpoints {
             self.cell.set_endpoints(group.endpoints.iter().cloned());
