--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -180,7 +180,7 @@
             return assignments;
         }
         let free = free(&places);
-        let is_alone = self.heard(now) == 0;
+        let is_alone = self.live_peer_count(now) == 0;
         for candidate in self.candidates(now) {
             let free = free.get(candidate.service).copied().unwrap_or(0);
             if free == 0 || !is_alone && free <= CONTENDED && candidate.is_unheard(now) {
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -272,7 +272,7 @@
     }
 
     /// Other instances of this cell that were heard within [`PEER_TTL`].
-    pub fn heard(&self, now: Instant) -> usize {
+    pub fn live_peer_count(&self, now: Instant) -> usize {
         self.live_peers(now).count()
     }
 
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -145,9 +145,9 @@
         report
     };
     me.receive_report(now, with(report(&mut other, now), 100), true);
-    assert_eq!((me.heard(now), me.remote_reports(now).count()), (1, 0));
+    assert_eq!((me.live_peer_count(now), me.remote_reports(now).count()), (1, 0));
     me.set_peers(|_| false);
-    assert_eq!((me.heard(now), me.remote_reports(now).count()), (0, 1));
+    assert_eq!((me.live_peer_count(now), me.remote_reports(now).count()), (0, 1));
     me.set_peers(|_| true);
     // What it admitted meanwhile was told by those who represented its cell.
     let heard = me.receive_report(now, with(report(&mut other, now), 130), true);
--- a/oxbowbend-gateway/src/audience.rs
+++ b/oxbowbend-gateway/src/audience.rs
@@ -210,7 +210,7 @@
         beat: u64,
         knows_others: bool,
     ) -> Vec<SocketAddr> {
-        let is_alone = self.cell.heard(now) == 0;
+        let is_alone = self.cell.live_peer_count(now) == 0;
         let is_cut_off = is_alone || (self.is_representative(now) && !knows_others);
         let others = self.world.instances().iter();
         let others = others.filter(|(name, _)| !self.group.peers.contains(*name));
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -94,7 +94,7 @@
 
     /// Whether nobody of the cell is heard.
     fn is_alone(&self) -> bool {
-        self.shared.lock().cell.heard(clock::now()) == 0
+        self.shared.lock().cell.live_peer_count(clock::now()) == 0
     }
 
     /// Reports once.
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -135,7 +135,7 @@
 
     /// Other instances of the fleet that are heard.
     pub(crate) fn heard(&self, now: Instant) -> usize {
-        self.cell.heard(now) + self.beyond(now).reachable as usize
+        self.cell.live_peer_count(now) + self.beyond(now).reachable as usize
     }
 
     /// Instances of other cells that are heard.
