--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -103,14 +103,14 @@
         let before = before.or_else(|| self.remote_peers.remove(&report.instance));
         let before = before.filter(|b| b.report.incarnation == report.incarnation);
         if let Some(before) = before.as_ref().filter(|b| b.report.sequence >= report.sequence) {
-            self.map_of(is_near).insert(report.instance, before.clone());
+            self.peers_mut(is_near).insert(report.instance, before.clone());
             return None;
         }
         let mut peer = before.unwrap_or_else(|| Peer::new(now));
         if is_near {
-            self.take_tallies(now, &mut peer, &report);
+            self.apply_endpoint_stats(now, &mut peer, &report);
         }
-        let heard = self.growth(now, &mut peer, &report, is_near);
+        let heard = self.counter_deltas(now, &mut peer, &report, is_near);
         self.hear_of_endpoints(now, &report.endpoint_notices, is_near);
         if !report.is_representative {
             (peer.summed, peer.summed_fleet) = (None, None);
@@ -120,18 +120,18 @@
             peer.summed_fleet = Some(now);
         }
         peer.take(now, report);
-        self.map_of(is_near).insert(peer.report.instance.clone(), peer);
+        self.peers_mut(is_near).insert(peer.report.instance.clone(), peer);
         Some(heard)
     }
 
-    fn map_of(&mut self, is_near: bool) -> &mut HashMap<InstanceId, Peer> {
+    fn peers_mut(&mut self, is_near: bool) -> &mut HashMap<InstanceId, Peer> {
         match is_near {
             true => &mut self.peers,
             false => &mut self.remote_peers,
         }
     }
 
-    fn take_tallies(&mut self, now: Instant, peer: &mut Peer, report: &Report) {
+    fn apply_endpoint_stats(&mut self, now: Instant, peer: &mut Peer, report: &Report) {
         let is_first = !peer.has_outcome_baseline;
         peer.has_outcome_baseline |= report.has_all_counters;
         for tally in &report.endpoint_stats {
@@ -150,17 +150,17 @@
     }
 
     /// What has been admitted since the last report. Counters go on from the first report that tells all of them.
-    fn growth(
+    fn counter_deltas(
         &mut self,
         now: Instant,
         peer: &mut Peer,
         report: &Report,
         is_near: bool,
     ) -> ReportDeltas {
-        let lately = self.begin_sums(now, peer, report, is_near);
+        let lately = self.restart_totals(now, peer, report, is_near);
         let counting = DeltaContext {
             is_same_cell: is_near,
-            is_totals_source: self.is_teller(now, report, is_near),
+            is_totals_source: self.is_totals_source(now, report, is_near),
             is_first_own: !peer.has_own_baseline,
             is_first_cell: !peer.has_cell_baseline,
             is_first_fleet: !peer.has_fleet_baseline,
@@ -182,7 +182,7 @@
         };
         let mut spent = counting.deltas(&mut peer.spent, spent);
         if counting.is_totals_source {
-            self.note_sums(now, report, is_near);
+            self.record_totals(now, report, is_near);
             spent.other_cells.extend(lately);
         }
         ReportDeltas { spent, evidence: counting.deltas(&mut peer.evidence, evidence) }
@@ -192,7 +192,7 @@
     /// was admitted since that one's last word is returned, as far as it is told. Going on from what this one had
     /// told when it last represented its cell counted all that others have told meanwhile again: with a stop
     /// of 74 instances in turn 2 to 4 times what was used.
-    fn begin_sums(
+    fn restart_totals(
         &self,
         now: Instant,
         peer: &mut Peer,
@@ -210,7 +210,7 @@
             peer.reset_fleet_baseline();
             // Until it stepped down, this instance heard the other cells itself.
             let last = self.fleet_totals_at.max(self.cell_totals_at.values().copied().max());
-            return admitted(&view.recent_units, last.map(since));
+            return units_admitted_within(&view.recent_units, last.map(since));
         }
         if !report.is_representative || is_going_on(peer.summed) {
             return Vec::new();
@@ -218,11 +218,11 @@
         peer.reset_cell_baseline();
         // Until it stepped in, this instance was told of all other cells.
         let last = self.cell_totals_at.get(&report.cell_index).copied().max(self.fleet_totals_at);
-        admitted(&report.cell_recent_units, last.map(since))
+        units_admitted_within(&report.cell_recent_units, last.map(since))
     }
 
     /// Notes that sums were counted.
-    fn note_sums(&mut self, now: Instant, report: &Report, is_near: bool) {
+    fn record_totals(&mut self, now: Instant, report: &Report, is_near: bool) {
         if !is_near {
             self.cell_totals_at.insert(report.cell_index, now);
         } else if report.fleet_summary.is_some() {
@@ -232,7 +232,7 @@
 
     /// Whether the sums that a report tells are counted here: a representative hears of the other cells from theirs,
     /// and all others from their own one. While a cell has two, both tell the same.
-    fn is_teller(&self, now: Instant, report: &Report, is_near: bool) -> bool {
+    fn is_totals_source(&self, now: Instant, report: &Report, is_near: bool) -> bool {
         let first = self.representative(now).map(|r| &r.instance);
         let is_first = first.is_none_or(|first| *first >= report.instance);
         report.is_representative && is_near != self.is_representative && (!is_near || is_first)
@@ -248,14 +248,14 @@
         let (peers, others) =
             (std::mem::take(&mut self.peers), std::mem::take(&mut self.remote_peers));
         for (name, peer) in peers {
-            self.map_of(is_near(&name)).insert(name, peer);
+            self.peers_mut(is_near(&name)).insert(name, peer);
         }
         for (name, mut peer) in others {
             let is_near = is_near(&name);
             if is_near {
                 peer.reset_own_baseline();
             }
-            self.map_of(is_near).insert(name, peer);
+            self.peers_mut(is_near).insert(name, peer);
         }
     }
 
@@ -297,7 +297,10 @@
 }
 
 /// Units that were admitted within a time, of what was told; none if it is not known since when.
-fn admitted(lately: &[(AccountId, Lately)], time: Option<Duration>) -> Vec<(AccountId, u64)> {
+fn units_admitted_within(
+    lately: &[(AccountId, Lately)],
+    time: Option<Duration>,
+) -> Vec<(AccountId, u64)> {
     let Some(time) = time else { return Vec::new() };
     let units = |(account, slots): &(AccountId, Lately)| {
         (account.clone(), admitted_within(slots, time) as u64)
