--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -47,12 +47,12 @@
     pub(super) has_cell_baseline: bool,
     pub(super) has_fleet_baseline: bool,
     /// When it last told of its cell as its representative, and its cell of all others, since it has been that.
-    pub(super) summed: Option<Instant>,
-    pub(super) summed_fleet: Option<Instant>,
+    pub(super) cell_totals_at: Option<Instant>,
+    pub(super) fleet_totals_at: Option<Instant>,
     /// When it last told of other cells.
-    pub(super) viewed: Option<Instant>,
+    pub(super) fleet_summary_at: Option<Instant>,
     /// Since when it has heard more of the cell than this instance.
-    pub(super) wider_since: Option<Instant>,
+    pub(super) uncovered_since: Option<Instant>,
     /// The paces told last.
     pub(super) paces: HashMap<EndpointKey, pace::Pace>,
 }
@@ -91,10 +91,10 @@
             has_own_baseline: false,
             has_cell_baseline: false,
             has_fleet_baseline: false,
-            summed: None,
-            summed_fleet: None,
-            viewed: None,
-            wider_since: None,
+            cell_totals_at: None,
+            fleet_totals_at: None,
+            fleet_summary_at: None,
+            uncovered_since: None,
             paces: HashMap::new(),
         }
     }
@@ -105,14 +105,16 @@
         now: Instant,
         ttl: Duration,
     ) -> Option<RemoteInstances> {
-        let is_live = self.viewed.is_some_and(|at| now.saturating_duration_since(at) < ttl);
+        let is_live =
+            self.fleet_summary_at.is_some_and(|at| now.saturating_duration_since(at) < ttl);
         self.report.fleet_summary.as_ref().filter(|_| is_live).map(|view| view.remote_instances)
     }
 
     /// Takes in a report. What it leaves out stays as it was told before.
     pub(super) fn take(&mut self, now: Instant, report: Report) {
         let before = std::mem::take(&mut self.report);
-        self.viewed = if report.fleet_summary.is_some() { Some(now) } else { self.viewed };
+        self.fleet_summary_at =
+            if report.fleet_summary.is_some() { Some(now) } else { self.fleet_summary_at };
         let peers = if report.representative_addresses.is_empty() {
             before.representative_addresses
         } else {
--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -84,10 +84,10 @@
     /// Whether it has long heard somebody who is not among these.
     fn is_uncovered(&mut self, now: Instant, names: InstanceFilter) -> bool {
         if self.report.reachable_filter.unwrap_or_default().is_subset_of(names) {
-            self.wider_since = None;
+            self.uncovered_since = None;
             return false;
         }
-        let since = *self.wider_since.get_or_insert(now);
+        let since = *self.uncovered_since.get_or_insert(now);
         now.saturating_duration_since(since) >= UNCOVERED_DELAY
     }
 }
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -113,11 +113,11 @@
         let heard = self.counter_deltas(now, &mut peer, &report, is_near);
         self.hear_of_endpoints(now, &report.endpoint_notices, is_near);
         if !report.is_representative {
-            (peer.summed, peer.summed_fleet) = (None, None);
+            (peer.cell_totals_at, peer.fleet_totals_at) = (None, None);
         } else if !is_near {
-            peer.summed = Some(now);
+            peer.cell_totals_at = Some(now);
         } else if report.fleet_summary.is_some() {
-            peer.summed_fleet = Some(now);
+            peer.fleet_totals_at = Some(now);
         }
         peer.take(now, report);
         self.peers_mut(is_near).insert(peer.report.instance.clone(), peer);
@@ -203,7 +203,7 @@
         let is_going_on = |at: Option<Instant>| at.is_some_and(|at| since(at) < TOTALS_TIMEOUT);
         if is_near {
             let Some(view) =
-                report.fleet_summary.as_ref().filter(|_| !is_going_on(peer.summed_fleet))
+                report.fleet_summary.as_ref().filter(|_| !is_going_on(peer.fleet_totals_at))
             else {
                 return Vec::new();
             };
@@ -212,7 +212,7 @@
             let last = self.fleet_totals_at.max(self.cell_totals_at.values().copied().max());
             return units_admitted_within(&view.recent_units, last.map(since));
         }
-        if !report.is_representative || is_going_on(peer.summed) {
+        if !report.is_representative || is_going_on(peer.cell_totals_at) {
             return Vec::new();
         }
         peer.reset_cell_baseline();
