--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -74,7 +74,7 @@
     /// How long the store may wait for a change.
     pub wait: Duration,
     /// How long the answer may take, the wait included.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// Why a watch was given up.
@@ -164,7 +164,7 @@
         };
         self.pending = Some(PendingWatch { began: now, wait });
         self.differs_since = None;
-        WatchParams { wait, limit: wait + ANSWER[self.failures.min(ANSWER.len() - 1)] }
+        WatchParams { wait, timeout: wait + ANSWER[self.failures.min(ANSWER.len() - 1)] }
     }
 
     /// Notes an answer of the store.
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -167,7 +167,7 @@
             return;
         }
         let is_lost = is_out && matches!(outage.silence, Silence::Calls | Silence::Both);
-        let (wait, limit) = (millis(call.wait), millis(call.limit));
+        let (wait, limit) = (millis(call.wait), millis(call.timeout));
         let after = follower.version;
         follower.watch = Some(Watch { began: now, wait, limit, after, is_lost });
     }
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -94,7 +94,7 @@
     let mut limits = Vec::new();
     for is_away in [false, true, true, true] {
         let call = subscription.start_watch(now, role);
-        limits.push((call.limit - call.wait).as_millis());
+        limits.push((call.timeout - call.wait).as_millis());
         assert_eq!(subscription.record_failure(WatchFailure::Unanswered), is_away);
     }
     assert_eq!(limits, [500, 1000, 1500, 1500]);
