--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -135,7 +135,7 @@
 
 impl Subscription {
     /// Notes that everything was read anew.
-    pub fn listed(&mut self, now: Instant) {
+    pub fn reset(&mut self, now: Instant) {
         *self = Subscription { verified: Some(now), ..Subscription::default() };
     }
 
@@ -149,7 +149,7 @@
     /// let now = Instant::now();
     /// let role = Role::new(0, Duration::from_secs(2));
     /// let mut subscription = Subscription::default();
-    /// subscription.listed(now);
+    /// subscription.reset(now);
     /// assert_eq!(subscription.start_watch(now, role).wait, Duration::from_millis(1200));
     /// // An unanswered watch says nothing of the store yet; one that did not wait does.
     /// assert!(!subscription.record_failure(WatchFailure::Unanswered));
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -82,7 +82,7 @@
         let zero = Instant::now();
         let mut followers: Vec<_> = (0..INSTANCES).map(|_| Follower::default()).collect();
         followers.iter_mut().for_each(|f| {
-            f.subscription.listed(zero);
+            f.subscription.reset(zero);
             f.has_store = true;
         });
         let dies = dies.map(|after| outage.begins + after);
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -16,7 +16,7 @@
 
 fn listed(now: Instant, rank: usize) -> (Subscription, Role) {
     let mut subscription = Subscription::default();
-    subscription.listed(now);
+    subscription.reset(now);
     (subscription, Role::new(rank, IN_FORCE))
 }
 
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -19,8 +19,8 @@
 impl Subscriptions {
     /// Notes that everything was read anew.
     pub(crate) fn listed(&mut self, now: Instant) {
-        self.config.listed(now);
-        self.endpoints.listed(now);
+        self.config.reset(now);
+        self.endpoints.reset(now);
     }
 
     pub(crate) fn get(&mut self, part: Part) -> &mut Subscription {
