--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -168,7 +168,7 @@
     }
 
     /// Notes an answer of the store.
-    pub fn answered(&mut self, now: Instant) {
+    pub fn record_answer(&mut self, now: Instant) {
         self.pending = None;
         self.verified = Some(now);
         self.failures = 0;
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -199,7 +199,7 @@
         }
         follower.version = follower.version.max(stored);
         follower.has_store = true;
-        follower.subscription.answered(at);
+        follower.subscription.record_answer(at);
         follower.watch = None;
     }
 
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -68,7 +68,7 @@
             last = at;
         }
         subscription.start_watch(at, role);
-        subscription.answered(at);
+        subscription.record_answer(at);
         subscription.start_watch(at, role);
     }
     assert!(gaps.len() >= 4, "{gaps:?}");
--- a/oxbowbend-gateway/src/follow.rs
+++ b/oxbowbend-gateway/src/follow.rs
@@ -257,7 +257,7 @@
     let mut state = shared.lock();
     match part {
         None => state.subscriptions.listed(now),
-        Some(part) => state.subscriptions.get(part).answered(now),
+        Some(part) => state.subscriptions.get(part).record_answer(now),
     }
     if part != Some(Part::Config) {
         state.sources.answered(now);
