--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -23,21 +23,21 @@
 /// latest, where that time is 2 s.
 const VERIFY_SHARE: f64 = 0.6;
 /// Time for which a watch waits that others need not rely on: the longest that the platform allows.
-const LONG: Duration = Duration::from_secs(30);
+const LONG_POLL: Duration = Duration::from_secs(30);
 /// Time that an answer may take beside the wait, for each attempt in a row. The store answers in 4 ms, and up to
 /// a hundred times slower when it is slow; the last one is what it is given for good.
-const ANSWER: [Duration; 3] =
+const ANSWER_TIMEOUTS: [Duration; 3] =
     [Duration::from_millis(500), Duration::from_millis(1000), Duration::from_millis(1500)];
 /// Time after which the next instance by name verifies what the first one should have, and that of each further
 /// one after it. Reports come every 130 ms.
-const STEP_IN: Duration = Duration::from_millis(500);
-const STEP: Duration = Duration::from_millis(100);
+const TAKEOVER_DELAY: Duration = Duration::from_millis(500);
+const TAKEOVER_STEP: Duration = Duration::from_millis(100);
 /// Time for which another instance must have known something newer before a watch is taken for dead. Changes
 /// reach all instances within some 10 ms.
-const OVERTAKEN: Duration = Duration::from_millis(300);
+const MISMATCH_DELAY: Duration = Duration::from_millis(300);
 /// First and longest time between two watches given up because another instance knows something else. What two
 /// instances believe may differ for 1.7 s after an outage although both are up to date.
-const TOLERATED: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
+const MISMATCH_PAUSES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
 
 /// What an instance's watches are for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -61,9 +61,8 @@
     fn max_age(&self) -> Duration {
         match self.rank {
             0 => self.verify_interval,
-            rank => {
-                (self.verify_interval + STEP_IN + STEP * (rank - 1)).min(self.verify_interval * 2)
-            }
+            rank => (self.verify_interval + TAKEOVER_DELAY + TAKEOVER_STEP * (rank - 1))
+                .min(self.verify_interval * 2),
         }
     }
 }
@@ -97,7 +96,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct PendingWatch {
-    began: Instant,
+    started_at: Instant,
     wait: Duration,
 }
 
@@ -106,17 +105,17 @@
 pub struct Subscription {
     pending: Option<PendingWatch>,
     /// When the store last told this instance all there was.
-    verified: Option<Instant>,
+    verified_at: Option<Instant>,
     /// When it last told another one that knows the same.
-    vouched: Option<Instant>,
+    peer_verified_at: Option<Instant>,
     /// Attempts in a row without an answer.
     failures: usize,
     /// Whether the next watch must not wait.
     is_probe_due: bool,
     /// Since when another instance has known something newer.
-    differs_since: Option<Instant>,
+    newer_elsewhere_since: Option<Instant>,
     /// For how long no watch is given up for that again.
-    tolerance: Option<MismatchBackoff>,
+    mismatch_backoff: Option<MismatchBackoff>,
 }
 
 /// A difference to another instance that outlasts an answer of the store is tolerated longer each time.
@@ -127,16 +126,16 @@
 }
 
 impl MismatchBackoff {
-    fn after(now: Instant, last: Option<MismatchBackoff>) -> MismatchBackoff {
-        let time = last.map_or(TOLERATED.0, |t| t.next);
-        MismatchBackoff { until: now + time, next: (time * 2).min(TOLERATED.1) }
+    fn following(now: Instant, last: Option<MismatchBackoff>) -> MismatchBackoff {
+        let time = last.map_or(MISMATCH_PAUSES.0, |t| t.next);
+        MismatchBackoff { until: now + time, next: (time * 2).min(MISMATCH_PAUSES.1) }
     }
 }
 
 impl Subscription {
     /// Notes that everything was read anew.
     pub fn reset(&mut self, now: Instant) {
-        *self = Subscription { verified: Some(now), ..Subscription::default() };
+        *self = Subscription { verified_at: Some(now), ..Subscription::default() };
     }
 
     /// Begins a watch.
@@ -160,20 +159,23 @@
         let wait = match role.rank {
             _ if self.is_probe_due => Duration::ZERO,
             0 => role.verify_interval.saturating_sub(self.own_age(now).unwrap_or(Duration::ZERO)),
-            _ => LONG,
+            _ => LONG_POLL,
         };
-        self.pending = Some(PendingWatch { began: now, wait });
-        self.differs_since = None;
-        WatchParams { wait, timeout: wait + ANSWER[self.failures.min(ANSWER.len() - 1)] }
+        self.pending = Some(PendingWatch { started_at: now, wait });
+        self.newer_elsewhere_since = None;
+        WatchParams {
+            wait,
+            timeout: wait + ANSWER_TIMEOUTS[self.failures.min(ANSWER_TIMEOUTS.len() - 1)],
+        }
     }
 
     /// Notes an answer of the store.
     pub fn record_answer(&mut self, now: Instant) {
         self.pending = None;
-        self.verified = Some(now);
+        self.verified_at = Some(now);
         self.failures = 0;
         self.is_probe_due = false;
-        self.differs_since = None;
+        self.newer_elsewhere_since = None;
     }
 
     /// Notes that a watch has failed; returns whether that means that the store is away.
@@ -188,11 +190,11 @@
     /// nothing newer.
     pub fn heard(&mut self, now: Instant, as_of: Instant, is_same: bool) {
         if is_same {
-            self.vouched = self.vouched.max(Some(as_of));
-            self.differs_since = None;
-            self.tolerance = None;
-        } else if Some(as_of) > self.verified.max(self.vouched) {
-            self.differs_since.get_or_insert(now);
+            self.peer_verified_at = self.peer_verified_at.max(Some(as_of));
+            self.newer_elsewhere_since = None;
+            self.mismatch_backoff = None;
+        } else if Some(as_of) > self.verified_at.max(self.peer_verified_at) {
+            self.newer_elsewhere_since.get_or_insert(now);
         }
     }
 
@@ -203,8 +205,8 @@
         if pending.wait <= role.verify_interval {
             return None;
         }
-        let given_up = if self.is_overtaken(now, pending) {
-            self.tolerance = Some(MismatchBackoff::after(now, self.tolerance));
+        let given_up = if self.has_missed_change(now, pending) {
+            self.mismatch_backoff = Some(MismatchBackoff::following(now, self.mismatch_backoff));
             CancelReason::Overtaken
         } else if self.age(now).is_none_or(|age| age >= role.max_age()) {
             CancelReason::Unverified
@@ -216,19 +218,21 @@
         Some(given_up)
     }
 
-    fn is_overtaken(&self, now: Instant, pending: PendingWatch) -> bool {
-        let is_late =
-            |since: Instant| since >= pending.began && now.duration_since(since) >= OVERTAKEN;
-        self.differs_since.is_some_and(is_late) && self.tolerance.is_none_or(|t| now >= t.until)
+    fn has_missed_change(&self, now: Instant, pending: PendingWatch) -> bool {
+        let is_late = |since: Instant| {
+            since >= pending.started_at && now.duration_since(since) >= MISMATCH_DELAY
+        };
+        self.newer_elsewhere_since.is_some_and(is_late)
+            && self.mismatch_backoff.is_none_or(|t| now >= t.until)
     }
 
     /// Time since the store told this instance that there was nothing newer, to tell others.
     pub fn own_age(&self, now: Instant) -> Option<Duration> {
-        self.verified.map(|at| now.saturating_duration_since(at))
+        self.verified_at.map(|at| now.saturating_duration_since(at))
     }
 
     /// Time since the store told this instance, or one that knows the same, that there was nothing newer.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.verified.max(self.vouched).map(|at| now.saturating_duration_since(at))
+        self.verified_at.max(self.peer_verified_at).map(|at| now.saturating_duration_since(at))
     }
 }
