--- a/oxbowbend-core/src/suspicion.rs
+++ b/oxbowbend-core/src/suspicion.rs
@@ -41,9 +41,9 @@
 ///
 /// let suspicion_delay = suspicion::suspicion_delay(Duration::from_millis(100), Duration::from_millis(300));
 /// assert_eq!(suspicion_delay, Duration::from_millis(400));
-/// assert_eq!(suspicion::judge(suspicion_delay, Duration::from_secs(1), true), TimeoutAction::Retry);
+/// assert_eq!(suspicion::timeout_action(suspicion_delay, Duration::from_secs(1), true), TimeoutAction::Retry);
 /// ```
-pub fn judge(due: Duration, limit: Duration, is_repeatable: bool) -> TimeoutAction {
+pub fn timeout_action(due: Duration, limit: Duration, is_repeatable: bool) -> TimeoutAction {
     if due >= limit {
         TimeoutAction::Fail
     } else if is_repeatable {
--- a/oxbowbend-core/tests/suspicion.rs
+++ b/oxbowbend-core/tests/suspicion.rs
@@ -21,6 +21,6 @@
     ] {
         let due = suspicion::suspicion_delay(expected * MS, objective * MS);
         let case = format!("{expected} {objective} {left} {may_repeat}");
-        assert_eq!(suspicion::judge(due, left * MS, may_repeat), judged, "{case}");
+        assert_eq!(suspicion::timeout_action(due, left * MS, may_repeat), judged, "{case}");
     }
 }
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -267,7 +267,7 @@
         if let Ok(begun) = future::timeout(due.min(limit), &mut beginning).await {
             return begun;
         }
-        match suspicion::judge(due, limit, job.is_repeatable()) {
+        match suspicion::timeout_action(due, limit, job.is_repeatable()) {
             TimeoutAction::Fail => return Err(Failure::Timeout),
             TimeoutAction::Retry => return Err(Failure::Hanging),
             TimeoutAction::MarkSuspect => {
