--- a/oxbowbend-core/src/membership.rs
+++ b/oxbowbend-core/src/membership.rs
@@ -95,7 +95,7 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Membership {
-    me: ids::InstanceId,
+    local_id: ids::InstanceId,
     list: InstanceList,
     suspects: BTreeSet<ids::InstanceId>,
 }
@@ -103,7 +103,7 @@
 impl Membership {
     /// Creates the view of instance `me`, which knows of nobody yet.
     pub fn new(me: ids::InstanceId) -> Membership {
-        Membership { me, list: InstanceList::default(), suspects: BTreeSet::new() }
+        Membership { local_id: me, list: InstanceList::default(), suspects: BTreeSet::new() }
     }
 
     /// Takes over `list` if it is newer than the one known; says whether it was.
@@ -128,7 +128,7 @@
 
     /// Marks `id` as not answering.
     pub fn suspect(&mut self, id: &ids::InstanceId) -> bool {
-        *id != self.me && self.suspects.insert(id.clone())
+        *id != self.local_id && self.suspects.insert(id.clone())
     }
 
     /// Marks `id` as answering again; says whether it had been suspected.
@@ -154,7 +154,7 @@
 
     /// Every listed instance other than this one.
     pub fn others(&self) -> impl Iterator<Item = &ids::InstanceId> {
-        self.list.members.keys().filter(move |id| **id != self.me)
+        self.list.members.keys().filter(move |id| **id != self.local_id)
     }
 
     /// Instances that may own a share, in the given zones; an empty set means every zone.
