--- a/oxbowbend-core/src/cell/layout.rs
+++ b/oxbowbend-core/src/cell/layout.rs
@@ -47,17 +47,17 @@
     ) -> CellLayout {
         let cells = members.len().div_ceil(size.max(1)).max(1);
         let mut cell_of = BTreeMap::new();
-        for names in by_zone(members).values() {
+        for names in members_by_zone(members).values() {
             for (at, name) in names.iter().enumerate() {
                 cell_of.insert(*name, at * cells / names.len());
             }
         }
         let mine = cell_of.get(me).copied().unwrap_or(0);
         let peers = cell_of.iter().filter(|(name, cell)| **cell == mine && **name != me);
-        let shared = shared(cells, endpoints);
+        let shared = find_shared_services(cells, endpoints);
         CellLayout {
             peers: peers.map(|(name, _)| (*name).clone()).collect(),
-            endpoints: endpoints_of(mine, cells, endpoints, &shared),
+            endpoints: endpoints_of_cell(mine, cells, endpoints, &shared),
             cell_count: cells,
             cell_index: mine,
             shared_services: shared,
@@ -66,7 +66,7 @@
 }
 
 /// Services with too few endpoints to be dealt out.
-fn shared(cells: usize, endpoints: &[Endpoint]) -> BTreeSet<ServiceId> {
+fn find_shared_services(cells: usize, endpoints: &[Endpoint]) -> BTreeSet<ServiceId> {
     let mut services: BTreeMap<&ServiceId, usize> = BTreeMap::new();
     for endpoint in endpoints {
         *services.entry(&endpoint.service).or_default() += 1;
@@ -75,7 +75,7 @@
     few.map(|(service, _)| service.clone()).collect()
 }
 
-fn endpoints_of(
+fn endpoints_of_cell(
     mine: usize,
     cells: usize,
     endpoints: &[Endpoint],
@@ -92,7 +92,10 @@
             continue;
         }
         own.extend(
-            deal(cells, zone, part).into_iter().filter(|(_, c)| *c == mine).map(|(e, _)| e.clone()),
+            distribute(cells, zone, part)
+                .into_iter()
+                .filter(|(_, c)| *c == mine)
+                .map(|(e, _)| e.clone()),
         );
     }
     own
@@ -101,7 +104,7 @@
 /// Deals endpoints out to cells in equal parts. Each endpoint ranks the cells by a hash and goes to the
 /// first one that has room, so that one that comes or goes moves few others: what runs at an endpoint
 /// that changes its cell is not known to the new one.
-fn deal<'a>(
+fn distribute<'a>(
     cells: usize,
     zone: &ZoneId,
     mut endpoints: Vec<&'a Endpoint>,
@@ -109,26 +112,26 @@
     let (each, more) = (endpoints.len() / cells, endpoints.len() % cells);
     // Cells that get one more, other ones in each zone.
     let mut order: Vec<usize> = (0..cells).collect();
-    order.sort_by_key(|cell| hash(zone, *cell));
+    order.sort_by_key(|cell| cell_hash(zone, *cell));
     let mut room = vec![each; cells];
     order.iter().take(more).for_each(|cell| room[*cell] += 1);
     endpoints.sort_by_key(|e| xxh3_64(e.id.as_bytes()));
     let mut dealt = Vec::with_capacity(endpoints.len());
     for endpoint in endpoints {
         let open = (0..cells).filter(|cell| room[*cell] > 0);
-        let Some(cell) = open.min_by_key(|cell| hash(&endpoint.id, *cell)) else { continue };
+        let Some(cell) = open.min_by_key(|cell| cell_hash(&endpoint.id, *cell)) else { continue };
         room[cell] -= 1;
         dealt.push((endpoint, cell));
     }
     dealt
 }
 
-fn hash(name: &str, cell: usize) -> u64 {
+fn cell_hash(name: &str, cell: usize) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), cell as u64)
 }
 
 /// Members by availability zone, each ordered by a hash.
-fn by_zone(members: &BTreeMap<InstanceId, ZoneId>) -> BTreeMap<&ZoneId, Vec<&InstanceId>> {
+fn members_by_zone(members: &BTreeMap<InstanceId, ZoneId>) -> BTreeMap<&ZoneId, Vec<&InstanceId>> {
     let mut zones: BTreeMap<_, Vec<_>> = BTreeMap::new();
     for (name, zone) in members {
         zones.entry(zone).or_default().push(name);
