--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReportDeltas {
     /// Units of client accounts that were admitted.
-    pub spent: CounterDeltas<AccountId>,
+    pub admitted_units: CounterDeltas<AccountId>,
     /// Answers of versions that are rolled out.
     pub evidence: CounterDeltas<EvidenceKey>,
 }
@@ -185,7 +185,10 @@
             self.record_totals(now, report, is_near);
             spent.other_cells.extend(lately);
         }
-        ReportDeltas { spent, evidence: counting.deltas(&mut peer.evidence, evidence) }
+        ReportDeltas {
+            admitted_units: spent,
+            evidence: counting.deltas(&mut peer.evidence, evidence),
+        }
     }
 
     /// Whether a report begins to tell sums that another one has told before: then the counters start anew, and what
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -193,8 +193,9 @@
         report.admitted_units = vec![("acc".into(), units)];
         report
     };
-    let drawn =
-        |heard: Option<ReportDeltas>| heard.expect("news").spent.own_cell.first().map(|(_, u)| *u);
+    let drawn = |heard: Option<ReportDeltas>| {
+        heard.expect("news").admitted_units.own_cell.first().map(|(_, u)| *u)
+    };
     assert_eq!(
         drawn(b.receive_report(now, with(a.report(now, ReportDetail::Full), 1000), true)),
         Some(0)
@@ -215,7 +216,7 @@
     let mut full = a.report(now, ReportDetail::Full);
     full.admitted_units = vec![("acc".into(), 1000)];
     let drawn = b.receive_report(now, full, true).expect("news");
-    assert_eq!(drawn.spent.own_cell[0].1, 0);
+    assert_eq!(drawn.admitted_units.own_cell[0].1, 0);
     b.assign(now);
     assert_eq!(b.take_ejections(), []);
 }
@@ -277,7 +278,7 @@
         report.is_representative = speaks;
         report.cell_admitted_units = vec![("acc".into(), cell_spent)];
         let news = b.receive_report(now, report, false).expect("news");
-        news.spent.other_cells.first().map_or(0, |(_, units)| *units)
+        news.admitted_units.other_cells.first().map_or(0, |(_, units)| *units)
     };
     assert_eq!(told(true, false, 1000), 0, "known from the start on");
     assert_eq!(told(true, false, 1100), 0, "another one speaks");
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -60,10 +60,10 @@
     let heard = me.receive_report(now, as_representative(&mut first, now, view(1000, 283)), true);
     // What was admitted before it was heard is not of now.
     let growth = CounterDeltas { own_cell: vec![], other_cells: spent(0) };
-    assert_eq!(heard.expect("news").spent, growth);
+    assert_eq!(heard.expect("news").admitted_units, growth);
     assert_eq!(me.reported_remote_instances(now), RemoteInstances { reachable: 283, ready: 282 });
     let heard = me.receive_report(now, as_representative(&mut first, now, view(1250, 283)), true);
-    assert_eq!(heard.expect("news").spent.other_cells, spent(250));
+    assert_eq!(heard.expect("news").admitted_units.other_cells, spent(250));
     // A report that leaves it out changes nothing.
     me.receive_report(now, Report { is_representative: true, ..report(&mut first, now) }, true);
     assert_eq!(me.reported_remote_instances(now).reachable, 283);
@@ -85,18 +85,21 @@
     alone.set_representative(true);
     alone.receive_report(now, far_report(100), false);
     assert_eq!(
-        alone.receive_report(now, far_report(250), false).expect("news").spent.other_cells,
+        alone.receive_report(now, far_report(250), false).expect("news").admitted_units.other_cells,
         spent(150)
     );
     let mut me = cell("c", &[]);
     me.receive_report(now, far_report(300), false);
     me.receive_report(now, as_representative(&mut first, now, view(1000, 12)), true);
-    assert_eq!(me.receive_report(now, far_report(450), false).expect("news").spent.other_cells, []);
+    assert_eq!(
+        me.receive_report(now, far_report(450), false).expect("news").admitted_units.other_cells,
+        []
+    );
     // Without one, what it is told itself counts again, and only what is new.
     let later = now + PEER_TTL;
     me.set_representative(true);
     assert_eq!(
-        me.receive_report(later, far_report(470), false).expect("news").spent.other_cells,
+        me.receive_report(later, far_report(470), false).expect("news").admitted_units.other_cells,
         spent(20)
     );
 }
@@ -108,9 +111,9 @@
     me.receive_report(now, as_representative(&mut first, now, view(1000, 283)), true);
     me.receive_report(now, as_representative(&mut second, now, view(600, 283)), true);
     let heard = me.receive_report(now, as_representative(&mut first, now, view(1100, 283)), true);
-    assert_eq!(heard.expect("news").spent.other_cells, spent(100));
+    assert_eq!(heard.expect("news").admitted_units.other_cells, spent(100));
     let heard = me.receive_report(now, as_representative(&mut second, now, view(700, 283)), true);
-    assert_eq!(heard.expect("news").spent.other_cells, []);
+    assert_eq!(heard.expect("news").admitted_units.other_cells, []);
     // One that has just stepped in knows of nobody yet.
     let heard = view(700, 1);
     me.receive_report(now, as_representative(&mut second, now, heard), true);
@@ -119,7 +122,7 @@
     let later = now + PEER_TTL;
     let heard =
         me.receive_report(later, as_representative(&mut second, later, view(900, 271)), true);
-    assert_eq!(heard.expect("news").spent.other_cells, spent(200));
+    assert_eq!(heard.expect("news").admitted_units.other_cells, spent(200));
     assert_eq!(me.reported_remote_instances(later).reachable, 271);
 }
 
@@ -151,7 +154,7 @@
     me.set_peers(|_| true);
     // What it admitted meanwhile was told by those who represented its cell.
     let heard = me.receive_report(now, with(report(&mut other, now), 130), true);
-    assert_eq!(heard.expect("news").spent.own_cell, spent(0));
+    assert_eq!(heard.expect("news").admitted_units.own_cell, spent(0));
     let heard = me.receive_report(now, with(report(&mut other, now), 150), true);
-    assert_eq!(heard.expect("news").spent.own_cell, spent(20));
+    assert_eq!(heard.expect("news").admitted_units.own_cell, spent(20));
 }
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -96,10 +96,10 @@
                 self.quotas.restore_told(now, account, window);
             }
         }
-        for (account, units) in heard.spent.own_cell {
+        for (account, units) in heard.admitted_units.own_cell {
             self.quotas.draw(now, &account, units as f64, true);
         }
-        for (account, units) in heard.spent.other_cells {
+        for (account, units) in heard.admitted_units.other_cells {
             self.quotas.draw(now, &account, units as f64, false);
         }
     }
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -362,8 +362,8 @@
                 state.admission.quotas.restore_told(now, account, window);
             }
         }
-        state.draw(now, heard.spent.own_cell, true);
-        state.draw(now, heard.spent.other_cells, false);
+        state.draw(now, heard.admitted_units.own_cell, true);
+        state.draw(now, heard.admitted_units.other_cells, false);
         for (key, n) in heard.evidence.own_cell {
             state.rollouts.draw(now, key, n, true);
         }
