--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -234,7 +234,7 @@
             let taste = xxh3_64(p.report.instance.as_bytes());
             p.report.waiting.iter().filter_map(move |claim| {
                 let waited = Duration::from_millis(claim.waited_ms.into());
-                let arrived = p.heard.checked_sub(waited)?;
+                let arrived = p.last_heard.checked_sub(waited)?;
                 let objective = Duration::from_millis(claim.objective_ms.into());
                 let due = arrived + objective;
                 Some(Candidate {
--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) report: Report,
-    pub(super) heard: Instant,
+    pub(super) last_heard: Instant,
     /// When it was heard first in this life.
-    pub(super) since: Instant,
+    pub(super) first_heard: Instant,
     /// Good and bad answers told so far. Reports leave endpoints out that were not used lately.
     pub(super) outcomes: HashMap<EndpointKey, (u64, u64)>,
     /// Whether a full report was heard, which the counters go on from.
@@ -82,8 +82,8 @@
     pub(super) fn new(now: Instant) -> Peer {
         Peer {
             report: Report::default(),
-            heard: now,
-            since: now,
+            last_heard: now,
+            first_heard: now,
             outcomes: HashMap::new(),
             has_outcome_baseline: false,
             spent: CounterBaselines::default(),
@@ -127,11 +127,11 @@
             representative_addresses: peers,
             ..report
         };
-        self.heard = now;
+        self.last_heard = now;
     }
 
     pub(super) fn is_live(&self, now: Instant, ttl: Duration) -> bool {
-        now.saturating_duration_since(self.heard) < ttl
+        now.saturating_duration_since(self.last_heard) < ttl
     }
 }
 
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -271,7 +271,7 @@
 
     /// Whether another instance of this cell has been heard for the first time within [`NEWCOMER_PERIOD`].
     pub fn has_newcomer(&self, now: Instant) -> bool {
-        self.live_peers(now).any(|p| now.saturating_duration_since(p.since) < NEWCOMER_PERIOD)
+        self.live_peers(now).any(|p| now.saturating_duration_since(p.first_heard) < NEWCOMER_PERIOD)
     }
 
     /// Other instances of this cell that were heard within [`PEER_TTL`].
@@ -291,7 +291,7 @@
 
     /// Last reports of the instances of this cell that were heard within [`PEER_TTL`], with their ages.
     pub fn live_reports_with_age(&self, now: Instant) -> impl Iterator<Item = (&Report, Duration)> {
-        self.live_peers(now).map(move |p| (&p.report, now.saturating_duration_since(p.heard)))
+        self.live_peers(now).map(move |p| (&p.report, now.saturating_duration_since(p.last_heard)))
     }
 
     pub(super) fn live_peers(&self, now: Instant) -> impl Iterator<Item = &Peer> {
