--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -39,7 +39,7 @@
     /// Whether a full report was heard, which the counters go on from.
     pub(super) has_outcome_baseline: bool,
     /// Units admitted, by account.
-    pub(super) spent: CounterBaselines<AccountId>,
+    pub(super) admitted_units: CounterBaselines<AccountId>,
     /// Answers of versions that are rolled out.
     pub(super) evidence: CounterBaselines<EvidenceKey>,
     /// Whether a report with all of its own counters was heard, of those of its cell, of those of the others.
@@ -60,21 +60,21 @@
 impl Peer {
     /// Goes on from its next full report with its own counters: others have told meanwhile what it admitted.
     pub(super) fn reset_own_baseline(&mut self) {
-        self.spent.own.clear();
+        self.admitted_units.own.clear();
         self.evidence.own.clear();
         self.has_own_baseline = false;
     }
 
     /// The same with those of its cell.
     pub(super) fn reset_cell_baseline(&mut self) {
-        self.spent.cell.clear();
+        self.admitted_units.cell.clear();
         self.evidence.cell.clear();
         self.has_cell_baseline = false;
     }
 
     /// The same with those of all other cells.
     pub(super) fn reset_fleet_baseline(&mut self) {
-        self.spent.fleet.clear();
+        self.admitted_units.fleet.clear();
         self.evidence.fleet.clear();
         self.has_fleet_baseline = false;
     }
@@ -86,7 +86,7 @@
             first_heard: now,
             outcomes: HashMap::new(),
             has_outcome_baseline: false,
-            spent: CounterBaselines::default(),
+            admitted_units: CounterBaselines::default(),
             evidence: CounterBaselines::default(),
             has_own_baseline: false,
             has_cell_baseline: false,
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -180,7 +180,7 @@
             cell: &report.cell_evidence,
             fleet: view.map_or(&[], |view| &view.evidence),
         };
-        let mut spent = counting.deltas(&mut peer.spent, spent);
+        let mut spent = counting.deltas(&mut peer.admitted_units, spent);
         if counting.is_totals_source {
             self.record_totals(now, report, is_near);
             spent.other_cells.extend(lately);
