--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Reachability {
     /// Other instances that it hears.
-    pub heard: usize,
+    pub reachable: usize,
     /// Those of them that hear nobody whom it does not hear.
     pub covered: usize,
 }
@@ -71,7 +71,7 @@
         let covered = near.into_iter().filter_map(|p| (!p.is_uncovered(now, names)).then_some(()));
         let covered = covered.count();
         (self.reachable_filter, self.reachable_count) = (names, heard as u32 + 1);
-        Reachability { heard, covered }
+        Reachability { reachable: heard, covered }
     }
 
     /// Instances of the cell that are heard, this one included.
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -205,7 +205,7 @@
     let mut other = Cell::new("b".into(), "z".into(), 1);
     let report = Report { is_stopping: true, ..other.report(now, ReportDetail::Full) };
     me.receive_report(now, report, true);
-    assert_eq!(me.update_reachability(now, |_| true).heard, 1);
+    assert_eq!(me.update_reachability(now, |_| true).reachable, 1);
     let silent = now + Duration::from_millis(1600);
-    assert_eq!(me.update_reachability(silent, |_| true).heard, 0);
+    assert_eq!(me.update_reachability(silent, |_| true).reachable, 0);
 }
--- a/oxbowbend-core/tests/reachability.rs
+++ b/oxbowbend-core/tests/reachability.rs
@@ -91,10 +91,10 @@
 fn sides_that_do_not_hear_each_other_use_their_parts() {
     // Instances 0 and 1 hear each other, and so do 2 to 4.
     let links = Links(0b1100100001);
-    let parts: Vec<_> = reaches(links).into_iter().map(|r| (r.heard, r.covered)).collect();
+    let parts: Vec<_> = reaches(links).into_iter().map(|r| (r.reachable, r.covered)).collect();
     assert_eq!(parts, [(1, 1), (1, 1), (2, 2), (2, 2), (2, 2)]);
     let whole = Links((1 << 10) - 1);
-    assert!(reaches(whole).iter().all(|r| *r == Reachability { heard: 4, covered: 4 }));
+    assert!(reaches(whole).iter().all(|r| *r == Reachability { reachable: 4, covered: 4 }));
 }
 
 #[test]
@@ -105,15 +105,15 @@
     b.receive_report(now, c.report(now, ReportDetail::Full), true);
     a.receive_report(now, b.report(now, ReportDetail::Full), true);
     b.update_reachability(now, |_| true);
-    assert_eq!(a.update_reachability(now, |_| true), Reachability { heard: 1, covered: 1 });
+    assert_eq!(a.update_reachability(now, |_| true), Reachability { reachable: 1, covered: 1 });
     a.receive_report(now, b.report(now, ReportDetail::Full), true);
-    let heard = |covered| Reachability { heard: 1, covered };
+    let heard = |covered| Reachability { reachable: 1, covered };
     assert_eq!(a.update_reachability(now, |_| true), heard(1));
     assert_eq!(a.update_reachability(now + 399 * MS, |_| true), heard(1));
     assert_eq!(a.update_reachability(now + 400 * MS, |_| true), heard(0));
     a.receive_report(now + 400 * MS, c.report(now, ReportDetail::Full), true);
     assert_eq!(
         a.update_reachability(now + 400 * MS, |_| true),
-        Reachability { heard: 2, covered: 2 }
+        Reachability { reachable: 2, covered: 2 }
     );
 }
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -123,7 +123,7 @@
     /// the cell.
     pub(crate) fn set_shares(&mut self, now: Instant) {
         let peers = &self.group.peers;
-        let Reachability { heard: near, covered } =
+        let Reachability { reachable: near, covered } =
             self.cell.update_reachability(now, |i| peers.contains(i));
         // In a fleet of several cells sums come from representatives, whoever hears whom in a cell; and while
         // instances do not agree on who belongs to it, each hears somebody whom another does not.
