--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -188,7 +188,7 @@
 
     /// Notes what another instance knows: whether it is the same, and when the store told it that there was
     /// nothing newer.
-    pub fn heard(&mut self, now: Instant, as_of: Instant, is_same: bool) {
+    pub fn record_peer(&mut self, now: Instant, as_of: Instant, is_same: bool) {
         if is_same {
             self.peer_verified_at = self.peer_verified_at.max(Some(as_of));
             self.newer_elsewhere_since = None;
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -219,7 +219,7 @@
             for (told, as_of) in others {
                 if told.version >= follower.version {
                     let is_same = told.version == follower.version;
-                    follower.subscription.heard(at, as_of, is_same);
+                    follower.subscription.record_peer(at, as_of, is_same);
                 }
             }
         }
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -46,7 +46,7 @@
     for (is_same, given_up) in [(true, None), (false, Some(CancelReason::Unverified))] {
         let (mut subscription, role) = listed(now, 1);
         subscription.start_watch(now, role);
-        subscription.heard(now + 1650 * MS, now + 1600 * MS, is_same);
+        subscription.record_peer(now + 1650 * MS, now + 1600 * MS, is_same);
         assert_eq!(subscription.check_cancel(now + 1750 * MS, role), given_up);
     }
 }
@@ -61,7 +61,7 @@
     // The difference lasts, though the store says each time that there is nothing newer.
     for ms in (400..12_000).step_by(20) {
         let at = now + ms * MS;
-        subscription.heard(at, at - 10 * MS, false);
+        subscription.record_peer(at, at - 10 * MS, false);
         let Some(given_up) = subscription.check_cancel(at, role) else { continue };
         if given_up == CancelReason::Overtaken {
             gaps.push(at - last);
@@ -82,7 +82,7 @@
     let (mut subscription, role) = listed(now, 1);
     subscription.start_watch(now, role);
     for ms in 0..1500 {
-        subscription.heard(now + ms * MS, now - 5 * MS, false);
+        subscription.record_peer(now + ms * MS, now - 5 * MS, false);
         assert_eq!(subscription.check_cancel(now + ms * MS, role), None);
     }
 }
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -74,14 +74,14 @@
         let is_same_epoch = report.epoch == self.world.epoch();
         if let Some(as_of) = report.store_age_ms.and_then(as_of) {
             let is_same = report.endpoints_digest == self.world.digest() && is_same_epoch;
-            self.subscriptions.endpoints.heard(now, as_of, is_same);
+            self.subscriptions.endpoints.record_peer(now, as_of, is_same);
         }
         let version = self.world.table().map_or(0, |t| t.version());
         let as_of =
             report.config_age_ms.and_then(as_of).filter(|_| report.config_version >= version);
         if let Some(as_of) = as_of {
             let is_same = report.config_version == version && is_same_epoch;
-            self.subscriptions.config.heard(now, as_of, is_same);
+            self.subscriptions.config.record_peer(now, as_of, is_same);
         }
     }
 }
