--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -20,7 +20,7 @@
 
 /// What is lost in an outage.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Silence {
+pub enum OutageMode {
     /// Calls that come meanwhile; watches that wait go on afterwards.
     Calls,
     /// Answers that fall due meanwhile.
@@ -35,7 +35,7 @@
 pub struct Outage {
     pub begins: i64,
     pub lasts: i64,
-    pub silence: Silence,
+    pub silence: OutageMode,
 }
 
 /// A watch at the store.
@@ -162,11 +162,11 @@
             return;
         }
         let call = follower.subscription.start_watch(at, role);
-        if is_out && outage.silence == Silence::Refuses {
+        if is_out && outage.silence == OutageMode::Refuses {
             follower.fail(now, WatchFailure::Refused);
             return;
         }
-        let is_lost = is_out && matches!(outage.silence, Silence::Calls | Silence::Both);
+        let is_lost = is_out && matches!(outage.silence, OutageMode::Calls | OutageMode::Both);
         let (wait, limit) = (millis(call.wait), millis(call.timeout));
         let after = follower.version;
         follower.watch = Some(Watch { began: now, wait, limit, after, is_lost });
@@ -177,7 +177,7 @@
         let (at, stored, is_out) = (self.at(now), self.stored(now), self.is_out(now));
         let silence = self.outage.silence;
         let follower = &mut self.followers[n];
-        if is_out && silence == Silence::Refuses {
+        if is_out && silence == OutageMode::Refuses {
             follower.fail(now, WatchFailure::Refused);
             return;
         }
@@ -190,7 +190,7 @@
             return;
         }
         if is_out {
-            watch.is_lost = silence != Silence::Calls;
+            watch.is_lost = silence != OutageMode::Calls;
             follower.watch = Some(watch);
             return;
         }
