--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -22,12 +22,12 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OutageMode {
     /// Calls that come meanwhile; watches that wait go on afterwards.
-    Calls,
+    DropRequests,
     /// Answers that fall due meanwhile.
-    Answers,
-    Both,
+    DropAnswers,
+    DropBoth,
     /// Nothing: calls are refused, watches cut.
-    Refuses,
+    Refuse,
 }
 
 /// An outage of the store; times in milliseconds.
@@ -162,11 +162,12 @@
             return;
         }
         let call = follower.subscription.start_watch(at, role);
-        if is_out && outage.silence == OutageMode::Refuses {
+        if is_out && outage.silence == OutageMode::Refuse {
             follower.fail(now, WatchFailure::Refused);
             return;
         }
-        let is_lost = is_out && matches!(outage.silence, OutageMode::Calls | OutageMode::Both);
+        let is_lost =
+            is_out && matches!(outage.silence, OutageMode::DropRequests | OutageMode::DropBoth);
         let (wait, limit) = (millis(call.wait), millis(call.timeout));
         let after = follower.version;
         follower.watch = Some(Watch { began: now, wait, limit, after, is_lost });
@@ -177,7 +178,7 @@
         let (at, stored, is_out) = (self.at(now), self.stored(now), self.is_out(now));
         let silence = self.outage.silence;
         let follower = &mut self.followers[n];
-        if is_out && silence == OutageMode::Refuses {
+        if is_out && silence == OutageMode::Refuse {
             follower.fail(now, WatchFailure::Refused);
             return;
         }
@@ -190,7 +191,7 @@
             return;
         }
         if is_out {
-            watch.is_lost = silence != OutageMode::Calls;
+            watch.is_lost = silence != OutageMode::DropRequests;
             follower.watch = Some(watch);
             return;
         }
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -108,9 +108,12 @@
     let mut played = 0;
     for begins in (0..2600).step_by(200) {
         for lasts in [60, 400, 1500, 5300] {
-            for silence in
-                [OutageMode::Calls, OutageMode::Answers, OutageMode::Both, OutageMode::Refuses]
-            {
+            for silence in [
+                OutageMode::DropRequests,
+                OutageMode::DropAnswers,
+                OutageMode::DropBoth,
+                OutageMode::Refuse,
+            ] {
                 for dies in [None, Some(0), Some(lasts), Some(lasts + 400)] {
                     for changes in [-60, 30, lasts / 2, lasts + 20, lasts + 1000, lasts + 2900] {
                         let outage = Outage { begins, lasts, silence };
