--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -33,9 +33,9 @@
 /// An outage of the store; times in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    pub begins: i64,
-    pub lasts: i64,
-    pub silence: OutageMode,
+    pub start_ms: i64,
+    pub duration_ms: i64,
+    pub mode: OutageMode,
 }
 
 /// A watch at the store.
@@ -78,21 +78,21 @@
 
 impl Fleet {
     pub fn new(outage: Outage, dies: Option<i64>, changes: i64) -> Fleet {
-        let outage = Outage { begins: outage.begins + SETTLES, ..outage };
+        let outage = Outage { start_ms: outage.start_ms + SETTLES, ..outage };
         let zero = Instant::now();
         let mut followers: Vec<_> = (0..INSTANCES).map(|_| Follower::default()).collect();
         followers.iter_mut().for_each(|f| {
             f.subscription.reset(zero);
             f.has_store = true;
         });
-        let dies = dies.map(|after| outage.begins + after);
+        let dies = dies.map(|after| outage.start_ms + after);
         let heard = vec![None; INSTANCES];
         Fleet { zero, outage, dies, changes: changes + SETTLES, followers, heard }
     }
 
     /// Plays until some time after the outage; fails with what was not in force in time.
     pub fn play(&mut self, in_force: Duration, contact: Duration) -> Result<(), String> {
-        let ends = self.outage.begins + self.outage.lasts;
+        let ends = self.outage.start_ms + self.outage.duration_ms;
         let acked = if self.is_out(self.changes) { ends } else { self.changes };
         let due = (acked + millis(in_force)).max(ends + millis(contact));
         let mut now = 0;
@@ -127,7 +127,7 @@
     }
 
     fn is_out(&self, at: i64) -> bool {
-        (self.outage.begins..self.outage.begins + self.outage.lasts).contains(&at)
+        (self.outage.start_ms..self.outage.start_ms + self.outage.duration_ms).contains(&at)
     }
 
     /// Version that the store holds. Changes are made in an outage too.
@@ -162,12 +162,12 @@
             return;
         }
         let call = follower.subscription.start_watch(at, role);
-        if is_out && outage.silence == OutageMode::Refuse {
+        if is_out && outage.mode == OutageMode::Refuse {
             follower.fail(now, WatchFailure::Refused);
             return;
         }
         let is_lost =
-            is_out && matches!(outage.silence, OutageMode::DropRequests | OutageMode::DropBoth);
+            is_out && matches!(outage.mode, OutageMode::DropRequests | OutageMode::DropBoth);
         let (wait, limit) = (millis(call.wait), millis(call.timeout));
         let after = follower.version;
         follower.watch = Some(Watch { began: now, wait, limit, after, is_lost });
@@ -176,7 +176,7 @@
     /// What becomes of a watch that waits.
     fn wait(&mut self, n: usize, now: i64, mut watch: Watch) {
         let (at, stored, is_out) = (self.at(now), self.stored(now), self.is_out(now));
-        let silence = self.outage.silence;
+        let silence = self.outage.mode;
         let follower = &mut self.followers[n];
         if is_out && silence == OutageMode::Refuse {
             follower.fail(now, WatchFailure::Refused);
