--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -66,7 +66,7 @@
     has_store: bool,
 }
 
-pub struct Fleet {
+pub struct Simulation {
     zero: Instant,
     outage: Outage,
     /// When the first instance dies, and when the configuration changes.
@@ -76,8 +76,8 @@
     heard: Vec<Option<Told>>,
 }
 
-impl Fleet {
-    pub fn new(outage: Outage, dies: Option<i64>, changes: i64) -> Fleet {
+impl Simulation {
+    pub fn new(outage: Outage, dies: Option<i64>, changes: i64) -> Simulation {
         let outage = Outage { start_ms: outage.start_ms + SETTLES, ..outage };
         let zero = Instant::now();
         let mut followers: Vec<_> = (0..INSTANCES).map(|_| Follower::default()).collect();
@@ -87,7 +87,7 @@
         });
         let dies = dies.map(|after| outage.start_ms + after);
         let heard = vec![None; INSTANCES];
-        Fleet { zero, outage, dies, changes: changes + SETTLES, followers, heard }
+        Simulation { zero, outage, dies, changes: changes + SETTLES, followers, heard }
     }
 
     /// Plays until some time after the outage; fails with what was not in force in time.
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use followers::{Fleet, Outage, OutageMode};
+use followers::{Outage, OutageMode, Simulation};
 use oxbowbend_core::subscription::{CancelReason, Role, Subscription, WatchFailure};
 
 const MS: Duration = Duration::from_millis(1);
@@ -117,7 +117,7 @@
                 for dies in [None, Some(0), Some(lasts), Some(lasts + 400)] {
                     for changes in [-60, 30, lasts / 2, lasts + 20, lasts + 1000, lasts + 2900] {
                         let outage = Outage { start_ms: begins, duration_ms: lasts, mode: silence };
-                        let mut fleet = Fleet::new(outage, dies, begins + changes);
+                        let mut fleet = Simulation::new(outage, dies, begins + changes);
                         if let Err(late) = fleet.play(IN_FORCE, CONTACT) {
                             panic!("{outage:?}, first dies {dies:?}, change {changes}: {late}");
                         }
