--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -3,7 +3,7 @@
 //! Such a request comes back under new ids at any instance, so it is known by its [`Fingerprint`]. When an endpoint
 //! ends, requests that ran there and of whose answers nothing had come are suspected; one that must have ended three
 //! endpoints is quarantined: no instance sends it to an endpoint, and its caller hears at once that it has not run. Instances tell each other
-//! what they have seen, and what was decided ([`Told`]): whole facts, each of which may be lost, come twice or
+//! what they have seen, and what was decided ([`ReportedState`]): whole facts, each of which may be lost, come twice or
 //! late, and comes to the same whoever passes it on. Decisions are also noted in the store, so that they outlast all
 //! instances.
 //!
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -60,7 +60,7 @@
 
 /// What an instance tells the others.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct ReportedState {
     version: u64,
     as_of: i64,
     has_store: bool,
@@ -73,7 +73,7 @@
     dies: Option<i64>,
     changes: i64,
     followers: Vec<Follower>,
-    heard: Vec<Option<Told>>,
+    heard: Vec<Option<ReportedState>>,
 }
 
 impl Simulation {
@@ -211,7 +211,8 @@
             let follower = &self.followers[n];
             let age = follower.subscription.own_age(at).filter(|_| !follower.is_dead);
             let (version, has_store) = (follower.version, follower.has_store);
-            self.heard[n] = age.map(|age| Told { version, as_of: now - millis(age), has_store });
+            self.heard[n] =
+                age.map(|age| ReportedState { version, as_of: now - millis(age), has_store });
         }
         for n in 0..INSTANCES {
             let others = (0..INSTANCES).filter(|m| *m != n).filter_map(|m| self.heard[m]);
