--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -55,7 +55,7 @@
     watch: Option<Watch>,
     paused_until: i64,
     has_store: bool,
-    is_dead: bool,
+    has_crashed: bool,
 }
 
 /// What an instance tells the others.
@@ -67,13 +67,13 @@
 }
 
 pub struct Simulation {
-    zero: Instant,
+    start: Instant,
     outage: Outage,
     /// When the first instance dies, and when the configuration changes.
-    dies: Option<i64>,
-    changes: i64,
+    crash_ms: Option<i64>,
+    change_ms: i64,
     followers: Vec<Follower>,
-    heard: Vec<Option<ReportedState>>,
+    reports: Vec<Option<ReportedState>>,
 }
 
 impl Simulation {
@@ -87,20 +87,27 @@
         });
         let dies = dies.map(|after| outage.start_ms + after);
         let heard = vec![None; INSTANCES];
-        Simulation { zero, outage, dies, changes: changes + SETTLES, followers, heard }
+        Simulation {
+            start: zero,
+            outage,
+            crash_ms: dies,
+            change_ms: changes + SETTLES,
+            followers,
+            reports: heard,
+        }
     }
 
     /// Plays until some time after the outage; fails with what was not in force in time.
     pub fn play(&mut self, in_force: Duration, contact: Duration) -> Result<(), String> {
         let ends = self.outage.start_ms + self.outage.duration_ms;
-        let acked = if self.is_out(self.changes) { ends } else { self.changes };
+        let acked = if self.is_out(self.change_ms) { ends } else { self.change_ms };
         let due = (acked + millis(in_force)).max(ends + millis(contact));
         let mut now = 0;
         let mut step = 0;
         while now < due.max(ends) + AFTER {
-            if self.dies.is_some_and(|at| now >= at) {
-                self.followers[0].is_dead = true;
-                self.heard[0] = None;
+            if self.crash_ms.is_some_and(|at| now >= at) {
+                self.followers[0].has_crashed = true;
+                self.reports[0] = None;
             }
             (0..INSTANCES).for_each(|n| self.step(n, now, in_force));
             if step % BEAT == 0 {
@@ -114,7 +121,7 @@
     }
 
     fn check(&self, now: i64, due: i64) -> Result<(), String> {
-        let alive = self.followers.iter().enumerate().filter(|(_, f)| !f.is_dead);
+        let alive = self.followers.iter().enumerate().filter(|(_, f)| !f.has_crashed);
         for (n, follower) in alive {
             if now >= due && follower.version < self.stored(now) {
                 return Err(format!(
@@ -132,21 +139,21 @@
 
     /// Version that the store holds. Changes are made in an outage too.
     fn stored(&self, at: i64) -> u64 {
-        u64::from(at >= self.changes)
+        u64::from(at >= self.change_ms)
     }
 
     fn at(&self, ms: i64) -> Instant {
-        self.zero + Duration::from_millis(ms as u64)
+        self.start + Duration::from_millis(ms as u64)
     }
 
     fn role(&self, n: usize, in_force: Duration) -> Role {
-        let before = self.heard[..n].iter().flatten().filter(|t| t.has_store).count();
+        let before = self.reports[..n].iter().flatten().filter(|t| t.has_store).count();
         Role::new(before, in_force)
     }
 
     fn step(&mut self, n: usize, now: i64, in_force: Duration) {
         let (at, role) = (self.at(now), self.role(n, in_force));
-        if self.followers[n].is_dead {
+        if self.followers[n].has_crashed {
             return;
         }
         if let Some(watch) = self.followers[n].watch {
@@ -209,13 +216,13 @@
         let at = self.at(now);
         for n in 0..INSTANCES {
             let follower = &self.followers[n];
-            let age = follower.subscription.own_age(at).filter(|_| !follower.is_dead);
+            let age = follower.subscription.own_age(at).filter(|_| !follower.has_crashed);
             let (version, has_store) = (follower.version, follower.has_store);
-            self.heard[n] =
+            self.reports[n] =
                 age.map(|age| ReportedState { version, as_of: now - millis(age), has_store });
         }
         for n in 0..INSTANCES {
-            let others = (0..INSTANCES).filter(|m| *m != n).filter_map(|m| self.heard[m]);
+            let others = (0..INSTANCES).filter(|m| *m != n).filter_map(|m| self.reports[m]);
             let others: Vec<_> = others.map(|told| (told, self.at(told.as_of.max(0)))).collect();
             let follower = &mut self.followers[n];
             for (told, as_of) in others {
