--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -41,10 +41,10 @@
 /// A watch at the store.
 #[derive(Clone, Copy, Debug)]
 struct Watch {
-    began: i64,
-    wait: i64,
-    limit: i64,
-    after: u64,
+    started_ms: i64,
+    wait_ms: i64,
+    timeout_ms: i64,
+    known_version: u64,
     is_lost: bool,
 }
 
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ReportedState {
     version: u64,
-    as_of: i64,
+    confirmed_ms: i64,
     has_store: bool,
 }
 
@@ -177,7 +177,13 @@
             is_out && matches!(outage.mode, OutageMode::DropRequests | OutageMode::DropBoth);
         let (wait, limit) = (millis(call.wait), millis(call.timeout));
         let after = follower.version;
-        follower.watch = Some(Watch { began: now, wait, limit, after, is_lost });
+        follower.watch = Some(Watch {
+            started_ms: now,
+            wait_ms: wait,
+            timeout_ms: limit,
+            known_version: after,
+            is_lost,
+        });
     }
 
     /// What becomes of a watch that waits.
@@ -189,12 +195,12 @@
             follower.fail(now, WatchFailure::Refused);
             return;
         }
-        if now - watch.began >= watch.limit {
+        if now - watch.started_ms >= watch.timeout_ms {
             follower.fail(now, WatchFailure::Unanswered);
             return;
         }
-        let is_due = stored > watch.after || now - watch.began >= watch.wait;
-        if !is_due || watch.is_lost || now - watch.began < millis(TAKES) {
+        let is_due = stored > watch.known_version || now - watch.started_ms >= watch.wait_ms;
+        if !is_due || watch.is_lost || now - watch.started_ms < millis(TAKES) {
             return;
         }
         if is_out {
@@ -218,12 +224,16 @@
             let follower = &self.followers[n];
             let age = follower.subscription.own_age(at).filter(|_| !follower.has_crashed);
             let (version, has_store) = (follower.version, follower.has_store);
-            self.reports[n] =
-                age.map(|age| ReportedState { version, as_of: now - millis(age), has_store });
+            self.reports[n] = age.map(|age| ReportedState {
+                version,
+                confirmed_ms: now - millis(age),
+                has_store,
+            });
         }
         for n in 0..INSTANCES {
             let others = (0..INSTANCES).filter(|m| *m != n).filter_map(|m| self.reports[m]);
-            let others: Vec<_> = others.map(|told| (told, self.at(told.as_of.max(0)))).collect();
+            let others: Vec<_> =
+                others.map(|told| (told, self.at(told.confirmed_ms.max(0)))).collect();
             let follower = &mut self.followers[n];
             for (told, as_of) in others {
                 if told.version >= follower.version {
