--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -8,15 +8,15 @@
 const STEP: Duration = Duration::from_millis(10);
 const INSTANCES: usize = 3;
 /// Time between two reports, as a number of steps.
-const BEAT: u32 = 13;
+const REPORT_STEPS: u32 = 13;
 /// Time that the store takes for an answer.
-const TAKES: Duration = Duration::from_millis(4);
+const STORE_LATENCY: Duration = Duration::from_millis(4);
 /// Pause after a change, and after a failure of the store.
-const PAUSE: Duration = Duration::from_millis(120);
+const RETRY_PAUSE: Duration = Duration::from_millis(120);
 /// Longest time that is played after the outage, in milliseconds.
-const AFTER: i64 = 6000;
+const RUN_AFTER_OUTAGE_MS: i64 = 6000;
 /// Milliseconds before the first outage in which the fleet settles.
-const SETTLES: i64 = 3000;
+const WARM_UP_MS: i64 = 3000;
 
 /// What is lost in an outage.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -78,7 +78,7 @@
 
 impl Simulation {
     pub fn new(outage: Outage, dies: Option<i64>, changes: i64) -> Simulation {
-        let outage = Outage { start_ms: outage.start_ms + SETTLES, ..outage };
+        let outage = Outage { start_ms: outage.start_ms + WARM_UP_MS, ..outage };
         let zero = Instant::now();
         let mut followers: Vec<_> = (0..INSTANCES).map(|_| Follower::default()).collect();
         followers.iter_mut().for_each(|f| {
@@ -91,7 +91,7 @@
             start: zero,
             outage,
             crash_ms: dies,
-            change_ms: changes + SETTLES,
+            change_ms: changes + WARM_UP_MS,
             followers,
             reports: heard,
         }
@@ -104,13 +104,13 @@
         let due = (acked + millis(in_force)).max(ends + millis(contact));
         let mut now = 0;
         let mut step = 0;
-        while now < due.max(ends) + AFTER {
+        while now < due.max(ends) + RUN_AFTER_OUTAGE_MS {
             if self.crash_ms.is_some_and(|at| now >= at) {
                 self.followers[0].has_crashed = true;
                 self.reports[0] = None;
             }
             (0..INSTANCES).for_each(|n| self.step(n, now, in_force));
-            if step % BEAT == 0 {
+            if step % REPORT_STEPS == 0 {
                 self.tell(now);
             }
             self.check(now, due)?;
@@ -200,7 +200,7 @@
             return;
         }
         let is_due = stored > watch.known_version || now - watch.started_ms >= watch.wait_ms;
-        if !is_due || watch.is_lost || now - watch.started_ms < millis(TAKES) {
+        if !is_due || watch.is_lost || now - watch.started_ms < millis(STORE_LATENCY) {
             return;
         }
         if is_out {
@@ -209,7 +209,7 @@
             return;
         }
         if stored > follower.version {
-            follower.paused_until = now + millis(PAUSE);
+            follower.paused_until = now + millis(RETRY_PAUSE);
         }
         follower.version = follower.version.max(stored);
         follower.has_store = true;
@@ -250,7 +250,7 @@
         self.watch = None;
         if self.subscription.record_failure(failure) {
             self.has_store = false;
-            self.paused_until = now + millis(PAUSE);
+            self.paused_until = now + millis(RETRY_PAUSE);
         }
     }
 }
