--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -12,16 +12,16 @@
 /// The users' bound on changes.
 const IN_FORCE: Duration = Duration::from_millis(2000);
 /// Time after an outage from which the bound holds.
-const CONTACT: Duration = Duration::from_millis(3000);
+const RECOVERY: Duration = Duration::from_millis(3000);
 
-fn listed(now: Instant, rank: usize) -> (Subscription, Role) {
+fn up_to_date(now: Instant, rank: usize) -> (Subscription, Role) {
     let mut subscription = Subscription::default();
     subscription.reset(now);
     (subscription, Role::new(rank, IN_FORCE))
 }
 
 #[test]
-fn the_first_asks_often_and_the_others_step_in_one_after_the_other() {
+fn other_instances_take_over_verification_in_order_of_rank() {
     let now = Instant::now();
     for (rank, wait, gives_up) in [
         (0, 1200, None),
@@ -29,7 +29,7 @@
         (2, 30_000, Some(1800)),
         (40, 30_000, Some(2400)),
     ] {
-        let (mut subscription, role) = listed(now, rank);
+        let (mut subscription, role) = up_to_date(now, rank);
         assert_eq!(subscription.start_watch(now, role).wait, wait * MS, "rank {rank}");
         let given_up =
             (0..3000).find(|ms| subscription.check_cancel(now + *ms * MS, role).is_some());
@@ -41,10 +41,10 @@
 }
 
 #[test]
-fn what_another_instance_was_told_counts_if_it_knows_the_same() {
+fn confirmation_of_the_same_state_to_another_instance_counts() {
     let now = Instant::now();
     for (is_same, given_up) in [(true, None), (false, Some(CancelReason::Unverified))] {
-        let (mut subscription, role) = listed(now, 1);
+        let (mut subscription, role) = up_to_date(now, 1);
         subscription.start_watch(now, role);
         subscription.record_peer(now + 1650 * MS, now + 1600 * MS, is_same);
         assert_eq!(subscription.check_cancel(now + 1750 * MS, role), given_up);
@@ -52,9 +52,9 @@
 }
 
 #[test]
-fn a_watch_that_should_have_told_what_another_instance_knows_is_given_up() {
+fn a_watch_that_missed_a_change_is_cancelled() {
     let now = Instant::now();
-    let (mut subscription, role) = listed(now, 1);
+    let (mut subscription, role) = up_to_date(now, 1);
     subscription.start_watch(now, role);
     let mut gaps = Vec::new();
     let mut last = now + 400 * MS;
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn an_older_state_of_another_instance_says_nothing() {
+fn an_older_state_of_another_instance_is_ignored() {
     let now = Instant::now();
-    let (mut subscription, role) = listed(now, 1);
+    let (mut subscription, role) = up_to_date(now, 1);
     subscription.start_watch(now, role);
     for ms in 0..1500 {
         subscription.record_peer(now + ms * MS, now - 5 * MS, false);
@@ -88,9 +88,9 @@
 }
 
 #[test]
-fn the_store_is_away_if_it_refuses_or_leaves_a_watch_unanswered_that_does_not_wait() {
+fn the_store_is_unavailable_after_a_refusal_or_an_unanswered_probe() {
     let now = Instant::now();
-    let (mut subscription, role) = listed(now, 0);
+    let (mut subscription, role) = up_to_date(now, 0);
     let mut limits = Vec::new();
     for is_away in [false, true, true, true] {
         let call = subscription.start_watch(now, role);
@@ -98,13 +98,13 @@
         assert_eq!(subscription.record_failure(WatchFailure::Unanswered), is_away);
     }
     assert_eq!(limits, [500, 1000, 1500, 1500]);
-    let (mut subscription, role) = listed(now, 0);
+    let (mut subscription, role) = up_to_date(now, 0);
     subscription.start_watch(now, role);
     assert!(subscription.record_failure(WatchFailure::Refused));
 }
 
 #[test]
-fn every_change_is_in_force_in_time_whatever_the_store_loses() {
+fn every_change_is_in_force_in_time_in_all_outages() {
     let mut played = 0;
     for begins in (0..2600).step_by(200) {
         for lasts in [60, 400, 1500, 5300] {
@@ -118,7 +118,7 @@
                     for changes in [-60, 30, lasts / 2, lasts + 20, lasts + 1000, lasts + 2900] {
                         let outage = Outage { start_ms: begins, duration_ms: lasts, mode: silence };
                         let mut fleet = Simulation::new(outage, dies, begins + changes);
-                        if let Err(late) = fleet.play(IN_FORCE, CONTACT) {
+                        if let Err(late) = fleet.play(IN_FORCE, RECOVERY) {
                             panic!("{outage:?}, first dies {dies:?}, change {changes}: {late}");
                         }
                         played += 1;
