--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -10,31 +10,31 @@
 };
 use oxbowbend_core::ids::AccountId;
 
-fn report(cell: &mut Cell, now: Instant) -> Report {
+fn full_report(cell: &mut Cell, now: Instant) -> Report {
     cell.report(now, ReportDetail::Full)
 }
 
-fn spent(units: u64) -> Vec<(AccountId, u64)> {
+fn admitted(units: u64) -> Vec<(AccountId, u64)> {
     vec![("a".into(), units)]
 }
 
 /// What a representative tells its cell of others that have admitted so many units.
-fn view(units: u64, heard: u32) -> FleetSummary {
+fn summary(units: u64, heard: u32) -> FleetSummary {
     let beyond = RemoteInstances { reachable: heard, ready: heard - 1 };
     FleetSummary {
         remote_instances: beyond,
-        admitted_units: spent(units),
+        admitted_units: admitted(units),
         is_complete: true,
         ..FleetSummary::default()
     }
 }
 
-fn as_representative(cell: &mut Cell, now: Instant, view: FleetSummary) -> Report {
-    Report { is_representative: true, fleet_summary: Some(view), ..report(cell, now) }
+fn representative_report(cell: &mut Cell, now: Instant, view: FleetSummary) -> Report {
+    Report { is_representative: true, fleet_summary: Some(view), ..full_report(cell, now) }
 }
 
 #[test]
-fn a_representative_sums_up_what_the_others_tell() {
+fn a_representative_sums_instances_of_other_cells() {
     let now = Instant::now();
     let mut me = cell("a", &[]);
     assert_eq!(me.remote_instances(now), RemoteInstances::default());
@@ -43,54 +43,60 @@
             is_representative: true,
             reachable_count: Some(reach),
             cell_ready: ready,
-            ..report(&mut cell(name, &[]), now)
+            ..full_report(&mut cell(name, &[]), now)
         };
         me.receive_report(now, told, false);
     }
     // Another instance that turned to this one for a reason of its own is not a cell.
-    me.receive_report(now, report(&mut cell("z", &[]), now), false);
+    me.receive_report(now, full_report(&mut cell("z", &[]), now), false);
     assert_eq!(me.remote_instances(now), RemoteInstances { reachable: 23, ready: 21 });
     assert_eq!(me.remote_instances(now + PEER_TTL), RemoteInstances::default());
 }
 
 #[test]
-fn a_cell_knows_the_others_from_its_representative() {
+fn a_cell_learns_of_other_cells_from_its_representative() {
     let now = Instant::now();
     let (mut first, mut me) = (cell("a", &[]), cell("c", &[]));
-    let heard = me.receive_report(now, as_representative(&mut first, now, view(1000, 283)), true);
+    let heard =
+        me.receive_report(now, representative_report(&mut first, now, summary(1000, 283)), true);
     // What was admitted before it was heard is not of now.
-    let growth = CounterDeltas { own_cell: vec![], other_cells: spent(0) };
+    let growth = CounterDeltas { own_cell: vec![], other_cells: admitted(0) };
     assert_eq!(heard.expect("news").admitted_units, growth);
     assert_eq!(me.reported_remote_instances(now), RemoteInstances { reachable: 283, ready: 282 });
-    let heard = me.receive_report(now, as_representative(&mut first, now, view(1250, 283)), true);
-    assert_eq!(heard.expect("news").admitted_units.other_cells, spent(250));
+    let heard =
+        me.receive_report(now, representative_report(&mut first, now, summary(1250, 283)), true);
+    assert_eq!(heard.expect("news").admitted_units.other_cells, admitted(250));
     // A report that leaves it out changes nothing.
-    me.receive_report(now, Report { is_representative: true, ..report(&mut first, now) }, true);
+    me.receive_report(
+        now,
+        Report { is_representative: true, ..full_report(&mut first, now) },
+        true,
+    );
     assert_eq!(me.reported_remote_instances(now).reachable, 283);
     assert_eq!(me.reported_remote_instances(now + PEER_TTL), RemoteInstances::default());
 }
 
 /// Representatives also turn to instances that they have not heard of.
 #[test]
-fn who_has_a_representative_is_told_by_it_alone() {
+fn totals_count_only_from_the_own_representative() {
     let now = Instant::now();
     let (mut first, mut far) = (cell("a", &[]), cell("z", &[]));
     let mut far_report = |units| Report {
         is_representative: true,
         has_all_cell_counters: true,
-        cell_admitted_units: spent(units),
-        ..report(&mut far, now)
+        cell_admitted_units: admitted(units),
+        ..full_report(&mut far, now)
     };
     let mut alone = cell("c", &[]);
     alone.set_representative(true);
     alone.receive_report(now, far_report(100), false);
     assert_eq!(
         alone.receive_report(now, far_report(250), false).expect("news").admitted_units.other_cells,
-        spent(150)
+        admitted(150)
     );
     let mut me = cell("c", &[]);
     me.receive_report(now, far_report(300), false);
-    me.receive_report(now, as_representative(&mut first, now, view(1000, 12)), true);
+    me.receive_report(now, representative_report(&mut first, now, summary(1000, 12)), true);
     assert_eq!(
         me.receive_report(now, far_report(450), false).expect("news").admitted_units.other_cells,
         []
@@ -100,41 +106,46 @@
     me.set_representative(true);
     assert_eq!(
         me.receive_report(later, far_report(470), false).expect("news").admitted_units.other_cells,
-        spent(20)
+        admitted(20)
     );
 }
 
 #[test]
-fn two_representatives_of_a_cell_count_once_and_one_follows_the_other() {
+fn totals_of_two_representatives_count_once() {
     let now = Instant::now();
     let (mut first, mut second, mut me) = (cell("a", &[]), cell("b", &[]), cell("c", &[]));
-    me.receive_report(now, as_representative(&mut first, now, view(1000, 283)), true);
-    me.receive_report(now, as_representative(&mut second, now, view(600, 283)), true);
-    let heard = me.receive_report(now, as_representative(&mut first, now, view(1100, 283)), true);
-    assert_eq!(heard.expect("news").admitted_units.other_cells, spent(100));
-    let heard = me.receive_report(now, as_representative(&mut second, now, view(700, 283)), true);
+    me.receive_report(now, representative_report(&mut first, now, summary(1000, 283)), true);
+    me.receive_report(now, representative_report(&mut second, now, summary(600, 283)), true);
+    let heard =
+        me.receive_report(now, representative_report(&mut first, now, summary(1100, 283)), true);
+    assert_eq!(heard.expect("news").admitted_units.other_cells, admitted(100));
+    let heard =
+        me.receive_report(now, representative_report(&mut second, now, summary(700, 283)), true);
     assert_eq!(heard.expect("news").admitted_units.other_cells, []);
     // One that has just stepped in knows of nobody yet.
-    let heard = view(700, 1);
-    me.receive_report(now, as_representative(&mut second, now, heard), true);
+    let heard = summary(700, 1);
+    me.receive_report(now, representative_report(&mut second, now, heard), true);
     assert_eq!(me.reported_remote_instances(now).reachable, 283);
     // The first one falls silent: the second one's word counts, from where it was.
     let later = now + PEER_TTL;
-    let heard =
-        me.receive_report(later, as_representative(&mut second, later, view(900, 271)), true);
-    assert_eq!(heard.expect("news").admitted_units.other_cells, spent(200));
+    let heard = me.receive_report(
+        later,
+        representative_report(&mut second, later, summary(900, 271)),
+        true,
+    );
+    assert_eq!(heard.expect("news").admitted_units.other_cells, admitted(200));
     assert_eq!(me.reported_remote_instances(later).reachable, 271);
 }
 
 #[test]
-fn a_successor_knows_where_the_other_representatives_are() {
+fn a_new_representative_knows_the_addresses_of_the_others() {
     let now = Instant::now();
     let (mut first, mut me) = (cell("a", &[]), cell("b", &[]));
     let elsewhere = ([10, 0, 0, 9], 80).into();
-    let told = as_representative(&mut first, now, view(0, 12));
+    let told = representative_report(&mut first, now, summary(0, 12));
     me.receive_report(now, Report { representative_addresses: vec![elsewhere], ..told }, true);
     // Frequent reports leave the addresses out.
-    me.receive_report(now + 10 * MS, as_representative(&mut first, now, view(0, 12)), true);
+    me.receive_report(now + 10 * MS, representative_report(&mut first, now, summary(0, 12)), true);
     me.expire_peers(now + Duration::from_secs(10));
     assert_eq!(me.representative_addresses().collect::<Vec<_>>(), [elsewhere]);
 }
@@ -144,17 +155,17 @@
     let now = Instant::now();
     let (mut other, mut me) = (cell("b", &[]), cell("a", &[]));
     let with = |mut report: Report, units| {
-        report.admitted_units = spent(units);
+        report.admitted_units = admitted(units);
         report
     };
-    me.receive_report(now, with(report(&mut other, now), 100), true);
+    me.receive_report(now, with(full_report(&mut other, now), 100), true);
     assert_eq!((me.live_peer_count(now), me.remote_reports(now).count()), (1, 0));
     me.set_peers(|_| false);
     assert_eq!((me.live_peer_count(now), me.remote_reports(now).count()), (0, 1));
     me.set_peers(|_| true);
     // What it admitted meanwhile was told by those who represented its cell.
-    let heard = me.receive_report(now, with(report(&mut other, now), 130), true);
-    assert_eq!(heard.expect("news").admitted_units.own_cell, spent(0));
-    let heard = me.receive_report(now, with(report(&mut other, now), 150), true);
-    assert_eq!(heard.expect("news").admitted_units.own_cell, spent(20));
+    let heard = me.receive_report(now, with(full_report(&mut other, now), 130), true);
+    assert_eq!(heard.expect("news").admitted_units.own_cell, admitted(0));
+    let heard = me.receive_report(now, with(full_report(&mut other, now), 150), true);
+    assert_eq!(heard.expect("news").admitted_units.own_cell, admitted(20));
 }
