--- a/oxbowbend-core/tests/layout.rs
+++ b/oxbowbend-core/tests/layout.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn one_that_leaves_moves_few_others() {
+fn removing_an_instance_moves_few_others() {
     let before = members(89);
     let endpoints = endpoints("a", 90);
     let mut after = before.clone();
@@ -83,7 +83,7 @@
 /// A crash of a quarter of the endpoints and their return under other names moved half of the others to
 /// other cells, which did not know what ran there (kalemdar-tutanak-grown scale-1).
 #[test]
-fn an_endpoint_that_leaves_moves_few_others() {
+fn removing_endpoints_moves_few_others() {
     let members = members(89);
     let before = endpoints("a", 90);
     let cells_of = |endpoints: &[Endpoint]| {
