--- a/oxbowbend-core/tests/suspicion.rs
+++ b/oxbowbend-core/tests/suspicion.rs
@@ -7,7 +7,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn a_request_whose_time_runs_out_first_says_nothing_of_its_endpoint() {
+fn a_request_at_its_deadline_does_not_blame_its_endpoint() {
     // Expected time to the first event, objective, time left, whether it may be repeated.
     for (expected, objective, left, may_repeat, judged) in [
         (50, 300, 2000, true, TimeoutAction::Retry),
