--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -98,9 +98,9 @@
     }
 
     /// Plays until some time after the outage; fails with what was not in force in time.
-    pub fn play(&mut self, in_force: Duration, contact: Duration) -> Result<(), String> {
+    pub fn run(&mut self, in_force: Duration, contact: Duration) -> Result<(), String> {
         let ends = self.outage.start_ms + self.outage.duration_ms;
-        let acked = if self.is_out(self.change_ms) { ends } else { self.change_ms };
+        let acked = if self.is_during_outage(self.change_ms) { ends } else { self.change_ms };
         let due = (acked + millis(in_force)).max(ends + millis(contact));
         let mut now = 0;
         let mut step = 0;
@@ -111,7 +111,7 @@
             }
             (0..INSTANCES).for_each(|n| self.step(n, now, in_force));
             if step % REPORT_STEPS == 0 {
-                self.tell(now);
+                self.exchange_reports(now);
             }
             self.check(now, due)?;
             now += millis(STEP);
@@ -123,7 +123,7 @@
     fn check(&self, now: i64, due: i64) -> Result<(), String> {
         let alive = self.followers.iter().enumerate().filter(|(_, f)| !f.has_crashed);
         for (n, follower) in alive {
-            if now >= due && follower.version < self.stored(now) {
+            if now >= due && follower.version < self.stored_version(now) {
                 return Err(format!(
                     "instance {n} does not know it {} ms after its time",
                     now - due
@@ -133,16 +133,16 @@
         Ok(())
     }
 
-    fn is_out(&self, at: i64) -> bool {
+    fn is_during_outage(&self, at: i64) -> bool {
         (self.outage.start_ms..self.outage.start_ms + self.outage.duration_ms).contains(&at)
     }
 
     /// Version that the store holds. Changes are made in an outage too.
-    fn stored(&self, at: i64) -> u64 {
+    fn stored_version(&self, at: i64) -> u64 {
         u64::from(at >= self.change_ms)
     }
 
-    fn at(&self, ms: i64) -> Instant {
+    fn instant(&self, ms: i64) -> Instant {
         self.start + Duration::from_millis(ms as u64)
     }
 
@@ -152,14 +152,14 @@
     }
 
     fn step(&mut self, n: usize, now: i64, in_force: Duration) {
-        let (at, role) = (self.at(now), self.role(n, in_force));
+        let (at, role) = (self.instant(now), self.role(n, in_force));
         if self.followers[n].has_crashed {
             return;
         }
         if let Some(watch) = self.followers[n].watch {
-            self.wait(n, now, watch);
+            self.advance_watch(n, now, watch);
         }
-        let is_out = self.is_out(now);
+        let is_out = self.is_during_outage(now);
         let outage = self.outage;
         let follower = &mut self.followers[n];
         if follower.subscription.check_cancel(at, role).is_some() {
@@ -170,7 +170,7 @@
         }
         let call = follower.subscription.start_watch(at, role);
         if is_out && outage.mode == OutageMode::Refuse {
-            follower.fail(now, WatchFailure::Refused);
+            follower.record_failure(now, WatchFailure::Refused);
             return;
         }
         let is_lost =
@@ -187,16 +187,17 @@
     }
 
     /// What becomes of a watch that waits.
-    fn wait(&mut self, n: usize, now: i64, mut watch: Watch) {
-        let (at, stored, is_out) = (self.at(now), self.stored(now), self.is_out(now));
+    fn advance_watch(&mut self, n: usize, now: i64, mut watch: Watch) {
+        let (at, stored, is_out) =
+            (self.instant(now), self.stored_version(now), self.is_during_outage(now));
         let silence = self.outage.mode;
         let follower = &mut self.followers[n];
         if is_out && silence == OutageMode::Refuse {
-            follower.fail(now, WatchFailure::Refused);
+            follower.record_failure(now, WatchFailure::Refused);
             return;
         }
         if now - watch.started_ms >= watch.timeout_ms {
-            follower.fail(now, WatchFailure::Unanswered);
+            follower.record_failure(now, WatchFailure::Unanswered);
             return;
         }
         let is_due = stored > watch.known_version || now - watch.started_ms >= watch.wait_ms;
@@ -218,8 +219,8 @@
     }
 
     /// Everybody tells everybody, and fetches what is newer.
-    fn tell(&mut self, now: i64) {
-        let at = self.at(now);
+    fn exchange_reports(&mut self, now: i64) {
+        let at = self.instant(now);
         for n in 0..INSTANCES {
             let follower = &self.followers[n];
             let age = follower.subscription.own_age(at).filter(|_| !follower.has_crashed);
@@ -233,7 +234,7 @@
         for n in 0..INSTANCES {
             let others = (0..INSTANCES).filter(|m| *m != n).filter_map(|m| self.reports[m]);
             let others: Vec<_> =
-                others.map(|told| (told, self.at(told.confirmed_ms.max(0)))).collect();
+                others.map(|told| (told, self.instant(told.confirmed_ms.max(0)))).collect();
             let follower = &mut self.followers[n];
             for (told, as_of) in others {
                 if told.version >= follower.version {
@@ -246,7 +247,7 @@
 }
 
 impl Follower {
-    fn fail(&mut self, now: i64, failure: WatchFailure) {
+    fn record_failure(&mut self, now: i64, failure: WatchFailure) {
         self.watch = None;
         if self.subscription.record_failure(failure) {
             self.has_store = false;
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -118,7 +118,7 @@
                     for changes in [-60, 30, lasts / 2, lasts + 20, lasts + 1000, lasts + 2900] {
                         let outage = Outage { start_ms: begins, duration_ms: lasts, mode: silence };
                         let mut fleet = Simulation::new(outage, dies, begins + changes);
-                        if let Err(late) = fleet.play(IN_FORCE, RECOVERY) {
+                        if let Err(late) = fleet.run(IN_FORCE, RECOVERY) {
                             panic!("{outage:?}, first dies {dies:?}, change {changes}: {late}");
                         }
                         played += 1;
