--- a/oxbowbend-core/tests/reachability.rs
+++ b/oxbowbend-core/tests/reachability.rs
@@ -31,7 +31,7 @@
 }
 
 /// What each instance hears after a second of beats over these links.
-fn reaches(links: Links) -> Vec<Reachability> {
+fn reachabilities(links: Links) -> Vec<Reachability> {
     let start = Instant::now();
     let mut cells: Vec<Cell> = (0..INSTANCES).map(|n| cell(&format!("i{n}"), &[])).collect();
     let mut reaches = Vec::new();
@@ -52,7 +52,7 @@
 }
 
 /// What all instances admit together, each as much as it may, from this one on.
-fn admitted(links: Links, reaches: &[Reachability], first: usize) -> u64 {
+fn total_admitted(links: Links, reaches: &[Reachability], first: usize) -> u64 {
     let now = Instant::now();
     let mut quotas: Vec<Quotas> = reaches
         .iter()
@@ -77,28 +77,29 @@
 /// Two accounts flooded while one of six instances was cut off from three of the others, and the two between
 /// them admitted next to nothing: the sides used 5 and 3 sixths of the quota.
 #[test]
-fn no_cut_lets_a_quota_be_passed() {
+fn no_partition_exceeds_a_quota() {
     for links in Links::all() {
-        let reaches = reaches(links);
+        let reaches = reachabilities(links);
         for first in 0..INSTANCES {
-            let sum = admitted(links, &reaches, first);
+            let sum = total_admitted(links, &reaches, first);
             assert!(sum <= 1000, "{sum} of 1,000 over links {:010b} from {first}", links.0);
         }
     }
 }
 
 #[test]
-fn sides_that_do_not_hear_each_other_use_their_parts() {
+fn sides_of_a_partition_use_their_own_shares() {
     // Instances 0 and 1 hear each other, and so do 2 to 4.
     let links = Links(0b1100100001);
-    let parts: Vec<_> = reaches(links).into_iter().map(|r| (r.reachable, r.covered)).collect();
+    let parts: Vec<_> =
+        reachabilities(links).into_iter().map(|r| (r.reachable, r.covered)).collect();
     assert_eq!(parts, [(1, 1), (1, 1), (2, 2), (2, 2), (2, 2)]);
     let whole = Links((1 << 10) - 1);
-    assert!(reaches(whole).iter().all(|r| *r == Reachability { reachable: 4, covered: 4 }));
+    assert!(reachabilities(whole).iter().all(|r| *r == Reachability { reachable: 4, covered: 4 }));
 }
 
 #[test]
-fn one_that_has_just_heard_of_an_instance_takes_nothing_away_yet() {
+fn a_peer_is_uncovered_only_after_a_delay() {
     let now = Instant::now();
     let (mut a, mut b, mut c) = (cell("a", &[]), cell("b", &[]), cell("c", &[]));
     // `b` hears `c`, and `a` hears `b` alone.
