--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -62,19 +62,19 @@
 
     /// What this instance hears of other cells as its cell's representative.
     pub fn remote_instances(&self, now: Instant) -> RemoteInstances {
-        let mut beyond = RemoteInstances::default();
+        let mut total = RemoteInstances::default();
         for report in self.remote_reports(now).filter(|r| r.is_representative) {
-            beyond.reachable += report.reachable_count.unwrap_or(1);
-            beyond.ready += report.cell_ready;
+            total.reachable += report.reachable_count.unwrap_or(1);
+            total.ready += report.cell_ready;
         }
-        beyond
+        total
     }
 
     /// What this instance knows of other cells from its representatives, the last one included: one that has just
     /// started or stepped in hears of the others 0.3 s later, and until then says that there are none.
     pub fn reported_remote_instances(&self, now: Instant) -> RemoteInstances {
-        let told = self.peers.values().filter_map(|p| p.live_remote_instances(now, PEER_TTL));
-        told.max_by_key(|beyond| beyond.reachable).unwrap_or_default()
+        let summaries = self.peers.values().filter_map(|p| p.live_remote_instances(now, PEER_TTL));
+        summaries.max_by_key(|instances| instances.reachable).unwrap_or_default()
     }
 
     /// Where representatives of other cells are, as instances of this cell and of others have told.
--- a/oxbowbend-core/src/cell/health.rs
+++ b/oxbowbend-core/src/cell/health.rs
@@ -35,12 +35,12 @@
 
 impl Health {
     /// Notes outcomes.
-    pub fn record(&mut self, now: Instant, good: u32, bad: u32) {
-        if good + bad == 0 {
+    pub fn record(&mut self, now: Instant, successes: u32, failures: u32) {
+        if successes + failures == 0 {
             return;
         }
-        self.outcomes.push_back((now, good, bad));
-        self.probation_successes += good;
+        self.outcomes.push_back((now, successes, failures));
+        self.probation_successes += successes;
         if self.is_on_probation && self.probation_successes >= PROBATION_SUCCESSES {
             self.is_on_probation = false;
             self.ejection_count = 0;
@@ -52,21 +52,23 @@
         while self.outcomes.front().is_some_and(|(t, ..)| now.duration_since(*t) > OUTCOME_WINDOW) {
             self.outcomes.pop_front();
         }
-        let good: u32 = self.outcomes.iter().map(|(_, g, _)| g).sum();
-        let bad: u32 = self.outcomes.iter().map(|(.., b)| b).sum();
-        let least = if self.is_on_probation { PROBATION_FAILURES } else { MIN_FAILURES };
-        bad >= least && f64::from(bad) >= FAILURE_RATIO * f64::from(good + bad)
+        let successes: u32 = self.outcomes.iter().map(|(_, g, _)| g).sum();
+        let failures: u32 = self.outcomes.iter().map(|(.., b)| b).sum();
+        let min_failures = if self.is_on_probation { PROBATION_FAILURES } else { MIN_FAILURES };
+        failures >= min_failures
+            && f64::from(failures) >= FAILURE_RATIO * f64::from(successes + failures)
     }
 
     /// Sets the endpoint aside; returns for how long.
     pub fn eject(&mut self, now: Instant) -> Duration {
-        let pause = (BASE_EJECTION_TIME * (1 << self.ejection_count.min(4))).min(MAX_EJECTION_TIME);
+        let duration =
+            (BASE_EJECTION_TIME * (1 << self.ejection_count.min(4))).min(MAX_EJECTION_TIME);
         self.ejection_count += 1;
         self.is_on_probation = true;
         self.probation_successes = 0;
-        self.ejected_until = Some(now + pause);
+        self.ejected_until = Some(now + duration);
         self.outcomes.clear();
-        pause
+        duration
     }
 
     /// Whether the endpoint is set aside now.
--- a/oxbowbend-core/src/cell/layout.rs
+++ b/oxbowbend-core/src/cell/layout.rs
@@ -40,61 +40,62 @@
 impl CellLayout {
     /// The cell of instance `me` in a fleet that is split into cells of `size` instances at most.
     pub fn compute(
-        me: &InstanceId,
+        local_id: &InstanceId,
         members: &BTreeMap<InstanceId, ZoneId>,
         endpoints: &[Endpoint],
-        size: usize,
+        max_size: usize,
     ) -> CellLayout {
-        let cells = members.len().div_ceil(size.max(1)).max(1);
+        let cell_count = members.len().div_ceil(max_size.max(1)).max(1);
         let mut cell_of = BTreeMap::new();
         for names in members_by_zone(members).values() {
-            for (at, name) in names.iter().enumerate() {
-                cell_of.insert(*name, at * cells / names.len());
+            for (position, name) in names.iter().enumerate() {
+                cell_of.insert(*name, position * cell_count / names.len());
             }
         }
-        let mine = cell_of.get(me).copied().unwrap_or(0);
-        let peers = cell_of.iter().filter(|(name, cell)| **cell == mine && **name != me);
-        let shared = find_shared_services(cells, endpoints);
+        let cell_index = cell_of.get(local_id).copied().unwrap_or(0);
+        let peers =
+            cell_of.iter().filter(|(name, cell)| **cell == cell_index && **name != local_id);
+        let shared_services = find_shared_services(cell_count, endpoints);
         CellLayout {
             peers: peers.map(|(name, _)| (*name).clone()).collect(),
-            endpoints: endpoints_of_cell(mine, cells, endpoints, &shared),
-            cell_count: cells,
-            cell_index: mine,
-            shared_services: shared,
+            endpoints: endpoints_of_cell(cell_index, cell_count, endpoints, &shared_services),
+            cell_count,
+            cell_index,
+            shared_services,
         }
     }
 }
 
 /// Services with too few endpoints to be dealt out.
-fn find_shared_services(cells: usize, endpoints: &[Endpoint]) -> BTreeSet<ServiceId> {
+fn find_shared_services(cell_count: usize, endpoints: &[Endpoint]) -> BTreeSet<ServiceId> {
     let mut services: BTreeMap<&ServiceId, usize> = BTreeMap::new();
     for endpoint in endpoints {
         *services.entry(&endpoint.service).or_default() += 1;
     }
-    let few = services.into_iter().filter(|(_, n)| *n < cells * MIN_ENDPOINTS_PER_CELL);
+    let few = services.into_iter().filter(|(_, n)| *n < cell_count * MIN_ENDPOINTS_PER_CELL);
     few.map(|(service, _)| service.clone()).collect()
 }
 
 fn endpoints_of_cell(
-    mine: usize,
-    cells: usize,
+    cell_index: usize,
+    cell_count: usize,
     endpoints: &[Endpoint],
-    shared: &BTreeSet<ServiceId>,
+    shared_services: &BTreeSet<ServiceId>,
 ) -> Vec<Endpoint> {
     let mut by_zone: BTreeMap<_, Vec<&Endpoint>> = BTreeMap::new();
     for endpoint in endpoints {
         by_zone.entry((&endpoint.service, &endpoint.zone)).or_default().push(endpoint);
     }
     let mut own = Vec::new();
-    for ((service, zone), part) in by_zone {
-        if shared.contains(service) {
-            own.extend(part.into_iter().cloned());
+    for ((service, zone), group) in by_zone {
+        if shared_services.contains(service) {
+            own.extend(group.into_iter().cloned());
             continue;
         }
         own.extend(
-            distribute(cells, zone, part)
+            distribute(cell_count, zone, group)
                 .into_iter()
-                .filter(|(_, c)| *c == mine)
+                .filter(|(_, cell)| *cell == cell_index)
                 .map(|(e, _)| e.clone()),
         );
     }
@@ -105,25 +106,27 @@
 /// first one that has room, so that one that comes or goes moves few others: what runs at an endpoint
 /// that changes its cell is not known to the new one.
 fn distribute<'a>(
-    cells: usize,
+    cell_count: usize,
     zone: &ZoneId,
     mut endpoints: Vec<&'a Endpoint>,
 ) -> Vec<(&'a Endpoint, usize)> {
-    let (each, more) = (endpoints.len() / cells, endpoints.len() % cells);
+    let (base, extra) = (endpoints.len() / cell_count, endpoints.len() % cell_count);
     // Cells that get one more, other ones in each zone.
-    let mut order: Vec<usize> = (0..cells).collect();
+    let mut order: Vec<usize> = (0..cell_count).collect();
     order.sort_by_key(|cell| cell_hash(zone, *cell));
-    let mut room = vec![each; cells];
-    order.iter().take(more).for_each(|cell| room[*cell] += 1);
+    let mut room = vec![base; cell_count];
+    order.iter().take(extra).for_each(|cell| room[*cell] += 1);
     endpoints.sort_by_key(|e| xxh3_64(e.id.as_bytes()));
-    let mut dealt = Vec::with_capacity(endpoints.len());
+    let mut assigned = Vec::with_capacity(endpoints.len());
     for endpoint in endpoints {
-        let open = (0..cells).filter(|cell| room[*cell] > 0);
-        let Some(cell) = open.min_by_key(|cell| cell_hash(&endpoint.id, *cell)) else { continue };
+        let candidates = (0..cell_count).filter(|cell| room[*cell] > 0);
+        let Some(cell) = candidates.min_by_key(|cell| cell_hash(&endpoint.id, *cell)) else {
+            continue;
+        };
         room[cell] -= 1;
-        dealt.push((endpoint, cell));
+        assigned.push((endpoint, cell));
     }
-    dealt
+    assigned
 }
 
 fn cell_hash(name: &str, cell: usize) -> u64 {
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -191,16 +191,16 @@
 impl Cell {
     /// Starts with no endpoints and no other instances. `life` is a random number that tells this
     /// life from others of the same name.
-    pub fn new(me: InstanceId, zone: ZoneId, life: u64) -> Cell {
+    pub fn new(local_id: InstanceId, zone: ZoneId, incarnation: u64) -> Cell {
         Cell {
-            limits: limits::Limits::new(&me),
+            limits: limits::Limits::new(&local_id),
             leaving: leaving::Leaving::default(),
             rests: rests::Rests::default(),
             shared_services: BTreeSet::new(),
             listed_endpoints: HashSet::new(),
-            local_id: me,
+            local_id,
             zone,
-            incarnation: life,
+            incarnation,
             sequence: 0,
             endpoints: BTreeMap::new(),
             waiting: BTreeMap::new(),
@@ -224,12 +224,12 @@
     /// further requests, but are told to have those that still run there: they may be in another cell. Of one
     /// that has started again nothing is known, and nothing runs there.
     pub fn set_endpoints(&mut self, endpoints: impl IntoIterator<Item = Endpoint>) {
-        let mut old = std::mem::take(&mut self.endpoints);
+        let mut previous = std::mem::take(&mut self.endpoints);
         let mut ids = HashSet::new();
         for endpoint in endpoints {
             ids.insert(endpoint.id.clone());
-            let site = match old.remove(&endpoint.key()) {
-                Some(site) => EndpointState { endpoint, ..site },
+            let state = match previous.remove(&endpoint.key()) {
+                Some(state) => EndpointState { endpoint, ..state },
                 None => EndpointState {
                     hash: xxh3_64(endpoint.id.as_bytes()),
                     endpoint,
@@ -243,21 +243,21 @@
                     last_answer: None,
                 },
             };
-            self.endpoints.insert(site.endpoint.key(), site);
+            self.endpoints.insert(state.endpoint.key(), state);
         }
-        let is_elsewhere =
-            |site: &EndpointState| site.running > 0 && !ids.contains(&site.endpoint.id);
-        for (key, mut site) in old.into_iter().filter(|(_, site)| is_elsewhere(site)) {
-            site.endpoint.leaving = true;
-            self.endpoints.insert(key, site);
+        let is_still_used =
+            |state: &EndpointState| state.running > 0 && !ids.contains(&state.endpoint.id);
+        for (key, mut state) in previous.into_iter().filter(|(_, state)| is_still_used(state)) {
+            state.endpoint.leaving = true;
+            self.endpoints.insert(key, state);
         }
     }
 
     /// What to tell the others, but for what only the caller knows: revision, version, address and
     /// peers.
-    pub fn report(&mut self, now: Instant, extent: ReportDetail) -> Report {
+    pub fn report(&mut self, now: Instant, detail: ReportDetail) -> Report {
         self.sequence += 1;
-        let mention = match extent {
+        let period = match detail {
             ReportDetail::Loads => Duration::ZERO,
             ReportDetail::Changes => CHANGED_STATS_PERIOD,
             ReportDetail::Full => FULL_STATS_PERIOD,
@@ -269,10 +269,10 @@
             pending_prompt_tokens: s.pending_prompt_tokens,
         };
         let loads = running.map(load).collect();
-        let lately =
-            |s: &EndpointState| s.last_used.is_some_and(|t| now.duration_since(t) < mention);
-        let used = self.endpoints.iter().filter(|(_, s)| lately(s));
-        let tallies = used.map(|(key, s)| {
+        let is_recent =
+            |s: &EndpointState| s.last_used.is_some_and(|t| now.duration_since(t) < period);
+        let recent = self.endpoints.iter().filter(|(_, s)| is_recent(s));
+        let endpoint_stats = recent.map(|(key, s)| {
             let (ns_per_unit, samples) = s.pace.as_parts();
             EndpointStats {
                 endpoint: *key,
@@ -282,11 +282,11 @@
                 samples,
             }
         });
-        let tallies = tallies.collect();
+        let endpoint_stats = endpoint_stats.collect();
         let mut waiting: Vec<_> = self.waiting.values().collect();
         waiting.sort_by_key(|w| self.order(now, w));
-        let is_beat = extent != ReportDetail::Loads;
-        let claims = waiting.into_iter().take(MAX_REPORTED_WAITING).map(|w| WaitingRequest {
+        let is_heartbeat = detail != ReportDetail::Loads;
+        let reported = waiting.into_iter().take(MAX_REPORTED_WAITING).map(|w| WaitingRequest {
             service: w.service.clone(),
             rank: w.rank,
             waited_ms: now.saturating_duration_since(w.arrived_at).as_millis() as u32,
@@ -300,15 +300,15 @@
             zone: self.zone.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
-            has_all_counters: extent == ReportDetail::Full,
-            reachable_count: is_beat.then_some(self.reachable_count),
-            reachable_filter: is_beat.then_some(self.reachable_filter),
+            has_all_counters: detail == ReportDetail::Full,
+            reachable_count: is_heartbeat.then_some(self.reachable_count),
+            reachable_filter: is_heartbeat.then_some(self.reachable_filter),
             loads,
-            endpoint_stats: tallies,
-            waiting: claims.collect(),
+            endpoint_stats,
+            waiting: reported.collect(),
             ..Report::default()
         };
-        if is_beat {
+        if is_heartbeat {
             report.endpoint_notices = self.tell_of_endpoints(now);
         }
         report
@@ -321,16 +321,16 @@
     }
 
     /// Brings in a request that waits for a place.
-    pub fn enqueue(&mut self, want: QueuedRequest) -> Ticket {
+    pub fn enqueue(&mut self, request: QueuedRequest) -> Ticket {
         self.next_ticket += 1;
-        self.waiting.insert(self.next_ticket, want);
+        self.waiting.insert(self.next_ticket, request);
         self.next_ticket
     }
 
     /// Lets what waits for a service wait for another one.
     pub fn change_service(&mut self, from: &ServiceId, to: &ServiceId) {
-        let waiting = self.waiting.values_mut().filter(|want| want.service == *from);
-        waiting.for_each(|want| want.service = to.clone());
+        let waiting = self.waiting.values_mut().filter(|request| request.service == *from);
+        waiting.for_each(|request| request.service = to.clone());
     }
 
     /// Whether this cell has an endpoint of a service that takes requests.
@@ -348,10 +348,10 @@
 
     /// Whether a request that waits here is not to get a place in time.
     pub fn should_shed(&mut self, now: Instant, ticket: Ticket) -> bool {
-        let Some(want) = self.waiting.get(&ticket) else { return false };
-        let (service, rank) = (want.service.clone(), want.rank);
-        let alike = self.waiting.values().filter(|w| w.rank == rank && w.service == service);
-        let others = alike.count() - 1;
+        let Some(request) = self.waiting.get(&ticket) else { return false };
+        let (service, rank) = (request.service.clone(), request.rank);
+        let same_class = self.waiting.values().filter(|w| w.rank == rank && w.service == service);
+        let others = same_class.count() - 1;
         self.shedding.should_shed(now, &service, rank, others)
     }
 
@@ -363,10 +363,10 @@
         rank: u16,
         patience: Patience,
     ) -> RetryAfter {
-        let refused = self.shedding.refused(now, service, rank, patience);
+        let retry = self.shedding.refused(now, service, rank, patience);
         match self.opens_in(now, service) {
-            Some(opens_in) => refused.not_before(opens_in, patience),
-            None => refused,
+            Some(opens_in) => retry.not_before(opens_in, patience),
+            None => retry,
         }
     }
 
@@ -381,57 +381,64 @@
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
-        prompt: u32,
+        prompt_tokens: u32,
         backlog: u32,
-        first: Duration,
+        time_to_first_event: Duration,
     ) {
-        if let Some(site) = self.endpoints.get_mut(&endpoint) {
-            site.pending_prompt_tokens = site.pending_prompt_tokens.saturating_sub(prompt);
-            site.pace.learn(prompt.saturating_add(backlog), first);
-            (site.last_used, site.last_answer) = (Some(now), Some(now));
+        if let Some(state) = self.endpoints.get_mut(&endpoint) {
+            state.pending_prompt_tokens = state.pending_prompt_tokens.saturating_sub(prompt_tokens);
+            state.pace.learn(prompt_tokens.saturating_add(backlog), time_to_first_event);
+            (state.last_used, state.last_answer) = (Some(now), Some(now));
         }
     }
 
     /// Notes that a request sent at `since` has had no answer for longer than expected. That speaks against the
     /// endpoint if it has answered nobody here meanwhile; else it may be the request.
-    pub fn record_slow_response(&mut self, now: Instant, endpoint: EndpointKey, since: Instant) {
-        let answered = self.endpoints.get(&endpoint).and_then(|site| site.last_answer);
-        if answered.is_none_or(|at| at <= since) {
+    pub fn record_slow_response(&mut self, now: Instant, endpoint: EndpointKey, sent_at: Instant) {
+        let last_answer = self.endpoints.get(&endpoint).and_then(|state| state.last_answer);
+        if last_answer.is_none_or(|at| at <= sent_at) {
             self.record_outcome(now, endpoint, Outcome::Bad);
         }
     }
 
     /// Ends a run; `unread` are the tokens of its prompt if there was no first event.
-    pub fn finish(&mut self, now: Instant, endpoint: EndpointKey, unread: u32, outcome: Outcome) {
-        let Some(site) = self.endpoints.get_mut(&endpoint) else { return };
-        site.running = site.running.saturating_sub(1);
-        site.pending_prompt_tokens = site.pending_prompt_tokens.saturating_sub(unread);
+    pub fn finish(
+        &mut self,
+        now: Instant,
+        endpoint: EndpointKey,
+        pending_prompt_tokens: u32,
+        outcome: Outcome,
+    ) {
+        let Some(state) = self.endpoints.get_mut(&endpoint) else { return };
+        state.running = state.running.saturating_sub(1);
+        state.pending_prompt_tokens =
+            state.pending_prompt_tokens.saturating_sub(pending_prompt_tokens);
         self.record_outcome(now, endpoint, outcome);
     }
 
     /// Notes what a run that goes on says of its endpoint.
     pub fn record_outcome(&mut self, now: Instant, endpoint: EndpointKey, outcome: Outcome) {
-        let Some(site) = self.endpoints.get_mut(&endpoint) else { return };
-        let (good, bad) = match outcome {
+        let Some(state) = self.endpoints.get_mut(&endpoint) else { return };
+        let (successes, failures) = match outcome {
             Outcome::Good => (1, 0),
             Outcome::Bad => (0, 1),
             Outcome::Neutral | Outcome::Absent => (0, 0),
         };
-        if outcome == Outcome::Absent && !site.health.is_ejected(now) {
-            let pause = site.health.eject(now);
-            self.ejections.push(Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
+        if outcome == Outcome::Absent && !state.health.is_ejected(now) {
+            let duration = state.health.eject(now);
+            self.ejections.push(Ejection { endpoint: state.endpoint.id.clone(), duration });
             return;
         }
-        site.last_used = Some(now);
+        state.last_used = Some(now);
         if outcome == Outcome::Good {
-            site.last_answer = Some(now);
+            state.last_answer = Some(now);
         }
-        if bad > 0 {
+        if failures > 0 {
             self.last_failure = Some(now);
         }
-        site.successes += u64::from(good);
-        site.failures += u64::from(bad);
-        site.health.record(now, good, bad);
+        state.successes += u64::from(successes);
+        state.failures += u64::from(failures);
+        state.health.record(now, successes, failures);
     }
 
     /// The paces of all endpoints that are known, to note for later lives.
@@ -443,9 +450,9 @@
 
     /// Starts from a pace that an earlier life noted, unless there is a measurement.
     pub fn restore_pace(&mut self, endpoint: EndpointKey, ns_per_unit: u64) {
-        let site = self.endpoints.get_mut(&endpoint).filter(|s| s.pace.as_parts().1 == 0);
-        if let Some(site) = site {
-            site.pace = pace::Pace::reported(ns_per_unit, RESTORED_SAMPLES);
+        let state = self.endpoints.get_mut(&endpoint).filter(|s| s.pace.as_parts().1 == 0);
+        if let Some(state) = state {
+            state.pace = pace::Pace::reported(ns_per_unit, RESTORED_SAMPLES);
         }
     }
 
@@ -456,9 +463,9 @@
 
     /// Requests at an endpoint, of all instances that are heard.
     pub fn load(&self, now: Instant, endpoint: EndpointKey) -> u32 {
-        let mine = self.endpoints.get(&endpoint).map_or(0, |s| s.running);
+        let local = self.endpoints.get(&endpoint).map_or(0, |s| s.running);
         let loads = self.live_reports(now).flat_map(|r| &r.loads);
-        mine + loads.filter(|l| l.endpoint == endpoint).map(|l| l.running).sum::<u32>()
+        local + loads.filter(|l| l.endpoint == endpoint).map(|l| l.running).sum::<u32>()
     }
 
     fn paces(&self, now: Instant) -> HashMap<EndpointKey, f64> {
--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -107,24 +107,28 @@
     ) -> Option<RemoteInstances> {
         let is_live =
             self.fleet_summary_at.is_some_and(|at| now.saturating_duration_since(at) < ttl);
-        self.report.fleet_summary.as_ref().filter(|_| is_live).map(|view| view.remote_instances)
+        self.report
+            .fleet_summary
+            .as_ref()
+            .filter(|_| is_live)
+            .map(|summary| summary.remote_instances)
     }
 
     /// Takes in a report. What it leaves out stays as it was told before.
     pub(super) fn take(&mut self, now: Instant, report: Report) {
-        let before = std::mem::take(&mut self.report);
+        let previous = std::mem::take(&mut self.report);
         self.fleet_summary_at =
             if report.fleet_summary.is_some() { Some(now) } else { self.fleet_summary_at };
-        let peers = if report.representative_addresses.is_empty() {
-            before.representative_addresses
+        let representative_addresses = if report.representative_addresses.is_empty() {
+            previous.representative_addresses
         } else {
             report.representative_addresses.clone()
         };
         self.report = Report {
-            reachable_count: report.reachable_count.or(before.reachable_count),
-            reachable_filter: report.reachable_filter.or(before.reachable_filter),
-            fleet_summary: report.fleet_summary.clone().or(before.fleet_summary),
-            representative_addresses: peers,
+            reachable_count: report.reachable_count.or(previous.reachable_count),
+            reachable_filter: report.reachable_filter.or(previous.reachable_filter),
+            fleet_summary: report.fleet_summary.clone().or(previous.fleet_summary),
+            representative_addresses,
             ..report
         };
         self.last_heard = now;
@@ -138,14 +142,14 @@
 /// Takes in counters and returns by how much they have grown. Of one not seen before, all is growth
 /// unless it is the first report.
 pub(super) fn advance_counters<K: Clone + Eq + Hash>(
-    counted: &mut HashMap<K, u64>,
-    told: &[(K, u64)],
+    counters: &mut HashMap<K, u64>,
+    reported: &[(K, u64)],
     is_first: bool,
 ) -> Vec<(K, u64)> {
-    let growth = told.iter().map(|(key, units)| {
-        let old = counted.insert(key.clone(), *units);
-        let old = old.unwrap_or(if is_first { *units } else { 0 });
-        (key.clone(), units.saturating_sub(old))
+    let deltas = reported.iter().map(|(key, units)| {
+        let previous = counters.insert(key.clone(), *units);
+        let previous = previous.unwrap_or(if is_first { *units } else { 0 });
+        (key.clone(), units.saturating_sub(previous))
     });
-    growth.collect()
+    deltas.collect()
 }
--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -46,8 +46,8 @@
     }
 
     /// Whether all of these are among others.
-    fn is_subset_of(self, others: InstanceFilter) -> bool {
-        self.0[0] & !others.0[0] == 0 && self.0[1] & !others.0[1] == 0
+    fn is_subset_of(self, other: InstanceFilter) -> bool {
+        self.0[0] & !other.0[0] == 0 && self.0[1] & !other.0[1] == 0
     }
 }
 
@@ -56,22 +56,23 @@
     pub fn update_reachability(
         &mut self,
         now: Instant,
-        is_near: impl Fn(&InstanceId) -> bool,
+        is_same_cell: impl Fn(&InstanceId) -> bool,
     ) -> Reachability {
-        let mut names = InstanceFilter::default();
-        names.insert(&self.local_id);
-        let mut near = Vec::new();
+        let mut filter = InstanceFilter::default();
+        filter.insert(&self.local_id);
+        let mut peers = Vec::new();
         for peer in self.peers.values_mut().filter(|p| p.is_live(now, PEER_TTL)) {
-            if is_near(&peer.report.instance) {
-                names.insert(&peer.report.instance);
-                near.push(peer);
+            if is_same_cell(&peer.report.instance) {
+                filter.insert(&peer.report.instance);
+                peers.push(peer);
             }
         }
-        let heard = near.len();
-        let covered = near.into_iter().filter_map(|p| (!p.is_uncovered(now, names)).then_some(()));
+        let reachable = peers.len();
+        let covered =
+            peers.into_iter().filter_map(|p| (!p.is_uncovered(now, filter)).then_some(()));
         let covered = covered.count();
-        (self.reachable_filter, self.reachable_count) = (names, heard as u32 + 1);
-        Reachability { reachable: heard, covered }
+        (self.reachable_filter, self.reachable_count) = (filter, reachable as u32 + 1);
+        Reachability { reachable, covered }
     }
 
     /// Instances of the cell that are heard, this one included.
@@ -82,8 +83,8 @@
 
 impl super::peer::Peer {
     /// Whether it has long heard somebody who is not among these.
-    fn is_uncovered(&mut self, now: Instant, names: InstanceFilter) -> bool {
-        if self.report.reachable_filter.unwrap_or_default().is_subset_of(names) {
+    fn is_uncovered(&mut self, now: Instant, reachable: InstanceFilter) -> bool {
+        if self.report.reachable_filter.unwrap_or_default().is_subset_of(reachable) {
             self.uncovered_since = None;
             return false;
         }
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -68,18 +68,18 @@
 impl DeltaContext {
     fn deltas<K: Clone + Eq + Hash>(
         self,
-        counted: &mut CounterBaselines<K>,
-        told: ReportedCounters<'_, K>,
+        baselines: &mut CounterBaselines<K>,
+        reported: ReportedCounters<'_, K>,
     ) -> CounterDeltas<K> {
-        let own = advance_counters(&mut counted.own, told.own, self.is_first_own);
-        let cell = advance_counters(&mut counted.cell, told.cell, self.is_first_cell);
+        let own = advance_counters(&mut baselines.own, reported.own, self.is_first_own);
+        let cell = advance_counters(&mut baselines.cell, reported.cell, self.is_first_cell);
         if !self.is_same_cell {
             return CounterDeltas {
                 own_cell: Vec::new(),
                 other_cells: if self.is_totals_source { cell } else { Vec::new() },
             };
         }
-        let fleet = advance_counters(&mut counted.fleet, told.fleet, self.is_first_fleet);
+        let fleet = advance_counters(&mut baselines.fleet, reported.fleet, self.is_first_fleet);
         CounterDeltas {
             own_cell: own,
             other_cells: if self.is_totals_source { fleet } else { Vec::new() },
@@ -94,38 +94,38 @@
         &mut self,
         now: Instant,
         report: Report,
-        is_near: bool,
+        is_same_cell: bool,
     ) -> Option<ReportDeltas> {
         if report.instance == self.local_id {
             return None;
         }
-        let before = self.peers.remove(&report.instance);
-        let before = before.or_else(|| self.remote_peers.remove(&report.instance));
-        let before = before.filter(|b| b.report.incarnation == report.incarnation);
-        if let Some(before) = before.as_ref().filter(|b| b.report.sequence >= report.sequence) {
-            self.peers_mut(is_near).insert(report.instance, before.clone());
+        let previous = self.peers.remove(&report.instance);
+        let previous = previous.or_else(|| self.remote_peers.remove(&report.instance));
+        let previous = previous.filter(|p| p.report.incarnation == report.incarnation);
+        if let Some(previous) = previous.as_ref().filter(|p| p.report.sequence >= report.sequence) {
+            self.peers_mut(is_same_cell).insert(report.instance, previous.clone());
             return None;
         }
-        let mut peer = before.unwrap_or_else(|| Peer::new(now));
-        if is_near {
+        let mut peer = previous.unwrap_or_else(|| Peer::new(now));
+        if is_same_cell {
             self.apply_endpoint_stats(now, &mut peer, &report);
         }
-        let heard = self.counter_deltas(now, &mut peer, &report, is_near);
-        self.hear_of_endpoints(now, &report.endpoint_notices, is_near);
+        let deltas = self.counter_deltas(now, &mut peer, &report, is_same_cell);
+        self.hear_of_endpoints(now, &report.endpoint_notices, is_same_cell);
         if !report.is_representative {
             (peer.cell_totals_at, peer.fleet_totals_at) = (None, None);
-        } else if !is_near {
+        } else if !is_same_cell {
             peer.cell_totals_at = Some(now);
         } else if report.fleet_summary.is_some() {
             peer.fleet_totals_at = Some(now);
         }
         peer.take(now, report);
-        self.peers_mut(is_near).insert(peer.report.instance.clone(), peer);
-        Some(heard)
+        self.peers_mut(is_same_cell).insert(peer.report.instance.clone(), peer);
+        Some(deltas)
     }
 
-    fn peers_mut(&mut self, is_near: bool) -> &mut HashMap<InstanceId, Peer> {
-        match is_near {
+    fn peers_mut(&mut self, is_same_cell: bool) -> &mut HashMap<InstanceId, Peer> {
+        match is_same_cell {
             true => &mut self.peers,
             false => &mut self.remote_peers,
         }
@@ -134,17 +134,18 @@
     fn apply_endpoint_stats(&mut self, now: Instant, peer: &mut Peer, report: &Report) {
         let is_first = !peer.has_outcome_baseline;
         peer.has_outcome_baseline |= report.has_all_counters;
-        for tally in &report.endpoint_stats {
-            let told = (tally.successes, tally.failures);
-            let pace = pace::Pace::reported(tally.ns_per_unit, tally.samples);
-            peer.paces.insert(tally.endpoint, pace);
+        for stats in &report.endpoint_stats {
+            let reported = (stats.successes, stats.failures);
+            let pace = pace::Pace::reported(stats.ns_per_unit, stats.samples);
+            peer.paces.insert(stats.endpoint, pace);
             // What a new acquaintance has counted so far is not of now.
-            let old = peer.outcomes.insert(tally.endpoint, told);
-            let old = old.unwrap_or(if is_first { told } else { (0, 0) });
-            if let Some(site) = self.endpoints.get_mut(&tally.endpoint) {
-                let (good, bad) = (told.0.saturating_sub(old.0), told.1.saturating_sub(old.1));
-                site.health.record(now, good as u32, bad as u32);
-                self.last_failure = if bad > 0 { Some(now) } else { self.last_failure };
+            let previous = peer.outcomes.insert(stats.endpoint, reported);
+            let previous = previous.unwrap_or(if is_first { reported } else { (0, 0) });
+            if let Some(state) = self.endpoints.get_mut(&stats.endpoint) {
+                let (successes, failures) =
+                    (reported.0.saturating_sub(previous.0), reported.1.saturating_sub(previous.1));
+                state.health.record(now, successes as u32, failures as u32);
+                self.last_failure = if failures > 0 { Some(now) } else { self.last_failure };
             }
         }
     }
@@ -155,40 +156,37 @@
         now: Instant,
         peer: &mut Peer,
         report: &Report,
-        is_near: bool,
+        is_same_cell: bool,
     ) -> ReportDeltas {
-        let lately = self.restart_totals(now, peer, report, is_near);
-        let counting = DeltaContext {
-            is_same_cell: is_near,
-            is_totals_source: self.is_totals_source(now, report, is_near),
+        let recent_units = self.restart_totals(now, peer, report, is_same_cell);
+        let context = DeltaContext {
+            is_same_cell,
+            is_totals_source: self.is_totals_source(now, report, is_same_cell),
             is_first_own: !peer.has_own_baseline,
             is_first_cell: !peer.has_cell_baseline,
             is_first_fleet: !peer.has_fleet_baseline,
         };
         peer.has_own_baseline |= report.has_all_counters;
         peer.has_cell_baseline |= report.has_all_cell_counters;
-        peer.has_fleet_baseline |=
-            is_near && report.fleet_summary.as_ref().is_some_and(|view| view.is_complete);
-        let view = report.fleet_summary.as_ref();
-        let spent = ReportedCounters {
+        peer.has_fleet_baseline |= is_same_cell
+            && report.fleet_summary.as_ref().is_some_and(|summary| summary.is_complete);
+        let summary = report.fleet_summary.as_ref();
+        let admitted_units = ReportedCounters {
             own: &report.admitted_units,
             cell: &report.cell_admitted_units,
-            fleet: view.map_or(&[], |view| &view.admitted_units),
+            fleet: summary.map_or(&[], |summary| &summary.admitted_units),
         };
         let evidence = ReportedCounters {
             own: &report.evidence,
             cell: &report.cell_evidence,
-            fleet: view.map_or(&[], |view| &view.evidence),
+            fleet: summary.map_or(&[], |summary| &summary.evidence),
         };
-        let mut spent = counting.deltas(&mut peer.admitted_units, spent);
-        if counting.is_totals_source {
-            self.record_totals(now, report, is_near);
-            spent.other_cells.extend(lately);
-        }
-        ReportDeltas {
-            admitted_units: spent,
-            evidence: counting.deltas(&mut peer.evidence, evidence),
+        let mut admitted_units = context.deltas(&mut peer.admitted_units, admitted_units);
+        if context.is_totals_source {
+            self.record_totals(now, report, is_same_cell);
+            admitted_units.other_cells.extend(recent_units);
         }
+        ReportDeltas { admitted_units, evidence: context.deltas(&mut peer.evidence, evidence) }
     }
 
     /// Whether a report begins to tell sums that another one has told before: then the counters start anew, and what
@@ -200,33 +198,35 @@
         now: Instant,
         peer: &mut Peer,
         report: &Report,
-        is_near: bool,
+        is_same_cell: bool,
     ) -> Vec<(AccountId, u64)> {
-        let since = |at: Instant| now.saturating_duration_since(at);
-        let is_going_on = |at: Option<Instant>| at.is_some_and(|at| since(at) < TOTALS_TIMEOUT);
-        if is_near {
-            let Some(view) =
-                report.fleet_summary.as_ref().filter(|_| !is_going_on(peer.fleet_totals_at))
+        let age = |at: Instant| now.saturating_duration_since(at);
+        let is_current = |at: Option<Instant>| at.is_some_and(|at| age(at) < TOTALS_TIMEOUT);
+        if is_same_cell {
+            let Some(summary) =
+                report.fleet_summary.as_ref().filter(|_| !is_current(peer.fleet_totals_at))
             else {
                 return Vec::new();
             };
             peer.reset_fleet_baseline();
             // Until it stepped down, this instance heard the other cells itself.
-            let last = self.fleet_totals_at.max(self.cell_totals_at.values().copied().max());
-            return units_admitted_within(&view.recent_units, last.map(since));
+            let last_totals_at =
+                self.fleet_totals_at.max(self.cell_totals_at.values().copied().max());
+            return units_admitted_within(&summary.recent_units, last_totals_at.map(age));
         }
-        if !report.is_representative || is_going_on(peer.cell_totals_at) {
+        if !report.is_representative || is_current(peer.cell_totals_at) {
             return Vec::new();
         }
         peer.reset_cell_baseline();
         // Until it stepped in, this instance was told of all other cells.
-        let last = self.cell_totals_at.get(&report.cell_index).copied().max(self.fleet_totals_at);
-        units_admitted_within(&report.cell_recent_units, last.map(since))
+        let last_totals_at =
+            self.cell_totals_at.get(&report.cell_index).copied().max(self.fleet_totals_at);
+        units_admitted_within(&report.cell_recent_units, last_totals_at.map(age))
     }
 
     /// Notes that sums were counted.
-    fn record_totals(&mut self, now: Instant, report: &Report, is_near: bool) {
-        if !is_near {
+    fn record_totals(&mut self, now: Instant, report: &Report, is_same_cell: bool) {
+        if !is_same_cell {
             self.cell_totals_at.insert(report.cell_index, now);
         } else if report.fleet_summary.is_some() {
             self.fleet_totals_at = Some(now);
@@ -235,10 +235,13 @@
 
     /// Whether the sums that a report tells are counted here: a representative hears of the other cells from theirs,
     /// and all others from their own one. While a cell has two, both tell the same.
-    fn is_totals_source(&self, now: Instant, report: &Report, is_near: bool) -> bool {
-        let first = self.representative(now).map(|r| &r.instance);
-        let is_first = first.is_none_or(|first| *first >= report.instance);
-        report.is_representative && is_near != self.is_representative && (!is_near || is_first)
+    fn is_totals_source(&self, now: Instant, report: &Report, is_same_cell: bool) -> bool {
+        let representative = self.representative(now).map(|r| &r.instance);
+        let is_first =
+            representative.is_none_or(|representative| *representative >= report.instance);
+        report.is_representative
+            && is_same_cell != self.is_representative
+            && (!is_same_cell || is_first)
     }
 
     /// Sets whether this instance represents its cell.
@@ -247,18 +250,18 @@
     }
 
     /// Sets which instances belong to this cell.
-    pub fn set_peers(&mut self, is_near: impl Fn(&InstanceId) -> bool) {
-        let (peers, others) =
+    pub fn set_peers(&mut self, is_same_cell: impl Fn(&InstanceId) -> bool) {
+        let (peers, remote_peers) =
             (std::mem::take(&mut self.peers), std::mem::take(&mut self.remote_peers));
         for (name, peer) in peers {
-            self.peers_mut(is_near(&name)).insert(name, peer);
+            self.peers_mut(is_same_cell(&name)).insert(name, peer);
         }
-        for (name, mut peer) in others {
-            let is_near = is_near(&name);
-            if is_near {
+        for (name, mut peer) in remote_peers {
+            let is_same_cell = is_same_cell(&name);
+            if is_same_cell {
                 peer.reset_own_baseline();
             }
-            self.peers_mut(is_near).insert(name, peer);
+            self.peers_mut(is_same_cell).insert(name, peer);
         }
     }
 
@@ -301,12 +304,12 @@
 
 /// Units that were admitted within a time, of what was told; none if it is not known since when.
 fn units_admitted_within(
-    lately: &[(AccountId, Lately)],
+    recent_units: &[(AccountId, Lately)],
     time: Option<Duration>,
 ) -> Vec<(AccountId, u64)> {
     let Some(time) = time else { return Vec::new() };
     let units = |(account, slots): &(AccountId, Lately)| {
         (account.clone(), admitted_within(slots, time) as u64)
     };
-    lately.iter().map(units).collect()
+    recent_units.iter().map(units).collect()
 }
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -163,8 +163,8 @@
 }
 
 impl From<(EndpointKey, u32, u32)> for EndpointLoad {
-    fn from((endpoint, running, unread): (EndpointKey, u32, u32)) -> EndpointLoad {
-        EndpointLoad { endpoint, running, pending_prompt_tokens: unread }
+    fn from((endpoint, running, pending_prompt_tokens): (EndpointKey, u32, u32)) -> EndpointLoad {
+        EndpointLoad { endpoint, running, pending_prompt_tokens }
     }
 }
 
@@ -194,14 +194,16 @@
 type EndpointStatsParts = (EndpointKey, u64, u64, u64, u32);
 
 impl From<EndpointStatsParts> for EndpointStats {
-    fn from((endpoint, good, bad, ns_per_unit, samples): EndpointStatsParts) -> EndpointStats {
-        EndpointStats { endpoint, successes: good, failures: bad, ns_per_unit, samples }
+    fn from(
+        (endpoint, successes, failures, ns_per_unit, samples): EndpointStatsParts,
+    ) -> EndpointStats {
+        EndpointStats { endpoint, successes, failures, ns_per_unit, samples }
     }
 }
 
 impl From<EndpointStats> for EndpointStatsParts {
-    fn from(t: EndpointStats) -> EndpointStatsParts {
-        (t.endpoint, t.successes, t.failures, t.ns_per_unit, t.samples)
+    fn from(stats: EndpointStats) -> EndpointStatsParts {
+        (stats.endpoint, stats.successes, stats.failures, stats.ns_per_unit, stats.samples)
     }
 }
 
--- a/oxbowbend-core/src/membership.rs
+++ b/oxbowbend-core/src/membership.rs
@@ -102,8 +102,8 @@
 
 impl Membership {
     /// Creates the view of instance `me`, which knows of nobody yet.
-    pub fn new(me: ids::InstanceId) -> Membership {
-        Membership { local_id: me, list: InstanceList::default(), suspects: BTreeSet::new() }
+    pub fn new(local_id: ids::InstanceId) -> Membership {
+        Membership { local_id, list: InstanceList::default(), suspects: BTreeSet::new() }
     }
 
     /// Takes over `list` if it is newer than the one known; says whether it was.
--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -127,8 +127,8 @@
 
 impl MismatchBackoff {
     fn following(now: Instant, last: Option<MismatchBackoff>) -> MismatchBackoff {
-        let time = last.map_or(MISMATCH_PAUSES.0, |t| t.next);
-        MismatchBackoff { until: now + time, next: (time * 2).min(MISMATCH_PAUSES.1) }
+        let pause = last.map_or(MISMATCH_PAUSES.0, |b| b.next);
+        MismatchBackoff { until: now + pause, next: (pause * 2).min(MISMATCH_PAUSES.1) }
     }
 }
 
@@ -188,12 +188,12 @@
 
     /// Notes what another instance knows: whether it is the same, and when the store told it that there was
     /// nothing newer.
-    pub fn record_peer(&mut self, now: Instant, as_of: Instant, is_same: bool) {
+    pub fn record_peer(&mut self, now: Instant, verified_at: Instant, is_same: bool) {
         if is_same {
-            self.peer_verified_at = self.peer_verified_at.max(Some(as_of));
+            self.peer_verified_at = self.peer_verified_at.max(Some(verified_at));
             self.newer_elsewhere_since = None;
             self.mismatch_backoff = None;
-        } else if Some(as_of) > self.verified_at.max(self.peer_verified_at) {
+        } else if Some(verified_at) > self.verified_at.max(self.peer_verified_at) {
             self.newer_elsewhere_since.get_or_insert(now);
         }
     }
@@ -205,7 +205,7 @@
         if pending.wait <= role.verify_interval {
             return None;
         }
-        let given_up = if self.has_missed_change(now, pending) {
+        let reason = if self.has_missed_change(now, pending) {
             self.mismatch_backoff = Some(MismatchBackoff::following(now, self.mismatch_backoff));
             CancelReason::Overtaken
         } else if self.age(now).is_none_or(|age| age >= role.max_age()) {
@@ -215,15 +215,15 @@
         };
         self.pending = None;
         self.is_probe_due = true;
-        Some(given_up)
+        Some(reason)
     }
 
     fn has_missed_change(&self, now: Instant, pending: PendingWatch) -> bool {
-        let is_late = |since: Instant| {
+        let is_overdue = |since: Instant| {
             since >= pending.started_at && now.duration_since(since) >= MISMATCH_DELAY
         };
-        self.newer_elsewhere_since.is_some_and(is_late)
-            && self.mismatch_backoff.is_none_or(|t| now >= t.until)
+        self.newer_elsewhere_since.is_some_and(is_overdue)
+            && self.mismatch_backoff.is_none_or(|b| now >= b.until)
     }
 
     /// Time since the store told this instance that there was nothing newer, to tell others.
--- a/oxbowbend-core/src/suspicion.rs
+++ b/oxbowbend-core/src/suspicion.rs
@@ -43,10 +43,14 @@
 /// assert_eq!(suspicion_delay, Duration::from_millis(400));
 /// assert_eq!(suspicion::timeout_action(suspicion_delay, Duration::from_secs(1), true), TimeoutAction::Retry);
 /// ```
-pub fn timeout_action(due: Duration, limit: Duration, is_repeatable: bool) -> TimeoutAction {
-    if due >= limit {
+pub fn timeout_action(
+    suspicion_delay: Duration,
+    time_left: Duration,
+    is_retryable: bool,
+) -> TimeoutAction {
+    if suspicion_delay >= time_left {
         TimeoutAction::Fail
-    } else if is_repeatable {
+    } else if is_retryable {
         TimeoutAction::Retry
     } else {
         TimeoutAction::MarkSuspect
