--- a/oxbowbend-core/src/suspicion.rs
+++ b/oxbowbend-core/src/suspicion.rs
@@ -28,7 +28,7 @@
 }
 
 /// Time after which an endpoint is suspected.
-pub fn suspicion_delay(expected: Duration, objective: Duration) -> Duration {
+pub fn delay(expected: Duration, objective: Duration) -> Duration {
     (expected * EXPECTED_TIME_FACTOR).max(objective).max(MIN_DELAY)
 }
 
@@ -39,9 +39,9 @@
 ///
 /// use oxbowbend_core::suspicion::{self, TimeoutAction};
 ///
-/// let suspicion_delay = suspicion::suspicion_delay(Duration::from_millis(100), Duration::from_millis(300));
-/// assert_eq!(suspicion_delay, Duration::from_millis(400));
-/// assert_eq!(suspicion::timeout_action(suspicion_delay, Duration::from_secs(1), true), TimeoutAction::Retry);
+/// let delay = suspicion::delay(Duration::from_millis(100), Duration::from_millis(300));
+/// assert_eq!(delay, Duration::from_millis(400));
+/// assert_eq!(suspicion::timeout_action(delay, Duration::from_secs(1), true), TimeoutAction::Retry);
 /// ```
 pub fn timeout_action(
     suspicion_delay: Duration,
--- a/oxbowbend-core/tests/suspicion.rs
+++ b/oxbowbend-core/tests/suspicion.rs
@@ -19,7 +19,7 @@
         (1, 1, 251, true, TimeoutAction::Retry),
         (1, 1, 250, true, TimeoutAction::Fail),
     ] {
-        let due = suspicion::suspicion_delay(expected * MS, objective * MS);
+        let due = suspicion::delay(expected * MS, objective * MS);
         let case = format!("{expected} {objective} {left} {may_repeat}");
         assert_eq!(suspicion::timeout_action(due, left * MS, may_repeat), judged, "{case}");
     }
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -259,7 +259,7 @@
         expected: Duration,
         after: Option<u64>,
     ) -> Result<Begun, Failure> {
-        let due = suspicion::suspicion_delay(expected, job.route.objective);
+        let due = suspicion::delay(expected, job.route.objective);
         let limit = until(job.limit);
         let (endpoint, began) = (run.endpoint.key(), run.began);
         let beginning = self.begin(job, run, after);
