--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -19,18 +19,18 @@
 }
 
 /// What a representative tells its cell of others that have admitted so many units.
-fn summary(units: u64, heard: u32) -> FleetSummary {
-    let beyond = RemoteInstances { reachable: heard, ready: heard - 1 };
+fn summary(units: u64, reachable: u32) -> FleetSummary {
+    let remote_instances = RemoteInstances { reachable, ready: reachable - 1 };
     FleetSummary {
-        remote_instances: beyond,
+        remote_instances,
         admitted_units: admitted(units),
         is_complete: true,
         ..FleetSummary::default()
     }
 }
 
-fn representative_report(cell: &mut Cell, now: Instant, view: FleetSummary) -> Report {
-    Report { is_representative: true, fleet_summary: Some(view), ..full_report(cell, now) }
+fn representative_report(cell: &mut Cell, now: Instant, summary: FleetSummary) -> Report {
+    Report { is_representative: true, fleet_summary: Some(summary), ..full_report(cell, now) }
 }
 
 #[test]
@@ -38,14 +38,14 @@
     let now = Instant::now();
     let mut me = cell("a", &[]);
     assert_eq!(me.remote_instances(now), RemoteInstances::default());
-    for (name, reach, ready) in [("m", 12, 12), ("x", 11, 9)] {
-        let told = Report {
+    for (name, reachable, ready) in [("m", 12, 12), ("x", 11, 9)] {
+        let report = Report {
             is_representative: true,
-            reachable_count: Some(reach),
+            reachable_count: Some(reachable),
             cell_ready: ready,
             ..full_report(&mut cell(name, &[]), now)
         };
-        me.receive_report(now, told, false);
+        me.receive_report(now, report, false);
     }
     // Another instance that turned to this one for a reason of its own is not a cell.
     me.receive_report(now, full_report(&mut cell("z", &[]), now), false);
@@ -57,15 +57,15 @@
 fn a_cell_learns_of_other_cells_from_its_representative() {
     let now = Instant::now();
     let (mut first, mut me) = (cell("a", &[]), cell("c", &[]));
-    let heard =
+    let deltas =
         me.receive_report(now, representative_report(&mut first, now, summary(1000, 283)), true);
     // What was admitted before it was heard is not of now.
-    let growth = CounterDeltas { own_cell: vec![], other_cells: admitted(0) };
-    assert_eq!(heard.expect("news").admitted_units, growth);
+    let expected = CounterDeltas { own_cell: vec![], other_cells: admitted(0) };
+    assert_eq!(deltas.expect("report is new").admitted_units, expected);
     assert_eq!(me.reported_remote_instances(now), RemoteInstances { reachable: 283, ready: 282 });
-    let heard =
+    let deltas =
         me.receive_report(now, representative_report(&mut first, now, summary(1250, 283)), true);
-    assert_eq!(heard.expect("news").admitted_units.other_cells, admitted(250));
+    assert_eq!(deltas.expect("report is new").admitted_units.other_cells, admitted(250));
     // A report that leaves it out changes nothing.
     me.receive_report(
         now,
@@ -80,32 +80,42 @@
 #[test]
 fn totals_count_only_from_the_own_representative() {
     let now = Instant::now();
-    let (mut first, mut far) = (cell("a", &[]), cell("z", &[]));
-    let mut far_report = |units| Report {
+    let (mut first, mut remote) = (cell("a", &[]), cell("z", &[]));
+    let mut remote_report = |units| Report {
         is_representative: true,
         has_all_cell_counters: true,
         cell_admitted_units: admitted(units),
-        ..full_report(&mut far, now)
+        ..full_report(&mut remote, now)
     };
-    let mut alone = cell("c", &[]);
-    alone.set_representative(true);
-    alone.receive_report(now, far_report(100), false);
+    let mut representative = cell("c", &[]);
+    representative.set_representative(true);
+    representative.receive_report(now, remote_report(100), false);
     assert_eq!(
-        alone.receive_report(now, far_report(250), false).expect("news").admitted_units.other_cells,
+        representative
+            .receive_report(now, remote_report(250), false)
+            .expect("report is new")
+            .admitted_units
+            .other_cells,
         admitted(150)
     );
     let mut me = cell("c", &[]);
-    me.receive_report(now, far_report(300), false);
+    me.receive_report(now, remote_report(300), false);
     me.receive_report(now, representative_report(&mut first, now, summary(1000, 12)), true);
     assert_eq!(
-        me.receive_report(now, far_report(450), false).expect("news").admitted_units.other_cells,
+        me.receive_report(now, remote_report(450), false)
+            .expect("report is new")
+            .admitted_units
+            .other_cells,
         []
     );
     // Without one, what it is told itself counts again, and only what is new.
     let later = now + PEER_TTL;
     me.set_representative(true);
     assert_eq!(
-        me.receive_report(later, far_report(470), false).expect("news").admitted_units.other_cells,
+        me.receive_report(later, remote_report(470), false)
+            .expect("report is new")
+            .admitted_units
+            .other_cells,
         admitted(20)
     );
 }
@@ -116,24 +126,24 @@
     let (mut first, mut second, mut me) = (cell("a", &[]), cell("b", &[]), cell("c", &[]));
     me.receive_report(now, representative_report(&mut first, now, summary(1000, 283)), true);
     me.receive_report(now, representative_report(&mut second, now, summary(600, 283)), true);
-    let heard =
+    let deltas =
         me.receive_report(now, representative_report(&mut first, now, summary(1100, 283)), true);
-    assert_eq!(heard.expect("news").admitted_units.other_cells, admitted(100));
-    let heard =
+    assert_eq!(deltas.expect("report is new").admitted_units.other_cells, admitted(100));
+    let deltas =
         me.receive_report(now, representative_report(&mut second, now, summary(700, 283)), true);
-    assert_eq!(heard.expect("news").admitted_units.other_cells, []);
+    assert_eq!(deltas.expect("report is new").admitted_units.other_cells, []);
     // One that has just stepped in knows of nobody yet.
-    let heard = summary(700, 1);
-    me.receive_report(now, representative_report(&mut second, now, heard), true);
+    let initial = summary(700, 1);
+    me.receive_report(now, representative_report(&mut second, now, initial), true);
     assert_eq!(me.reported_remote_instances(now).reachable, 283);
     // The first one falls silent: the second one's word counts, from where it was.
     let later = now + PEER_TTL;
-    let heard = me.receive_report(
+    let deltas = me.receive_report(
         later,
         representative_report(&mut second, later, summary(900, 271)),
         true,
     );
-    assert_eq!(heard.expect("news").admitted_units.other_cells, admitted(200));
+    assert_eq!(deltas.expect("report is new").admitted_units.other_cells, admitted(200));
     assert_eq!(me.reported_remote_instances(later).reachable, 271);
 }
 
@@ -141,31 +151,31 @@
 fn a_new_representative_knows_the_addresses_of_the_others() {
     let now = Instant::now();
     let (mut first, mut me) = (cell("a", &[]), cell("b", &[]));
-    let elsewhere = ([10, 0, 0, 9], 80).into();
-    let told = representative_report(&mut first, now, summary(0, 12));
-    me.receive_report(now, Report { representative_addresses: vec![elsewhere], ..told }, true);
+    let address = ([10, 0, 0, 9], 80).into();
+    let report = representative_report(&mut first, now, summary(0, 12));
+    me.receive_report(now, Report { representative_addresses: vec![address], ..report }, true);
     // Frequent reports leave the addresses out.
     me.receive_report(now + 10 * MS, representative_report(&mut first, now, summary(0, 12)), true);
     me.expire_peers(now + Duration::from_secs(10));
-    assert_eq!(me.representative_addresses().collect::<Vec<_>>(), [elsewhere]);
+    assert_eq!(me.representative_addresses().collect::<Vec<_>>(), [address]);
 }
 
 #[test]
 fn instances_that_change_their_cell_are_counted_once() {
     let now = Instant::now();
     let (mut other, mut me) = (cell("b", &[]), cell("a", &[]));
-    let with = |mut report: Report, units| {
+    let with_units = |mut report: Report, units| {
         report.admitted_units = admitted(units);
         report
     };
-    me.receive_report(now, with(full_report(&mut other, now), 100), true);
+    me.receive_report(now, with_units(full_report(&mut other, now), 100), true);
     assert_eq!((me.live_peer_count(now), me.remote_reports(now).count()), (1, 0));
     me.set_peers(|_| false);
     assert_eq!((me.live_peer_count(now), me.remote_reports(now).count()), (0, 1));
     me.set_peers(|_| true);
     // What it admitted meanwhile was told by those who represented its cell.
-    let heard = me.receive_report(now, with(full_report(&mut other, now), 130), true);
-    assert_eq!(heard.expect("news").admitted_units.own_cell, admitted(0));
-    let heard = me.receive_report(now, with(full_report(&mut other, now), 150), true);
-    assert_eq!(heard.expect("news").admitted_units.own_cell, admitted(20));
+    let deltas = me.receive_report(now, with_units(full_report(&mut other, now), 130), true);
+    assert_eq!(deltas.expect("report is new").admitted_units.own_cell, admitted(0));
+    let deltas = me.receive_report(now, with_units(full_report(&mut other, now), 150), true);
+    assert_eq!(deltas.expect("report is new").admitted_units.own_cell, admitted(20));
 }
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -77,34 +77,35 @@
 }
 
 impl Simulation {
-    pub fn new(outage: Outage, dies: Option<i64>, changes: i64) -> Simulation {
+    pub fn new(outage: Outage, crash_ms: Option<i64>, change_ms: i64) -> Simulation {
         let outage = Outage { start_ms: outage.start_ms + WARM_UP_MS, ..outage };
-        let zero = Instant::now();
+        let start = Instant::now();
         let mut followers: Vec<_> = (0..INSTANCES).map(|_| Follower::default()).collect();
         followers.iter_mut().for_each(|f| {
-            f.subscription.reset(zero);
+            f.subscription.reset(start);
             f.has_store = true;
         });
-        let dies = dies.map(|after| outage.start_ms + after);
-        let heard = vec![None; INSTANCES];
+        let crash_ms = crash_ms.map(|after| outage.start_ms + after);
+        let reports = vec![None; INSTANCES];
         Simulation {
-            start: zero,
+            start,
             outage,
-            crash_ms: dies,
-            change_ms: changes + WARM_UP_MS,
+            crash_ms,
+            change_ms: change_ms + WARM_UP_MS,
             followers,
-            reports: heard,
+            reports,
         }
     }
 
     /// Plays until some time after the outage; fails with what was not in force in time.
-    pub fn run(&mut self, in_force: Duration, contact: Duration) -> Result<(), String> {
-        let ends = self.outage.start_ms + self.outage.duration_ms;
-        let acked = if self.is_during_outage(self.change_ms) { ends } else { self.change_ms };
-        let due = (acked + millis(in_force)).max(ends + millis(contact));
+    pub fn run(&mut self, in_force: Duration, recovery: Duration) -> Result<(), String> {
+        let outage_end = self.outage.start_ms + self.outage.duration_ms;
+        let committed =
+            if self.is_during_outage(self.change_ms) { outage_end } else { self.change_ms };
+        let deadline = (committed + millis(in_force)).max(outage_end + millis(recovery));
         let mut now = 0;
         let mut step = 0;
-        while now < due.max(ends) + RUN_AFTER_OUTAGE_MS {
+        while now < deadline.max(outage_end) + RUN_AFTER_OUTAGE_MS {
             if self.crash_ms.is_some_and(|at| now >= at) {
                 self.followers[0].has_crashed = true;
                 self.reports[0] = None;
@@ -113,20 +114,20 @@
             if step % REPORT_STEPS == 0 {
                 self.exchange_reports(now);
             }
-            self.check(now, due)?;
+            self.check(now, deadline)?;
             now += millis(STEP);
             step += 1;
         }
         Ok(())
     }
 
-    fn check(&self, now: i64, due: i64) -> Result<(), String> {
+    fn check(&self, now: i64, deadline: i64) -> Result<(), String> {
         let alive = self.followers.iter().enumerate().filter(|(_, f)| !f.has_crashed);
         for (n, follower) in alive {
-            if now >= due && follower.version < self.stored_version(now) {
+            if now >= deadline && follower.version < self.stored_version(now) {
                 return Err(format!(
-                    "instance {n} does not know it {} ms after its time",
-                    now - due
+                    "instance {n} has not applied the change {} ms after the deadline",
+                    now - deadline
                 ));
             }
         }
@@ -147,8 +148,8 @@
     }
 
     fn role(&self, n: usize, in_force: Duration) -> Role {
-        let before = self.reports[..n].iter().flatten().filter(|t| t.has_store).count();
-        Role::new(before, in_force)
+        let rank = self.reports[..n].iter().flatten().filter(|r| r.has_store).count();
+        Role::new(rank, in_force)
     }
 
     fn step(&mut self, n: usize, now: i64, in_force: Duration) {
@@ -159,7 +160,7 @@
         if let Some(watch) = self.followers[n].watch {
             self.advance_watch(n, now, watch);
         }
-        let is_out = self.is_during_outage(now);
+        let is_outage = self.is_during_outage(now);
         let outage = self.outage;
         let follower = &mut self.followers[n];
         if follower.subscription.check_cancel(at, role).is_some() {
@@ -168,31 +169,26 @@
         if follower.watch.is_some() || now < follower.paused_until {
             return;
         }
-        let call = follower.subscription.start_watch(at, role);
-        if is_out && outage.mode == OutageMode::Refuse {
+        let params = follower.subscription.start_watch(at, role);
+        if is_outage && outage.mode == OutageMode::Refuse {
             follower.record_failure(now, WatchFailure::Refused);
             return;
         }
         let is_lost =
-            is_out && matches!(outage.mode, OutageMode::DropRequests | OutageMode::DropBoth);
-        let (wait, limit) = (millis(call.wait), millis(call.timeout));
-        let after = follower.version;
-        follower.watch = Some(Watch {
-            started_ms: now,
-            wait_ms: wait,
-            timeout_ms: limit,
-            known_version: after,
-            is_lost,
-        });
+            is_outage && matches!(outage.mode, OutageMode::DropRequests | OutageMode::DropBoth);
+        let (wait_ms, timeout_ms) = (millis(params.wait), millis(params.timeout));
+        let known_version = follower.version;
+        follower.watch =
+            Some(Watch { started_ms: now, wait_ms, timeout_ms, known_version, is_lost });
     }
 
     /// What becomes of a watch that waits.
     fn advance_watch(&mut self, n: usize, now: i64, mut watch: Watch) {
-        let (at, stored, is_out) =
+        let (at, stored, is_outage) =
             (self.instant(now), self.stored_version(now), self.is_during_outage(now));
-        let silence = self.outage.mode;
+        let mode = self.outage.mode;
         let follower = &mut self.followers[n];
-        if is_out && silence == OutageMode::Refuse {
+        if is_outage && mode == OutageMode::Refuse {
             follower.record_failure(now, WatchFailure::Refused);
             return;
         }
@@ -200,12 +196,12 @@
             follower.record_failure(now, WatchFailure::Unanswered);
             return;
         }
-        let is_due = stored > watch.known_version || now - watch.started_ms >= watch.wait_ms;
-        if !is_due || watch.is_lost || now - watch.started_ms < millis(STORE_LATENCY) {
+        let is_complete = stored > watch.known_version || now - watch.started_ms >= watch.wait_ms;
+        if !is_complete || watch.is_lost || now - watch.started_ms < millis(STORE_LATENCY) {
             return;
         }
-        if is_out {
-            watch.is_lost = silence != OutageMode::DropRequests;
+        if is_outage {
+            watch.is_lost = mode != OutageMode::DropRequests;
             follower.watch = Some(watch);
             return;
         }
@@ -234,12 +230,12 @@
         for n in 0..INSTANCES {
             let others = (0..INSTANCES).filter(|m| *m != n).filter_map(|m| self.reports[m]);
             let others: Vec<_> =
-                others.map(|told| (told, self.instant(told.confirmed_ms.max(0)))).collect();
+                others.map(|state| (state, self.instant(state.confirmed_ms.max(0)))).collect();
             let follower = &mut self.followers[n];
-            for (told, as_of) in others {
-                if told.version >= follower.version {
-                    let is_same = told.version == follower.version;
-                    follower.subscription.record_peer(at, as_of, is_same);
+            for (state, confirmed_at) in others {
+                if state.version >= follower.version {
+                    let is_same = state.version == follower.version;
+                    follower.subscription.record_peer(at, confirmed_at, is_same);
                 }
             }
         }
--- a/oxbowbend-core/tests/layout.rs
+++ b/oxbowbend-core/tests/layout.rs
@@ -31,8 +31,8 @@
     let members = members(DEFAULT_MAX_CELL_SIZE);
     let endpoints = endpoints("a", 7);
     for me in members.keys() {
-        let group = CellLayout::compute(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE);
-        assert_eq!((group.cell_count, group.peers.len(), group.endpoints.len()), (1, 11, 7));
+        let layout = CellLayout::compute(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE);
+        assert_eq!((layout.cell_count, layout.peers.len(), layout.endpoints.len()), (1, 11, 7));
     }
 }
 
@@ -42,12 +42,12 @@
     let endpoints = endpoints("a", 90);
     let mut cells: BTreeMap<BTreeSet<InstanceId>, BTreeSet<_>> = BTreeMap::new();
     for me in members.keys() {
-        let group = CellLayout::compute(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE);
-        let mut all = group.peers.clone();
+        let layout = CellLayout::compute(me, &members, &endpoints, DEFAULT_MAX_CELL_SIZE);
+        let mut all = layout.peers.clone();
         all.insert(me.clone());
-        let ids: BTreeSet<_> = group.endpoints.iter().map(|e| e.id.clone()).collect();
-        let of_cell = cells.entry(all).or_insert_with(|| ids.clone());
-        assert_eq!(*of_cell, ids, "all instances of a cell see the same endpoints");
+        let ids: BTreeSet<_> = layout.endpoints.iter().map(|e| e.id.clone()).collect();
+        let expected = cells.entry(all).or_insert_with(|| ids.clone());
+        assert_eq!(*expected, ids, "instances of one cell have different endpoints");
     }
     assert_eq!(cells.len(), 8);
     assert!(cells.keys().all(|c| (9..=13).contains(&c.len())));
@@ -89,10 +89,10 @@
     let cells_of = |endpoints: &[Endpoint]| {
         let mut cell_of = BTreeMap::new();
         for me in members.keys() {
-            let group = CellLayout::compute(me, &members, endpoints, DEFAULT_MAX_CELL_SIZE);
-            let mut all = group.peers.clone();
+            let layout = CellLayout::compute(me, &members, endpoints, DEFAULT_MAX_CELL_SIZE);
+            let mut all = layout.peers.clone();
             all.insert(me.clone());
-            cell_of.extend(group.endpoints.into_iter().map(|e| (e.id, all.clone())));
+            cell_of.extend(layout.endpoints.into_iter().map(|e| (e.id, all.clone())));
         }
         cell_of
     };
@@ -102,9 +102,14 @@
         new.iter().filter(|(id, cell)| old.get(*id).is_some_and(|old| old != *cell)).count()
     };
     let without = |n: usize| before.iter().skip(n).cloned().collect::<Vec<_>>();
-    assert!(moved(&without(1)) <= 2, "{} moved for one", moved(&without(1)));
+    assert!(moved(&without(1)) <= 2, "{} endpoints moved when 1 was removed", moved(&without(1)));
     let mut replaced = without(22);
-    let again = endpoints("b", 22).into_iter().map(|e| Endpoint { service: "a".into(), ..e });
-    replaced.extend(again);
-    assert!(moved(&replaced) <= 20, "{} of 68 moved for 22", moved(&replaced));
+    let replacements =
+        endpoints("b", 22).into_iter().map(|e| Endpoint { service: "a".into(), ..e });
+    replaced.extend(replacements);
+    assert!(
+        moved(&replaced) <= 20,
+        "{} of 68 endpoints moved when 22 were replaced",
+        moved(&replaced)
+    );
 }
--- a/oxbowbend-core/tests/reachability.rs
+++ b/oxbowbend-core/tests/reachability.rs
@@ -34,41 +34,41 @@
 fn reachabilities(links: Links) -> Vec<Reachability> {
     let start = Instant::now();
     let mut cells: Vec<Cell> = (0..INSTANCES).map(|n| cell(&format!("i{n}"), &[])).collect();
-    let mut reaches = Vec::new();
-    for beat in 0..8 {
-        let now = start + 130 * MS * beat;
+    let mut reachabilities = Vec::new();
+    for heartbeat in 0..8 {
+        let now = start + 130 * MS * heartbeat;
         let reports: Vec<_> =
             cells.iter_mut().map(|c| c.report(now, ReportDetail::Changes)).collect();
-        for (at, cell) in cells.iter_mut().enumerate() {
+        for (to, cell) in cells.iter_mut().enumerate() {
             for (from, report) in reports.iter().enumerate() {
-                if links.are_linked(at, from) {
+                if links.are_linked(to, from) {
                     cell.receive_report(now, report.clone(), true);
                 }
             }
         }
-        reaches = cells.iter_mut().map(|c| c.update_reachability(now, |_| true)).collect();
+        reachabilities = cells.iter_mut().map(|c| c.update_reachability(now, |_| true)).collect();
     }
-    reaches
+    reachabilities
 }
 
 /// What all instances admit together, each as much as it may, from this one on.
-fn total_admitted(links: Links, reaches: &[Reachability], first: usize) -> u64 {
+fn total_admitted(links: Links, reachabilities: &[Reachability], first: usize) -> u64 {
     let now = Instant::now();
-    let mut quotas: Vec<Quotas> = reaches
+    let mut quotas: Vec<Quotas> = reachabilities
         .iter()
-        .map(|reach| {
+        .map(|reachability| {
             let mut quotas = Quotas::new(BOUNDS);
             quotas.set([(&"a".into(), QUOTA)]);
-            quotas.set_share((reach.covered + 1) as f64 / INSTANCES as f64);
+            quotas.set_share((reachability.covered + 1) as f64 / INSTANCES as f64);
             quotas
         })
         .collect();
     let mut sum = 0;
     for at in (0..INSTANCES).map(|n| (first + n) % INSTANCES) {
-        let mine = (0..200).filter(|_| quotas[at].admit(now, "a", 10).is_ok()).count() as u64 * 10;
-        sum += mine;
+        let units = (0..200).filter(|_| quotas[at].admit(now, "a", 10).is_ok()).count() as u64 * 10;
+        sum += units;
         for other in (0..INSTANCES).filter(|other| links.are_linked(at, *other)) {
-            quotas[other].draw(now, "a", mine as f64, true);
+            quotas[other].draw(now, "a", units as f64, true);
         }
     }
     sum
@@ -79,10 +79,14 @@
 #[test]
 fn no_partition_exceeds_a_quota() {
     for links in Links::all() {
-        let reaches = reachabilities(links);
+        let reachabilities = reachabilities(links);
         for first in 0..INSTANCES {
-            let sum = total_admitted(links, &reaches, first);
-            assert!(sum <= 1000, "{sum} of 1,000 over links {:010b} from {first}", links.0);
+            let sum = total_admitted(links, &reachabilities, first);
+            assert!(
+                sum <= 1000,
+                "{sum} of 1,000 units admitted over links {:010b}, starting at instance {first}",
+                links.0
+            );
         }
     }
 }
@@ -91,11 +95,13 @@
 fn sides_of_a_partition_use_their_own_shares() {
     // Instances 0 and 1 hear each other, and so do 2 to 4.
     let links = Links(0b1100100001);
-    let parts: Vec<_> =
+    let counts: Vec<_> =
         reachabilities(links).into_iter().map(|r| (r.reachable, r.covered)).collect();
-    assert_eq!(parts, [(1, 1), (1, 1), (2, 2), (2, 2), (2, 2)]);
-    let whole = Links((1 << 10) - 1);
-    assert!(reachabilities(whole).iter().all(|r| *r == Reachability { reachable: 4, covered: 4 }));
+    assert_eq!(counts, [(1, 1), (1, 1), (2, 2), (2, 2), (2, 2)]);
+    let connected = Links((1 << 10) - 1);
+    assert!(reachabilities(connected)
+        .iter()
+        .all(|r| *r == Reachability { reachable: 4, covered: 4 }));
 }
 
 #[test]
@@ -108,10 +114,10 @@
     b.update_reachability(now, |_| true);
     assert_eq!(a.update_reachability(now, |_| true), Reachability { reachable: 1, covered: 1 });
     a.receive_report(now, b.report(now, ReportDetail::Full), true);
-    let heard = |covered| Reachability { reachable: 1, covered };
-    assert_eq!(a.update_reachability(now, |_| true), heard(1));
-    assert_eq!(a.update_reachability(now + 399 * MS, |_| true), heard(1));
-    assert_eq!(a.update_reachability(now + 400 * MS, |_| true), heard(0));
+    let one_reachable = |covered| Reachability { reachable: 1, covered };
+    assert_eq!(a.update_reachability(now, |_| true), one_reachable(1));
+    assert_eq!(a.update_reachability(now + 399 * MS, |_| true), one_reachable(1));
+    assert_eq!(a.update_reachability(now + 400 * MS, |_| true), one_reachable(0));
     a.receive_report(now + 400 * MS, c.report(now, ReportDetail::Full), true);
     assert_eq!(
         a.update_reachability(now + 400 * MS, |_| true),
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -23,7 +23,7 @@
 #[test]
 fn other_instances_take_over_verification_in_order_of_rank() {
     let now = Instant::now();
-    for (rank, wait, gives_up) in [
+    for (rank, wait, expected) in [
         (0, 1200, None),
         (1, 30_000, Some(1700)),
         (2, 30_000, Some(1800)),
@@ -31,10 +31,10 @@
     ] {
         let (mut subscription, role) = up_to_date(now, rank);
         assert_eq!(subscription.start_watch(now, role).wait, wait * MS, "rank {rank}");
-        let given_up =
+        let cancelled_at =
             (0..3000).find(|ms| subscription.check_cancel(now + *ms * MS, role).is_some());
-        assert_eq!(given_up, gives_up, "rank {rank}");
-        if given_up.is_some() {
+        assert_eq!(cancelled_at, expected, "rank {rank}");
+        if cancelled_at.is_some() {
             assert_eq!(subscription.start_watch(now + IN_FORCE, role).wait, Duration::ZERO);
         }
     }
@@ -43,11 +43,11 @@
 #[test]
 fn confirmation_of_the_same_state_to_another_instance_counts() {
     let now = Instant::now();
-    for (is_same, given_up) in [(true, None), (false, Some(CancelReason::Unverified))] {
+    for (is_same, expected) in [(true, None), (false, Some(CancelReason::Unverified))] {
         let (mut subscription, role) = up_to_date(now, 1);
         subscription.start_watch(now, role);
         subscription.record_peer(now + 1650 * MS, now + 1600 * MS, is_same);
-        assert_eq!(subscription.check_cancel(now + 1750 * MS, role), given_up);
+        assert_eq!(subscription.check_cancel(now + 1750 * MS, role), expected);
     }
 }
 
@@ -62,8 +62,8 @@
     for ms in (400..12_000).step_by(20) {
         let at = now + ms * MS;
         subscription.record_peer(at, at - 10 * MS, false);
-        let Some(given_up) = subscription.check_cancel(at, role) else { continue };
-        if given_up == CancelReason::Overtaken {
+        let Some(reason) = subscription.check_cancel(at, role) else { continue };
+        if reason == CancelReason::Overtaken {
             gaps.push(at - last);
             last = at;
         }
@@ -91,13 +91,13 @@
 fn the_store_is_unavailable_after_a_refusal_or_an_unanswered_probe() {
     let now = Instant::now();
     let (mut subscription, role) = up_to_date(now, 0);
-    let mut limits = Vec::new();
-    for is_away in [false, true, true, true] {
-        let call = subscription.start_watch(now, role);
-        limits.push((call.timeout - call.wait).as_millis());
-        assert_eq!(subscription.record_failure(WatchFailure::Unanswered), is_away);
+    let mut timeouts = Vec::new();
+    for is_unavailable in [false, true, true, true] {
+        let params = subscription.start_watch(now, role);
+        timeouts.push((params.timeout - params.wait).as_millis());
+        assert_eq!(subscription.record_failure(WatchFailure::Unanswered), is_unavailable);
     }
-    assert_eq!(limits, [500, 1000, 1500, 1500]);
+    assert_eq!(timeouts, [500, 1000, 1500, 1500]);
     let (mut subscription, role) = up_to_date(now, 0);
     subscription.start_watch(now, role);
     assert!(subscription.record_failure(WatchFailure::Refused));
@@ -105,27 +105,36 @@
 
 #[test]
 fn every_change_is_in_force_in_time_in_all_outages() {
-    let mut played = 0;
-    for begins in (0..2600).step_by(200) {
-        for lasts in [60, 400, 1500, 5300] {
-            for silence in [
+    let mut combinations = 0;
+    for start_ms in (0..2600).step_by(200) {
+        for duration_ms in [60, 400, 1500, 5300] {
+            for mode in [
                 OutageMode::DropRequests,
                 OutageMode::DropAnswers,
                 OutageMode::DropBoth,
                 OutageMode::Refuse,
             ] {
-                for dies in [None, Some(0), Some(lasts), Some(lasts + 400)] {
-                    for changes in [-60, 30, lasts / 2, lasts + 20, lasts + 1000, lasts + 2900] {
-                        let outage = Outage { start_ms: begins, duration_ms: lasts, mode: silence };
-                        let mut fleet = Simulation::new(outage, dies, begins + changes);
-                        if let Err(late) = fleet.run(IN_FORCE, RECOVERY) {
-                            panic!("{outage:?}, first dies {dies:?}, change {changes}: {late}");
+                for crash in [None, Some(0), Some(duration_ms), Some(duration_ms + 400)] {
+                    for change in [
+                        -60,
+                        30,
+                        duration_ms / 2,
+                        duration_ms + 20,
+                        duration_ms + 1000,
+                        duration_ms + 2900,
+                    ] {
+                        let outage = Outage { start_ms, duration_ms, mode };
+                        let mut simulation = Simulation::new(outage, crash, start_ms + change);
+                        if let Err(violation) = simulation.run(IN_FORCE, RECOVERY) {
+                            panic!(
+                                "{outage:?}, crash at {crash:?}, change at {change}: {violation}"
+                            );
                         }
-                        played += 1;
+                        combinations += 1;
                     }
                 }
             }
         }
     }
-    println!("{played} combinations played");
+    println!("{combinations} combinations simulated");
 }
--- a/oxbowbend-core/tests/suspicion.rs
+++ b/oxbowbend-core/tests/suspicion.rs
@@ -9,7 +9,7 @@
 #[test]
 fn a_request_at_its_deadline_does_not_blame_its_endpoint() {
     // Expected time to the first event, objective, time left, whether it may be repeated.
-    for (expected, objective, left, may_repeat, judged) in [
+    for (expected, objective, time_left, is_retryable, action) in [
         (50, 300, 2000, true, TimeoutAction::Retry),
         (50, 300, 2000, false, TimeoutAction::MarkSuspect),
         (50, 300, 300, true, TimeoutAction::Fail),
@@ -19,8 +19,12 @@
         (1, 1, 251, true, TimeoutAction::Retry),
         (1, 1, 250, true, TimeoutAction::Fail),
     ] {
-        let due = suspicion::delay(expected * MS, objective * MS);
-        let case = format!("{expected} {objective} {left} {may_repeat}");
-        assert_eq!(suspicion::timeout_action(due, left * MS, may_repeat), judged, "{case}");
+        let delay = suspicion::delay(expected * MS, objective * MS);
+        let case = format!("{expected} {objective} {time_left} {is_retryable}");
+        assert_eq!(
+            suspicion::timeout_action(delay, time_left * MS, is_retryable),
+            action,
+            "{case}"
+        );
     }
 }
