--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -1,12 +1,15 @@
-//! A cell: instances that share a set of endpoints and decide alike, without a scheduler.
+//! Placement of requests within a cell: a group of instances that share a set of endpoints.
 //!
-//! Every instance tells the others what it runs and what waits at it. From that each works out the
-//! same order of everything that waits and the same assignment to free places, and dispatches what
-//! falls to its own requests. What was traded: two instances may take the same place within the
-//! few milliseconds that a report travels; the endpoint then queues one of the two. Nobody waits
-//! for anybody: an instance that is cut off, or has just started, serves with what it knows.
+//! Instances broadcast reports of their running and waiting requests. Each instance computes the
+//! same ordering and the same assignment from these reports and dispatches only its own requests;
+//! there is no scheduler and no coordination round trip. An instance that is partitioned or has
+//! just started keeps serving with what it knows.
 //!
-//! This stands in for the pool's [`crate::scheduler`] where slots are no promise of the endpoint.
+//! Two instances can assign the same slot within the few milliseconds that a report takes. The
+//! endpoint then queues one of the two requests.
+//!
+//! This module is used in place of a pool's [`crate::scheduler`] where an endpoint does not
+//! guarantee its slots.
 
 mod assign;
 mod fleet;
@@ -44,109 +47,110 @@
 use crate::ids::{EndpointId, EndpointKey, InstanceId, ServiceId, ZoneId};
 use crate::routes::Endpoint;
 
-/// Silence after which an instance's waiting requests hold nobody else's back.
+/// Age of a report after which its waiting requests are ignored.
 pub const WAITING_TTL: Duration = Duration::from_millis(400);
-/// Silence after which what an instance had running is taken to have ended with it.
+/// Time without a report after which an instance counts as failed and its running requests as
+/// ended.
 pub const PEER_TTL: Duration = Duration::from_millis(1500);
-/// Waiting requests told to others, the first in order. Only few places are free when requests wait, so
-/// those further behind have no say; 32 of them made up most of the bytes between zones under a burst.
+/// Waiting requests listed in a report, first in order. Few slots are free while requests wait, so
+/// later ones rarely affect the assignment.
 const MAX_REPORTED_WAITING: usize = 6;
-/// Time after a change of an endpoint's counters for which every report with tallies tells them: three
-/// such reports, so that one gets through in spite of losses.
+/// Time after a change for which [`ReportDetail::Changes`] includes an endpoint's counters: three
+/// such reports, to tolerate packet loss.
 const CHANGED_STATS_PERIOD: Duration = Duration::from_millis(400);
-/// The same for reports that tell all tallies, for those who have missed the others.
+/// Time after a change for which [`ReportDetail::Full`] includes an endpoint's counters.
 const FULL_STATS_PERIOD: Duration = Duration::from_secs(3);
 
-/// Measurements for which a noted pace counts, so that new ones soon outweigh it.
+/// Sample count given to a restored estimate. Small, so that new measurements soon outweigh it.
 const RESTORED_SAMPLES: u32 = 3;
 
-/// Number of a waiting or running request at this instance.
+/// Identifies a waiting or running request at this instance.
 pub type Ticket = u64;
 
-/// What a request needs to be placed.
+/// A request waiting for placement.
 #[derive(Clone, Debug)]
 pub struct QueuedRequest {
-    /// Service that must execute it.
+    /// Service that must execute the request.
     pub service: ServiceId,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the most urgent.
     pub rank: u16,
-    /// Tokens of its prompt.
+    /// Prompt length in tokens.
     pub prompt_tokens: u32,
-    /// Tokens that its answer is expected to have.
+    /// Expected length of the answer in tokens.
     pub output_tokens: u32,
-    /// How it holds up the streams beside it.
+    /// How its prefill stalls concurrent streams.
     pub stall: PrefillStall,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived_at: Instant,
-    /// Time from its arrival within which its first event should be there.
+    /// Target time from arrival to the first event.
     pub objective: Duration,
-    /// Endpoints that it has been sent to already.
+    /// Endpoints that the request was already sent to.
     pub excluded_endpoints: Vec<EndpointId>,
 }
 
-/// How a request holds up the streams that run beside it while its prompt is read, and how much of
-/// that streams of its kind bear.
+/// How long the prefill of a request stalls streams on the same endpoint, and how long a stall they
+/// tolerate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct PrefillStall {
-    /// Tokens of the prompt that may be read between two events of another stream.
+    /// Prompt tokens that may be processed between two events of another stream.
     #[serde(rename = "t")]
     pub chunk_tokens: u32,
-    /// Milliseconds between two events that are still in time; 0 if it does not matter.
+    /// Longest acceptable gap between two events in milliseconds; 0 if unbounded.
     #[serde(rename = "p")]
     pub max_gap_ms: u32,
 }
 
-/// How a run at an endpoint ended.
+/// Outcome of a request at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// The endpoint returned a complete answer.
     Good,
-    /// The endpoint failed: no connection, a broken or spoilt answer, or an error of its own.
+    /// The endpoint failed: no connection, a broken or invalid answer, or a server error.
     Bad,
-    /// Nothing that speaks for or against the endpoint, such as a caller that left.
+    /// The outcome says nothing about the endpoint, for example because the caller disconnected.
     Neutral,
-    /// Whoever answers at the endpoint's address is not this endpoint.
+    /// The server at the endpoint's address is a different endpoint.
     Absent,
 }
 
-/// A change in what this instance believes of an endpoint, for the log.
+/// The ejection of an endpoint, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ejection {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// For how long.
+    /// Length of the ejection.
     pub duration: Duration,
 }
 
-/// How much a report tells beside what runs and what waits.
+/// Which counters a report contains, in addition to running and waiting requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportDetail {
-    /// Nothing more.
+    /// No counters.
     Loads,
-    /// Counters that have just changed.
+    /// Counters that changed recently.
     Changes,
-    /// Counters of all endpoints that were used lately.
+    /// Counters of all recently used endpoints.
     Full,
 }
 
 #[derive(Debug)]
 struct EndpointState {
     endpoint: Endpoint,
-    /// Hash of its id, from which tastes are worked out.
+    /// Hash of the endpoint's id, used to spread instances over equally good endpoints.
     hash: u64,
     running: u32,
-    /// Tokens of prompts without a first event. Engines read prompts one after the other.
+    /// Prompt tokens of requests without a first event. Engines process prompts sequentially.
     pending_prompt_tokens: u32,
     successes: u64,
     failures: u64,
     pace: pace::Pace,
     health: health::Health,
     last_used: Option<Instant>,
-    /// When it last began or ended an answer.
+    /// When the endpoint last started or completed an answer.
     last_answer: Option<Instant>,
 }
 
-/// One instance's part in its cell.
+/// One instance's view of its cell.
 #[derive(Debug)]
 pub struct Cell {
     local_id: InstanceId,
@@ -158,39 +162,37 @@
     next_ticket: Ticket,
     /// Instances of this cell.
     peers: HashMap<InstanceId, peer::Peer>,
-    /// Instances of other cells: their representatives, and whoever has been heard for another reason.
+    /// Instances of other cells, mainly their representatives.
     remote_peers: HashMap<InstanceId, peer::Peer>,
     known: assign::KnownPaces,
     ejections: Vec<Ejection>,
-    /// When a failure was last noted.
     last_failure: Option<Instant>,
-    /// Part of the fleet that is heard, this instance included.
+    /// Fraction of the fleet that is reachable, including this instance.
     visible_share: f64,
-    /// Instances of the cell that are heard, this one included.
+    /// Number of reachable instances of the cell, including this one.
     reachable_count: u32,
-    /// Their names.
+    /// The reachable instances of the cell.
     reachable_filter: reachability::InstanceFilter,
     shedding: shedding::Shedding,
-    /// Whether this instance represents the cell.
     is_representative: bool,
-    /// When it was last heard what each other cell has admitted, and what all of them have.
+    /// When the totals of each other cell, and of all other cells together, were last received.
     cell_totals_at: BTreeMap<u32, Instant>,
     fleet_totals_at: Option<Instant>,
-    /// Limits that endpoints name.
+    /// Rate limits announced by endpoints.
     limits: limits::Limits,
-    /// Endpoints that have said that they leave.
+    /// Endpoints that are draining.
     leaving: leaving::Leaving,
-    /// Those that have asked this instance for rest.
+    /// Endpoints that asked this instance to back off.
     rests: rests::Rests,
-    /// Services whose endpoints belong to all cells.
+    /// Services whose endpoints are shared by all cells.
     shared_services: BTreeSet<ServiceId>,
-    /// Endpoints that the platform lists, of all cells.
+    /// Endpoints of all cells in the platform's list.
     listed_endpoints: HashSet<EndpointKey>,
 }
 
 impl Cell {
-    /// Starts with no endpoints and no other instances. `life` is a random number that tells this
-    /// life from others of the same name.
+    /// Creates a cell without endpoints or other instances. `incarnation` is a random number that
+    /// distinguishes this process from earlier ones with the same id.
     pub fn new(local_id: InstanceId, zone: ZoneId, incarnation: u64) -> Cell {
         Cell {
             limits: limits::Limits::new(&local_id),
@@ -220,9 +222,9 @@
         }
     }
 
-    /// Puts the list of endpoints in force; what is known of those that stay is kept. Others get no
-    /// further requests, but are told to have those that still run there: they may be in another cell. Of one
-    /// that has started again nothing is known, and nothing runs there.
+    /// Replaces the list of endpoints and keeps the state of those that remain. A removed endpoint
+    /// receives no new requests, but is kept while requests run there, since it may have moved to
+    /// another cell. State of an endpoint that restarted is discarded.
     pub fn set_endpoints(&mut self, endpoints: impl IntoIterator<Item = Endpoint>) {
         let mut previous = std::mem::take(&mut self.endpoints);
         let mut ids = HashSet::new();
@@ -253,8 +255,8 @@
         }
     }
 
-    /// What to tell the others, but for what only the caller knows: revision, version, address and
-    /// peers.
+    /// Builds a report. The caller fills in what this type does not know, such as the store
+    /// revision, the configuration version and the addresses.
     pub fn report(&mut self, now: Instant, detail: ReportDetail) -> Report {
         self.sequence += 1;
         let period = match detail {
@@ -314,26 +316,26 @@
         report
     }
 
-    /// Sets the part of the fleet that is heard, this instance included. Of each endpoint no larger part is
-    /// used, since those that are not heard use the rest.
+    /// Sets the fraction of the fleet that is reachable, including this instance. At most that
+    /// fraction of an endpoint's slots is used, since unreachable instances use the rest.
     pub fn set_visible_share(&mut self, share: f64) {
         self.visible_share = share.clamp(0.0, 1.0);
     }
 
-    /// Brings in a request that waits for a place.
+    /// Adds a request to the queue.
     pub fn enqueue(&mut self, request: QueuedRequest) -> Ticket {
         self.next_ticket += 1;
         self.waiting.insert(self.next_ticket, request);
         self.next_ticket
     }
 
-    /// Lets what waits for a service wait for another one.
+    /// Moves requests waiting for service `from` to service `to`.
     pub fn change_service(&mut self, from: &ServiceId, to: &ServiceId) {
         let waiting = self.waiting.values_mut().filter(|request| request.service == *from);
         waiting.for_each(|request| request.service = to.clone());
     }
 
-    /// Whether this cell has an endpoint of a service that takes requests.
+    /// Whether the cell has an endpoint of `service` that accepts requests.
     pub fn serves(&self, service: &ServiceId) -> bool {
         let is_open = |(key, s): (&EndpointKey, &EndpointState)| {
             s.endpoint.service == *service && !self.is_leaving(*key, s)
@@ -341,12 +343,12 @@
         self.endpoints.iter().any(is_open)
     }
 
-    /// Takes a request out of the queue; `false` means that it has been placed.
+    /// Removes a request from the queue. Returns `false` if it was already placed.
     pub fn dequeue(&mut self, ticket: Ticket) -> bool {
         self.waiting.remove(&ticket).is_some()
     }
 
-    /// Whether a request that waits here is not to get a place in time.
+    /// Whether a waiting request should be shed because it is unlikely to be placed in time.
     pub fn should_shed(&mut self, now: Instant, ticket: Ticket) -> bool {
         let Some(request) = self.waiting.get(&ticket) else { return false };
         let (service, rank) = (request.service.clone(), request.rank);
@@ -355,7 +357,7 @@
         self.shedding.should_shed(now, &service, rank, others)
     }
 
-    /// Notes that a request found no place; tells when its caller should come back.
+    /// Records that a request was refused and returns when its caller should retry.
     pub fn refuse(
         &mut self,
         now: Instant,
@@ -370,13 +372,13 @@
         }
     }
 
-    /// Requests that wait here.
+    /// Number of requests waiting at this instance.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Notes the time that an endpoint took to the first event of a request, before whose prompt it
-    /// had so many tokens to read.
+    /// Records the time to the first event of a request with `prompt_tokens` tokens, sent while
+    /// `backlog` prompt tokens were queued at the endpoint.
     pub fn record_first_event(
         &mut self,
         now: Instant,
@@ -392,8 +394,9 @@
         }
     }
 
-    /// Notes that a request sent at `since` has had no answer for longer than expected. That speaks against the
-    /// endpoint if it has answered nobody here meanwhile; else it may be the request.
+    /// Records that a request sent at `since` is overdue. It counts as a failure of the endpoint
+    /// only if no other request has been answered there since; otherwise the request itself may be
+    /// the cause.
     pub fn record_slow_response(&mut self, now: Instant, endpoint: EndpointKey, sent_at: Instant) {
         let last_answer = self.endpoints.get(&endpoint).and_then(|state| state.last_answer);
         if last_answer.is_none_or(|at| at <= sent_at) {
@@ -401,7 +404,8 @@
         }
     }
 
-    /// Ends a run; `unread` are the tokens of its prompt if there was no first event.
+    /// Records the end of a request. `pending_prompt_tokens` is its prompt length if no first event
+    /// arrived, else 0.
     pub fn finish(
         &mut self,
         now: Instant,
@@ -416,7 +420,7 @@
         self.record_outcome(now, endpoint, outcome);
     }
 
-    /// Notes what a run that goes on says of its endpoint.
+    /// Records an outcome for the endpoint without ending the request.
     pub fn record_outcome(&mut self, now: Instant, endpoint: EndpointKey, outcome: Outcome) {
         let Some(state) = self.endpoints.get_mut(&endpoint) else { return };
         let (successes, failures) = match outcome {
@@ -441,14 +445,14 @@
         state.health.record(now, successes, failures);
     }
 
-    /// The paces of all endpoints that are known, to note for later lives.
+    /// Latency estimates of all endpoints, to be persisted for later incarnations.
     pub fn known_paces(&self, now: Instant) -> Vec<(EndpointKey, u64)> {
         let mut paces: Vec<_> = self.paces(now).into_iter().map(|(e, ns)| (e, ns as u64)).collect();
         paces.sort();
         paces
     }
 
-    /// Starts from a pace that an earlier life noted, unless there is a measurement.
+    /// Restores a persisted latency estimate unless there are measurements already.
     pub fn restore_pace(&mut self, endpoint: EndpointKey, ns_per_unit: u64) {
         let state = self.endpoints.get_mut(&endpoint).filter(|s| s.pace.as_parts().1 == 0);
         if let Some(state) = state {
@@ -456,12 +460,12 @@
         }
     }
 
-    /// What was newly believed of endpoints since the last call.
+    /// Returns the ejections since the last call.
     pub fn take_ejections(&mut self) -> Vec<Ejection> {
         std::mem::take(&mut self.ejections)
     }
 
-    /// Requests at an endpoint, of all instances that are heard.
+    /// Requests running at an endpoint, from all reachable instances.
     pub fn load(&self, now: Instant, endpoint: EndpointKey) -> u32 {
         let local = self.endpoints.get(&endpoint).map_or(0, |s| s.running);
         let loads = self.live_reports(now).flat_map(|r| &r.loads);
