--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -1,17 +1,17 @@
-//! The fleet beyond an instance's own cell, as representatives tell it.
+//! Aggregated state of other cells, exchanged by representatives.
 //!
-//! Each cell is represented by the first of its instances by name that is heard. Representatives tell each other
-//! sums of their cells, and each tells its cell the sums of all others. So an instance hears from its cell and from
-//! nobody else, whatever the size of the fleet, and a representative from one more for each cell. Telling
-//! everybody everything once a second cost an instance of a fleet of 295 a datagram each 3.5 ms, most of its
-//! processor time and of the bytes between zones.
+//! The representative of a cell is its first reachable instance by name. Representatives exchange
+//! the totals of their cells, and each forwards the totals of all other cells to its own. An
+//! instance therefore receives reports from its cell only, and a representative one more for each
+//! other cell; all-to-all reports would grow with the size of the fleet.
 //!
-//! There is no election: who hears nobody before itself by name represents its cell. While two do, both are
-//! listened to, and what both tell of other cells is counted once. When one falls silent, the next one takes over as
-//! soon as it takes the silence for its end, and knows from it where the other representatives are.
+//! There is no election. While two instances consider themselves representatives, both are
+//! accepted, and totals that both report are counted once. When a representative fails, the next
+//! one takes over after [`PEER_TTL`] and learns the addresses of the other representatives from the
+//! reports of the failed one.
 //!
-//! What was traded: what accounts use is known in other cells after two hops more, 0.2 to 0.4 s, and an instance
-//! that nobody of its cell hears does not count as heard elsewhere.
+//! Account usage reaches other cells after two additional hops (0.2 to 0.4 s). An instance that no
+//! other instance of its cell can reach does not count as reachable in other cells.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -22,45 +22,46 @@
 use crate::quota::Lately;
 use crate::rollout::evidence::EvidenceKey;
 
-/// What a representative tells its cell of the other cells.
+/// What a representative reports to its own cell about the other cells.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct FleetSummary {
-    /// Their instances.
+    /// Number of their instances.
     #[serde(rename = "b")]
     pub remote_instances: RemoteInstances,
-    /// Units that they have admitted, as far as the representative has heard in its life, by client account.
+    /// Units that they have admitted, by client account, as received by the representative in its
+    /// incarnation.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub admitted_units: Vec<(AccountId, u64)>,
-    /// What of these units was admitted lately. Told by one that has begun to represent its cell.
+    /// The part of these units admitted recently. Only sent by a new representative.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub recent_units: Vec<(AccountId, Lately)>,
-    /// Answers of versions that are rolled out, likewise.
+    /// Answer counters of versions being rolled out, counted like `admitted_units`.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub evidence: Vec<(EvidenceKey, u64)>,
-    /// Whether all counters of which there are any are among these.
+    /// Whether all non-zero counters are included.
     #[serde(rename = "f", default)]
     pub is_complete: bool,
 }
 
-/// Instances of other cells.
+/// Number of instances in other cells.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct RemoteInstances {
-    /// Those that their representatives hear, these included.
+    /// Instances reachable by their representatives, including the representatives.
     #[serde(rename = "h")]
     pub reachable: u32,
-    /// Those of them that take on requests.
+    /// Reachable instances that accept requests.
     #[serde(rename = "y")]
     pub ready: u32,
 }
 
 impl Cell {
-    /// Last report of the instance that represents this cell, if that is another one.
+    /// Last report of this cell's representative, if it is another instance.
     pub fn representative(&self, now: Instant) -> Option<&Report> {
         let all = self.live_reports(now).filter(|r| r.is_representative);
         all.min_by(|a, b| a.instance.cmp(&b.instance))
     }
 
-    /// What this instance hears of other cells as its cell's representative.
+    /// Instances of other cells, as reported by their representatives to this instance.
     pub fn remote_instances(&self, now: Instant) -> RemoteInstances {
         let mut total = RemoteInstances::default();
         for report in self.remote_reports(now).filter(|r| r.is_representative) {
@@ -70,14 +71,15 @@
         total
     }
 
-    /// What this instance knows of other cells from its representatives, the last one included: one that has just
-    /// started or stepped in hears of the others 0.3 s later, and until then says that there are none.
+    /// Instances of other cells, as reported by this cell's representatives, including the previous
+    /// one: a new representative reports none until it has heard from the others, about 0.3 s
+    /// later.
     pub fn reported_remote_instances(&self, now: Instant) -> RemoteInstances {
         let summaries = self.peers.values().filter_map(|p| p.live_remote_instances(now, PEER_TTL));
         summaries.max_by_key(|instances| instances.reachable).unwrap_or_default()
     }
 
-    /// Where representatives of other cells are, as instances of this cell and of others have told.
+    /// Addresses of representatives of other cells, as reported by all known instances.
     pub fn representative_addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         let all = self.peers.values().chain(self.remote_peers.values());
         all.flat_map(|p| p.report.representative_addresses.iter().copied())
--- a/oxbowbend-core/tests/fleet.rs
+++ b/oxbowbend-core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What instances know of other cells, by their representatives.
+//! State of other cells, exchanged by representatives.
 
 mod cells;
 
@@ -18,7 +18,7 @@
     vec![("a".into(), units)]
 }
 
-/// What a representative tells its cell of others that have admitted so many units.
+/// What a representative reports to its cell when the other cells have admitted `units`.
 fn summary(units: u64, reachable: u32) -> FleetSummary {
     let remote_instances = RemoteInstances { reachable, ready: reachable - 1 };
     FleetSummary {
@@ -47,7 +47,7 @@
         };
         me.receive_report(now, report, false);
     }
-    // Another instance that turned to this one for a reason of its own is not a cell.
+    // An instance that is not a representative is not counted.
     me.receive_report(now, full_report(&mut cell("z", &[]), now), false);
     assert_eq!(me.remote_instances(now), RemoteInstances { reachable: 23, ready: 21 });
     assert_eq!(me.remote_instances(now + PEER_TTL), RemoteInstances::default());
@@ -59,14 +59,14 @@
     let (mut first, mut me) = (cell("a", &[]), cell("c", &[]));
     let deltas =
         me.receive_report(now, representative_report(&mut first, now, summary(1000, 283)), true);
-    // What was admitted before it was heard is not of now.
+    // Units admitted before the first report are not counted.
     let expected = CounterDeltas { own_cell: vec![], other_cells: admitted(0) };
     assert_eq!(deltas.expect("report is new").admitted_units, expected);
     assert_eq!(me.reported_remote_instances(now), RemoteInstances { reachable: 283, ready: 282 });
     let deltas =
         me.receive_report(now, representative_report(&mut first, now, summary(1250, 283)), true);
     assert_eq!(deltas.expect("report is new").admitted_units.other_cells, admitted(250));
-    // A report that leaves it out changes nothing.
+    // A report without a summary keeps the previous one.
     me.receive_report(
         now,
         Report { is_representative: true, ..full_report(&mut first, now) },
@@ -76,7 +76,8 @@
     assert_eq!(me.reported_remote_instances(now + PEER_TTL), RemoteInstances::default());
 }
 
-/// Representatives also turn to instances that they have not heard of.
+/// Representatives also send reports to instances that they do not know. Totals must not be counted
+/// twice.
 #[test]
 fn totals_count_only_from_the_own_representative() {
     let now = Instant::now();
@@ -108,7 +109,7 @@
             .other_cells,
         []
     );
-    // Without one, what it is told itself counts again, and only what is new.
+    // As a representative it counts the totals that it receives directly, from the last value on.
     let later = now + PEER_TTL;
     me.set_representative(true);
     assert_eq!(
@@ -132,11 +133,11 @@
     let deltas =
         me.receive_report(now, representative_report(&mut second, now, summary(700, 283)), true);
     assert_eq!(deltas.expect("report is new").admitted_units.other_cells, []);
-    // One that has just stepped in knows of nobody yet.
+    // A new representative does not know other cells yet.
     let initial = summary(700, 1);
     me.receive_report(now, representative_report(&mut second, now, initial), true);
     assert_eq!(me.reported_remote_instances(now).reachable, 283);
-    // The first one falls silent: the second one's word counts, from where it was.
+    // After the first one has failed, the totals of the second one count, from their last value on.
     let later = now + PEER_TTL;
     let deltas = me.receive_report(
         later,
@@ -154,7 +155,7 @@
     let address = ([10, 0, 0, 9], 80).into();
     let report = representative_report(&mut first, now, summary(0, 12));
     me.receive_report(now, Report { representative_addresses: vec![address], ..report }, true);
-    // Frequent reports leave the addresses out.
+    // Frequent reports omit the addresses.
     me.receive_report(now + 10 * MS, representative_report(&mut first, now, summary(0, 12)), true);
     me.expire_peers(now + Duration::from_secs(10));
     assert_eq!(me.representative_addresses().collect::<Vec<_>>(), [address]);
@@ -173,7 +174,7 @@
     me.set_peers(|_| false);
     assert_eq!((me.live_peer_count(now), me.remote_reports(now).count()), (0, 1));
     me.set_peers(|_| true);
-    // What it admitted meanwhile was told by those who represented its cell.
+    // Representatives have reported in the meantime what it admitted.
     let deltas = me.receive_report(now, with_units(full_report(&mut other, now), 130), true);
     assert_eq!(deltas.expect("report is new").admitted_units.own_cell, admitted(0));
     let deltas = me.receive_report(now, with_units(full_report(&mut other, now), 150), true);
