--- a/oxbowbend-core/src/cell/layout.rs
+++ b/oxbowbend-core/src/cell/layout.rs
@@ -1,13 +1,14 @@
-//! Which instances form a cell, and with which endpoints.
+//! Division of a fleet into cells.
 //!
-//! Up to [`DEFAULT_MAX_CELL_SIZE`] instances are one cell with all endpoints. A larger fleet is split into cells of
-//! about that size: each gets an equal part of every availability zone's instances, and of every
-//! service's endpoints there. All instances work this out alike from the list of instances; while
-//! their lists differ, an endpoint may belong to two cells, and queues what both send.
+//! A fleet of up to [`DEFAULT_MAX_CELL_SIZE`] instances is one cell with all endpoints. A larger
+//! fleet is split into cells of about that size. Each cell gets an equal part of the instances of
+//! every availability zone and of the endpoints of every service there. All instances compute the
+//! same layout from the same list of instances; while their lists differ, an endpoint may belong to
+//! two cells and then queues requests from both.
 //!
-//! Members are ordered by a hash of their names and cut into equal parts; endpoints are dealt out to the
-//! cell that each prefers and that has room. So one that joins or leaves moves few others. What was traded: a cell whose callers send more than others' has no way
-//! to the others' endpoints.
+//! Instances are ordered by a hash of their names and cut into equal parts. Endpoints go to the
+//! highest-ranked cell with room, so that a joining or leaving instance or endpoint moves few
+//! others. A cell with more traffic than others cannot use their endpoints.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,29 +17,29 @@
 use crate::ids::{InstanceId, ServiceId, ZoneId};
 use crate::routes::Endpoint;
 
-/// Instances of a cell at most if nothing else is set. Reports grow with its square: at 12 instances
-/// with ten requests a second each they take 0.5% of a core.
+/// Default maximum number of instances in a cell. Report traffic grows with its square.
 pub const DEFAULT_MAX_CELL_SIZE: usize = 12;
-/// Endpoints of a service for each cell below which all cells share the service.
+/// Endpoints per cell below which a service is shared by all cells.
 const MIN_ENDPOINTS_PER_CELL: usize = 2;
 
 /// The cell of one instance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CellLayout {
-    /// Its other instances.
+    /// The other instances of the cell.
     pub peers: BTreeSet<InstanceId>,
-    /// Its endpoints.
+    /// The cell's endpoints.
     pub endpoints: Vec<Endpoint>,
-    /// How many cells there are.
+    /// Number of cells in the fleet.
     pub cell_count: usize,
-    /// Which of them this is, from 0.
+    /// Index of this cell, starting at 0.
     pub cell_index: usize,
-    /// Services whose endpoints belong to all cells.
+    /// Services whose endpoints are shared by all cells.
     pub shared_services: BTreeSet<ServiceId>,
 }
 
 impl CellLayout {
-    /// The cell of instance `me` in a fleet that is split into cells of `size` instances at most.
+    /// Computes the cell of instance `local_id` in a fleet split into cells of at most `max_size`
+    /// instances.
     pub fn compute(
         local_id: &InstanceId,
         members: &BTreeMap<InstanceId, ZoneId>,
@@ -66,7 +67,7 @@
     }
 }
 
-/// Services with too few endpoints to be dealt out.
+/// Services with too few endpoints to be distributed among the cells.
 fn find_shared_services(cell_count: usize, endpoints: &[Endpoint]) -> BTreeSet<ServiceId> {
     let mut services: BTreeMap<&ServiceId, usize> = BTreeMap::new();
     for endpoint in endpoints {
@@ -102,16 +103,16 @@
     own
 }
 
-/// Deals endpoints out to cells in equal parts. Each endpoint ranks the cells by a hash and goes to the
-/// first one that has room, so that one that comes or goes moves few others: what runs at an endpoint
-/// that changes its cell is not known to the new one.
+/// Distributes endpoints evenly among cells. Each endpoint ranks the cells by a hash and goes to
+/// the first one with room. Few endpoints move when one is added or removed: requests running at an
+/// endpoint that moves are unknown to its new cell.
 fn distribute<'a>(
     cell_count: usize,
     zone: &ZoneId,
     mut endpoints: Vec<&'a Endpoint>,
 ) -> Vec<(&'a Endpoint, usize)> {
     let (base, extra) = (endpoints.len() / cell_count, endpoints.len() % cell_count);
-    // Cells that get one more, other ones in each zone.
+    // Cells that get one endpoint more, chosen by zone.
     let mut order: Vec<usize> = (0..cell_count).collect();
     order.sort_by_key(|cell| cell_hash(zone, *cell));
     let mut room = vec![base; cell_count];
@@ -133,7 +134,7 @@
     xxh3_64_with_seed(name.as_bytes(), cell as u64)
 }
 
-/// Members by availability zone, each ordered by a hash.
+/// Members by availability zone, ordered by a hash of their names.
 fn members_by_zone(members: &BTreeMap<InstanceId, ZoneId>) -> BTreeMap<&ZoneId, Vec<&InstanceId>> {
     let mut zones: BTreeMap<_, Vec<_>> = BTreeMap::new();
     for (name, zone) in members {
--- a/oxbowbend-core/tests/layout.rs
+++ b/oxbowbend-core/tests/layout.rs
@@ -1,4 +1,4 @@
-//! How a fleet is split into cells.
+//! Division of a fleet into cells.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -80,8 +80,8 @@
     assert!(moved <= 8, "{moved} instances moved");
 }
 
-/// A crash of a quarter of the endpoints and their return under other names moved half of the others to
-/// other cells, which did not know what ran there (kalemdar-tutanak-grown scale-1).
+/// Endpoints that moved to another cell when others were replaced still ran requests unknown to
+/// that cell.
 #[test]
 fn removing_endpoints_moves_few_others() {
     let members = members(89);
