--- a/oxbowbend-core/src/cell/health.rs
+++ b/oxbowbend-core/src/cell/health.rs
@@ -1,29 +1,28 @@
-//! Which endpoints fail, judged by what all instances have seen of them.
+//! Outlier detection: ejects endpoints that fail too many requests.
 //!
-//! A health check can be good while requests fail, so only the outcome of requests counts. An
-//! endpoint that fails too often is set aside for a while and then tried with one request at a
-//! time. At most half of a service is set aside: if all fail, the cause is not the endpoint.
+//! Only request outcomes count, since an endpoint can pass health checks while requests fail. An
+//! ejected endpoint is then on probation, limited to one request at a time. At most half of a
+//! service's endpoints are ejected: if all of them fail, the cause is elsewhere.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Time for which outcomes count: about 18 requests an endpoint at the users' sites.
+/// Period over which outcomes are counted.
 pub(super) const OUTCOME_WINDOW: Duration = Duration::from_secs(3);
-/// Failures in the window below which nothing follows.
+/// Failures below which an endpoint is never ejected.
 const MIN_FAILURES: u32 = 4;
-/// Failures that end a trial badly. One may be the request's own.
+/// Failures that end a probation with another ejection. A single one may be the request's fault.
 const PROBATION_FAILURES: u32 = 2;
-/// Good answers that end a trial well.
+/// Successes that end a probation.
 const PROBATION_SUCCESSES: u32 = 3;
-/// Share of failures from which an endpoint is set aside. The users' services fail up to 14 in
-/// 100 requests of one kind by themselves; a failing endpoint fails 40 in 100.
+/// Failure rate from which an endpoint is ejected: above that of some healthy services (up to 14%)
+/// and below that of a failing endpoint (about 40%).
 const FAILURE_RATIO: f64 = 0.3;
-/// First time for which an endpoint is set aside.
+/// Length of the first ejection; doubles with each further one.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(1000);
-/// Longest such time.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(4);
 
-/// What a service's endpoint has lately done.
+/// Recent outcomes of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     outcomes: VecDeque<(Instant, u32, u32)>,
@@ -34,7 +33,7 @@
 }
 
 impl Health {
-    /// Notes outcomes.
+    /// Records outcomes.
     pub fn record(&mut self, now: Instant, successes: u32, failures: u32) {
         if successes + failures == 0 {
             return;
@@ -47,7 +46,7 @@
         }
     }
 
-    /// Whether the endpoint has failed enough to be set aside.
+    /// Whether the endpoint should be ejected.
     pub fn is_failing(&mut self, now: Instant) -> bool {
         while self.outcomes.front().is_some_and(|(t, ..)| now.duration_since(*t) > OUTCOME_WINDOW) {
             self.outcomes.pop_front();
@@ -59,7 +58,7 @@
             && f64::from(failures) >= FAILURE_RATIO * f64::from(successes + failures)
     }
 
-    /// Sets the endpoint aside; returns for how long.
+    /// Ejects the endpoint and returns for how long.
     pub fn eject(&mut self, now: Instant) -> Duration {
         let duration =
             (BASE_EJECTION_TIME * (1 << self.ejection_count.min(4))).min(MAX_EJECTION_TIME);
@@ -71,12 +70,11 @@
         duration
     }
 
-    /// Whether the endpoint is set aside now.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it may have one request at a time only.
+    /// Whether the endpoint is limited to one request at a time.
     pub fn is_on_probation(&self) -> bool {
         self.is_on_probation
     }
