--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -1,4 +1,4 @@
-//! What an instance of the fleet has told, as far as later reports go on from it.
+//! State kept for each other instance.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -10,14 +10,14 @@
 use crate::ids::{AccountId, EndpointKey};
 use crate::rollout::evidence::EvidenceKey;
 
-/// Counters that an instance has told so far, which only grow in its life. Frequent reports leave them out.
+/// Last reported values of monotonic counters. Frequent reports omit them.
 #[derive(Clone, Debug)]
 pub(super) struct CounterBaselines<K> {
-    /// Its own.
+    /// The instance's own counters.
     pub(super) own: HashMap<K, u64>,
-    /// Those of its cell.
+    /// Totals of its cell.
     pub(super) cell: HashMap<K, u64>,
-    /// Those of all other cells, as it tells its own.
+    /// Totals of all other cells, as reported to its own cell.
     pub(super) fleet: HashMap<K, u64>,
 }
 
@@ -32,47 +32,51 @@
 pub(super) struct Peer {
     pub(super) report: Report,
     pub(super) last_heard: Instant,
-    /// When it was heard first in this life.
+    /// Time of the first report of this incarnation.
     pub(super) first_heard: Instant,
-    /// Good and bad answers told so far. Reports leave endpoints out that were not used lately.
+    /// Last reported successes and failures by endpoint. Reports omit endpoints that were not used
+    /// recently.
     pub(super) outcomes: HashMap<EndpointKey, (u64, u64)>,
-    /// Whether a full report was heard, which the counters go on from.
+    /// Whether a report with all outcomes was received, which sets the baseline.
     pub(super) has_outcome_baseline: bool,
-    /// Units admitted, by account.
+    /// Admitted units by client account.
     pub(super) admitted_units: CounterBaselines<AccountId>,
-    /// Answers of versions that are rolled out.
+    /// Answers of versions being rolled out.
     pub(super) evidence: CounterBaselines<EvidenceKey>,
-    /// Whether a report with all of its own counters was heard, of those of its cell, of those of the others.
+    /// Whether a report with all of its own counters, its cell's totals, or the other cells' totals
+    /// was received.
     pub(super) has_own_baseline: bool,
     pub(super) has_cell_baseline: bool,
     pub(super) has_fleet_baseline: bool,
-    /// When it last told of its cell as its representative, and its cell of all others, since it has been that.
+    /// When it last reported the totals of its cell, or of the other cells to this cell, as a
+    /// representative.
     pub(super) cell_totals_at: Option<Instant>,
     pub(super) fleet_totals_at: Option<Instant>,
-    /// When it last told of other cells.
+    /// When it last reported a summary of other cells.
     pub(super) fleet_summary_at: Option<Instant>,
-    /// Since when it has heard more of the cell than this instance.
+    /// Since when it has reached an instance of the cell that this instance does not.
     pub(super) uncovered_since: Option<Instant>,
-    /// The paces told last.
+    /// Latency estimates in its last reports.
     pub(super) paces: HashMap<EndpointKey, pace::Pace>,
 }
 
 impl Peer {
-    /// Goes on from its next full report with its own counters: others have told meanwhile what it admitted.
+    /// Discards the baseline of its own counters. The next complete report sets a new one, since
+    /// other instances have reported its counters meanwhile.
     pub(super) fn reset_own_baseline(&mut self) {
         self.admitted_units.own.clear();
         self.evidence.own.clear();
         self.has_own_baseline = false;
     }
 
-    /// The same with those of its cell.
+    /// Discards the baseline of its cell's totals.
     pub(super) fn reset_cell_baseline(&mut self) {
         self.admitted_units.cell.clear();
         self.evidence.cell.clear();
         self.has_cell_baseline = false;
     }
 
-    /// The same with those of all other cells.
+    /// Discards the baseline of the other cells' totals.
     pub(super) fn reset_fleet_baseline(&mut self) {
         self.admitted_units.fleet.clear();
         self.evidence.fleet.clear();
@@ -99,7 +103,7 @@
         }
     }
 
-    /// What it told of other cells, if that is not too old.
+    /// Instances of other cells in its last summary, unless that is older than `ttl`.
     pub(super) fn live_remote_instances(
         &self,
         now: Instant,
@@ -114,7 +118,7 @@
             .map(|summary| summary.remote_instances)
     }
 
-    /// Takes in a report. What it leaves out stays as it was told before.
+    /// Stores a report. Optional fields that it omits keep their previous values.
     pub(super) fn take(&mut self, now: Instant, report: Report) {
         let previous = std::mem::take(&mut self.report);
         self.fleet_summary_at =
@@ -139,8 +143,8 @@
     }
 }
 
-/// Takes in counters and returns by how much they have grown. Of one not seen before, all is growth
-/// unless it is the first report.
+/// Updates counters and returns by how much they have grown. A counter without a previous value
+/// starts at 0, or at its reported value in the first report.
 pub(super) fn advance_counters<K: Clone + Eq + Hash>(
     counters: &mut HashMap<K, u64>,
     reported: &[(K, u64)],
--- a/oxbowbend-core/src/cell/receive.rs
+++ b/oxbowbend-core/src/cell/receive.rs
@@ -1,4 +1,4 @@
-//! Taking in what other instances report, and who of them is heard.
+//! Processing of reports from other instances, and liveness of their senders.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -11,22 +11,25 @@
 use crate::quota::{admitted_within, Lately};
 use crate::rollout::evidence::EvidenceKey;
 
-/// Silence after which an instance of this cell is forgotten.
+/// Time without a report after which an instance of this cell is removed.
 const PEER_RETENTION: Duration = Duration::from_secs(30);
-/// The same for others: whoever is heard of them is heard several times a second, or once at its start.
+/// Time without a report after which an instance of another cell is removed. Representatives report
+/// several times a second.
 const REMOTE_PEER_RETENTION: Duration = Duration::from_secs(8);
 
-/// Time within which one that represents its cell tells of it again, whatever is lost: it does so every 0.26 s.
+/// Time without totals after which a representative is taken to have stepped down. Totals are sent
+/// every 0.26 s.
 const TOTALS_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for which an instance that has just started is told what it cannot know: five beats, of which three may be lost.
+/// Time for which a new instance is sent the state that it missed: five heartbeats, to tolerate
+/// packet loss.
 const NEWCOMER_PERIOD: Duration = Duration::from_millis(600);
 
-/// By how much counters have grown since the report before.
+/// Increase of counters since the previous report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CounterDeltas<K> {
-    /// Those of an instance of this cell.
+    /// Counters of the sender, an instance of this cell.
     pub own_cell: Vec<(K, u64)>,
-    /// Those of other cells.
+    /// Counters of other cells.
     pub other_cells: Vec<(K, u64)>,
 }
 
@@ -36,29 +39,31 @@
     }
 }
 
-/// What a report tells to be new.
+/// Counter increases derived from one report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReportDeltas {
-    /// Units of client accounts that were admitted.
+    /// Admitted units by client account.
     pub admitted_units: CounterDeltas<AccountId>,
-    /// Answers of versions that are rolled out.
+    /// Answers of versions being rolled out.
     pub evidence: CounterDeltas<EvidenceKey>,
 }
 
-/// What of a report's counters is counted here.
+/// Which counters of a report are counted, and from which baseline.
 #[derive(Clone, Copy, Debug)]
 struct DeltaContext {
     /// Whether the sender belongs to this cell.
     is_same_cell: bool,
-    /// Whether its sums of other cells, or of its own if it belongs to another one, are not told by somebody else.
+    /// Whether the sender's totals are counted: those of its cell if it belongs to another cell,
+    /// else those of all other cells.
     is_totals_source: bool,
-    /// Whether its counters were not all known before, by whose they are.
+    /// Whether there is no baseline yet for the sender's own counters, those of its cell, or those
+    /// of the fleet.
     is_first_own: bool,
     is_first_cell: bool,
     is_first_fleet: bool,
 }
 
-/// Counters of one sort in a report.
+/// One kind of counter in a report.
 struct ReportedCounters<'a, K> {
     own: &'a [(K, u64)],
     cell: &'a [(K, u64)],
@@ -88,8 +93,8 @@
 }
 
 impl Cell {
-    /// Takes in another instance's report; `is_near` if it belongs to this cell. Returns nothing if the
-    /// report is no news.
+    /// Processes a report; `is_same_cell` tells whether the sender belongs to this cell. Returns
+    /// `None` if the report is outdated or from this instance itself.
     pub fn receive_report(
         &mut self,
         now: Instant,
@@ -138,7 +143,7 @@
             let reported = (stats.successes, stats.failures);
             let pace = pace::Pace::reported(stats.ns_per_unit, stats.samples);
             peer.paces.insert(stats.endpoint, pace);
-            // What a new acquaintance has counted so far is not of now.
+            // Counts from before the first report are not recent.
             let previous = peer.outcomes.insert(stats.endpoint, reported);
             let previous = previous.unwrap_or(if is_first { reported } else { (0, 0) });
             if let Some(state) = self.endpoints.get_mut(&stats.endpoint) {
@@ -150,7 +155,8 @@
         }
     }
 
-    /// What has been admitted since the last report. Counters go on from the first report that tells all of them.
+    /// Computes by how much the sender's counters have grown. The first complete report sets the
+    /// baseline.
     fn counter_deltas(
         &mut self,
         now: Instant,
@@ -189,10 +195,9 @@
         ReportDeltas { admitted_units, evidence: context.deltas(&mut peer.evidence, evidence) }
     }
 
-    /// Whether a report begins to tell sums that another one has told before: then the counters start anew, and what
-    /// was admitted since that one's last word is returned, as far as it is told. Going on from what this one had
-    /// told when it last represented its cell counted all that others have told meanwhile again: with a stop
-    /// of 74 instances in turn 2 to 4 times what was used.
+    /// Resets the baseline when a different instance starts to report totals, and returns the units
+    /// admitted since the previous source's last report, where known. Keeping the baseline from an
+    /// earlier term as representative would count again what others reported in between.
     fn restart_totals(
         &self,
         now: Instant,
@@ -209,7 +214,7 @@
                 return Vec::new();
             };
             peer.reset_fleet_baseline();
-            // Until it stepped down, this instance heard the other cells itself.
+            // Before stepping down, this instance received the totals of other cells directly.
             let last_totals_at =
                 self.fleet_totals_at.max(self.cell_totals_at.values().copied().max());
             return units_admitted_within(&summary.recent_units, last_totals_at.map(age));
@@ -218,13 +223,13 @@
             return Vec::new();
         }
         peer.reset_cell_baseline();
-        // Until it stepped in, this instance was told of all other cells.
+        // Before taking over, this instance received the totals from its representative.
         let last_totals_at =
             self.cell_totals_at.get(&report.cell_index).copied().max(self.fleet_totals_at);
         units_admitted_within(&report.cell_recent_units, last_totals_at.map(age))
     }
 
-    /// Notes that sums were counted.
+    /// Records when totals were last counted.
     fn record_totals(&mut self, now: Instant, report: &Report, is_same_cell: bool) {
         if !is_same_cell {
             self.cell_totals_at.insert(report.cell_index, now);
@@ -233,8 +238,9 @@
         }
     }
 
-    /// Whether the sums that a report tells are counted here: a representative hears of the other cells from theirs,
-    /// and all others from their own one. While a cell has two, both tell the same.
+    /// Whether totals in this report are counted. A representative counts those of the other cells'
+    /// representatives; other instances count those of their own representative. If a cell has two,
+    /// both report the same totals and only the first by name counts.
     fn is_totals_source(&self, now: Instant, report: &Report, is_same_cell: bool) -> bool {
         let representative = self.representative(now).map(|r| &r.instance);
         let is_first =
@@ -265,34 +271,34 @@
         }
     }
 
-    /// Forgets instances that have been silent for long.
+    /// Removes instances that have not reported for a long time.
     pub fn expire_peers(&mut self, now: Instant) {
         self.peers.retain(|_, p| p.is_live(now, PEER_RETENTION));
         self.remote_peers.retain(|_, p| p.is_live(now, REMOTE_PEER_RETENTION));
         self.forget_said(now);
     }
 
-    /// Whether another instance of this cell has been heard for the first time within [`NEWCOMER_PERIOD`].
+    /// Whether another instance of this cell was first heard within [`NEWCOMER_PERIOD`].
     pub fn has_newcomer(&self, now: Instant) -> bool {
         self.live_peers(now).any(|p| now.saturating_duration_since(p.first_heard) < NEWCOMER_PERIOD)
     }
 
-    /// Other instances of this cell that were heard within [`PEER_TTL`].
+    /// Number of other instances of this cell heard within [`PEER_TTL`].
     pub fn live_peer_count(&self, now: Instant) -> usize {
         self.live_peers(now).count()
     }
 
-    /// Last reports of the instances of this cell that were heard within [`PEER_TTL`].
+    /// Last reports of the instances of this cell heard within [`PEER_TTL`].
     pub fn live_reports(&self, now: Instant) -> impl Iterator<Item = &Report> {
         self.live_peers(now).map(|p| &p.report)
     }
 
-    /// Last reports of the instances of other cells that were heard within [`PEER_TTL`].
+    /// Last reports of the instances of other cells heard within [`PEER_TTL`].
     pub fn remote_reports(&self, now: Instant) -> impl Iterator<Item = &Report> {
         self.remote_peers.values().filter(move |p| p.is_live(now, PEER_TTL)).map(|p| &p.report)
     }
 
-    /// Last reports of the instances of this cell that were heard within [`PEER_TTL`], with their ages.
+    /// Last reports of the instances of this cell heard within [`PEER_TTL`], with their age.
     pub fn live_reports_with_age(&self, now: Instant) -> impl Iterator<Item = (&Report, Duration)> {
         self.live_peers(now).map(move |p| (&p.report, now.saturating_duration_since(p.last_heard)))
     }
@@ -302,7 +308,7 @@
     }
 }
 
-/// Units that were admitted within a time, of what was told; none if it is not known since when.
+/// Units admitted within `time`; empty if `time` is unknown.
 fn units_admitted_within(
     recent_units: &[(AccountId, Lately)],
     time: Option<Duration>,
