--- a/oxbowbend-core/src/cell/reachability.rs
+++ b/oxbowbend-core/src/cell/reachability.rs
@@ -1,15 +1,13 @@
-//! Whose parts of the accounts' quotas an instance may use.
+//! Which instances' shares of account quotas an instance may use.
 //!
-//! The load that this answers: accounts that flood while the fleet is cut apart so that some instances hear
-//! both sides. Each instance may use the parts of those that it hears, as what they admit is counted here. But
-//! an instance that hears both sides is heard by both, and if it admits little itself both use its part:
-//! with one of six instances cut off from three of the others, the two sides together used 8 sixths of a
-//! quota. So the part of an instance that hears somebody whom this one does not is left to those that do.
+//! An instance may use the shares of instances that it can reach, because it counts what they
+//! admit. During a partial network partition an instance can be reachable from both sides, and each
+//! side would use its share. So the share of an instance that reaches some instance this one cannot
+//! is left to others.
 //!
-//! Why that keeps the sum within the whole: of instances that do not hear each other, no two may use the same
-//! part, since whoever is heard by both hears somebody whom either does not; and any set of such instances that
-//! cannot be added to is heard, together, by all. What was traded: while the fleet is cut so, the sides
-//! leave what the instances between them do not use.
+//! This bounds the sum of all shares by the whole quota: no share is usable by two instances that
+//! cannot reach each other, because any instance that both of them reach is uncovered for each. The
+//! shares of instances that reach both sides of a partition may go partly unused.
 
 use std::time::{Duration, Instant};
 
@@ -18,22 +16,22 @@
 use super::{Cell, PEER_TTL};
 use crate::ids::InstanceId;
 
-/// Time for which it must have heard others. Instances notice within two beats of each other that one
-/// has started or fallen silent.
+/// Time for which a peer must have reached additional instances before it counts as uncovered.
+/// Instances notice starts and failures within two heartbeats of each other.
 const UNCOVERED_DELAY: Duration = Duration::from_millis(400);
-/// Bits of a name in a set of names. With 12 names 1.5 in 100 others are taken to be in the set.
+/// Bits set per name. With 12 instances in the filter the false positive rate is 1.5%.
 const HASHES_PER_NAME: u64 = 3;
 
-/// What an instance hears of its cell.
+/// Reachability of the instances of a cell.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Reachability {
-    /// Other instances that it hears.
+    /// Other instances that this one can reach.
     pub reachable: usize,
-    /// Those of them that hear nobody whom it does not hear.
+    /// Reachable instances that reach no instance this one cannot.
     pub covered: usize,
 }
 
-/// A set of instances as a Bloom filter, which is enough to tell whether one hears somebody whom another does not.
+/// A Bloom filter of instance names.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct InstanceFilter([u64; 2]);
 
@@ -45,14 +43,13 @@
         }
     }
 
-    /// Whether all of these are among others.
     fn is_subset_of(self, other: InstanceFilter) -> bool {
         self.0[0] & !other.0[0] == 0 && self.0[1] & !other.0[1] == 0
     }
 }
 
 impl Cell {
-    /// Works out what is heard of those that belong to the cell; reports tell of it from now on.
+    /// Recomputes which instances of the cell are reachable. Later reports include the result.
     pub fn update_reachability(
         &mut self,
         now: Instant,
@@ -75,14 +72,14 @@
         Reachability { reachable, covered }
     }
 
-    /// Instances of the cell that are heard, this one included.
+    /// Number of reachable instances of the cell, including this one.
     pub fn reachable_count(&self) -> u32 {
         self.reachable_count
     }
 }
 
 impl super::peer::Peer {
-    /// Whether it has long heard somebody who is not among these.
+    /// Whether the peer has for some time reached an instance that is not in `reachable`.
     fn is_uncovered(&mut self, now: Instant, reachable: InstanceFilter) -> bool {
         if self.report.reachable_filter.unwrap_or_default().is_subset_of(reachable) {
             self.uncovered_since = None;
--- a/oxbowbend-core/tests/reachability.rs
+++ b/oxbowbend-core/tests/reachability.rs
@@ -1,4 +1,4 @@
-//! Whose parts of a quota instances use while the fleet is cut apart.
+//! Quota shares that instances use during network partitions.
 
 mod cells;
 
@@ -12,10 +12,10 @@
 const INSTANCES: usize = 5;
 const BOUNDS: QuotaBounds =
     QuotaBounds { window: Duration::from_secs(8), overage: 0.0, slack: 0.0 };
-/// 1,000 in a window.
+/// 1,000 units per window.
 const QUOTA: Quota = Quota { per_s: 0.0, burst: 1000.0 };
 
-/// Which pairs of instances hear each other, one bit each.
+/// The pairs of instances that can reach each other, one bit per pair.
 #[derive(Clone, Copy)]
 struct Links(u32);
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// What each instance hears after a second of beats over these links.
+/// Reachability at each instance after a second of heartbeats over these links.
 fn reachabilities(links: Links) -> Vec<Reachability> {
     let start = Instant::now();
     let mut cells: Vec<Cell> = (0..INSTANCES).map(|n| cell(&format!("i{n}"), &[])).collect();
@@ -51,7 +51,7 @@
     reachabilities
 }
 
-/// What all instances admit together, each as much as it may, from this one on.
+/// Units admitted by all instances, one after the other from `first` on, each as many as it may.
 fn total_admitted(links: Links, reachabilities: &[Reachability], first: usize) -> u64 {
     let now = Instant::now();
     let mut quotas: Vec<Quotas> = reachabilities
@@ -74,8 +74,7 @@
     sum
 }
 
-/// Two accounts flooded while one of six instances was cut off from three of the others, and the two between
-/// them admitted next to nothing: the sides used 5 and 3 sixths of the quota.
+/// An instance that is reachable from both sides of a partition let both of them use its share.
 #[test]
 fn no_partition_exceeds_a_quota() {
     for links in Links::all() {
@@ -93,7 +92,7 @@
 
 #[test]
 fn sides_of_a_partition_use_their_own_shares() {
-    // Instances 0 and 1 hear each other, and so do 2 to 4.
+    // Instances 0 and 1 are connected, and so are 2 to 4.
     let links = Links(0b1100100001);
     let counts: Vec<_> =
         reachabilities(links).into_iter().map(|r| (r.reachable, r.covered)).collect();
@@ -108,7 +107,7 @@
 fn a_peer_is_uncovered_only_after_a_delay() {
     let now = Instant::now();
     let (mut a, mut b, mut c) = (cell("a", &[]), cell("b", &[]), cell("c", &[]));
-    // `b` hears `c`, and `a` hears `b` alone.
+    // `b` reaches `c`, and `a` reaches only `b`.
     b.receive_report(now, c.report(now, ReportDetail::Full), true);
     a.receive_report(now, b.report(now, ReportDetail::Full), true);
     b.update_reachability(now, |_| true);
