--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -1,7 +1,7 @@
-//! What the instances of a cell tell each other.
+//! Reports that instances of a cell exchange.
 //!
-//! A report is the sender's whole state, never a change of it, so that one lost on the way is made
-//! up for by the next one, and one that comes late is told by its number.
+//! A report contains the sender's complete state rather than a change, so that the next one makes
+//! up for a lost one. Late reports are recognised by their sequence number.
 
 use std::net::SocketAddr;
 
@@ -14,151 +14,153 @@
 /// State of one instance.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct Report {
-    /// The sender's name, the same across its lives.
+    /// Name of the sender; stable across restarts.
     #[serde(rename = "i")]
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// Availability zone of the sender.
     #[serde(rename = "z")]
     pub zone: ZoneId,
-    /// Random number of this life.
+    /// Random number that identifies this run of the process.
     #[serde(rename = "l")]
     pub incarnation: u64,
-    /// Number of the report in this life.
+    /// Sequence number of the report within the incarnation.
     #[serde(rename = "n")]
     pub sequence: u64,
-    /// Epoch of the store in which that revision is.
+    /// Epoch of the store that `revision` refers to.
     #[serde(rename = "E", default, skip_serializing_if = "is_zero_epoch")]
     pub epoch: u64,
-    /// Revision of the store up to which the sender knows.
+    /// Latest store revision known to the sender.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// Version of the operator's configuration that it applies.
+    /// Version of the operator's configuration in force.
     #[serde(rename = "v")]
     pub config_version: u64,
-    /// Where it answers questions.
+    /// Address of the sender for reports and snapshot requests.
     #[serde(rename = "a")]
     pub address: Option<SocketAddr>,
-    /// Milliseconds since the store last answered it; none if it does not follow the store itself.
+    /// Milliseconds since the store last answered; `None` if the sender does not watch the store.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub store_age_ms: Option<u32>,
-    /// Milliseconds since the store told this instance, or one that knows the same, that its list of endpoints is the
-    /// newest; none if it does not follow the store itself. Those that copy the list go by this.
+    /// Milliseconds since the store confirmed the endpoint list, to the sender or to an instance
+    /// with the same list; `None` if the sender does not watch the store. Used by instances that
+    /// copy the list.
     #[serde(rename = "G", default, skip_serializing_if = "Option::is_none")]
     pub endpoints_age_ms: Option<u32>,
-    /// Milliseconds since the store last told this instance that it knows the newest configuration. Told with
-    /// beats only.
+    /// Milliseconds since the store last confirmed the configuration. Sent with heartbeats only.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub config_age_ms: Option<u32>,
-    /// Digest of the endpoints that it knows.
+    /// Digest of the known endpoints.
     #[serde(rename = "d", default)]
     pub endpoints_digest: u64,
-    /// Digest of the instances that it knows to be in the fleet. Told with beats only.
+    /// Digest of the known instances. Sent with heartbeats only.
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
     pub instances_digest: Option<u64>,
-    /// Whether it reaches the store.
+    /// Whether the sender can reach the store.
     #[serde(rename = "s", default)]
     pub has_store: bool,
-    /// Whether it takes on any request: it knows what it must, and is not stopping.
+    /// Whether the sender accepts requests: it has loaded its state and is not shutting down.
     #[serde(rename = "y", default, skip_serializing_if = "is_false")]
     pub is_ready: bool,
-    /// Whether it is about to end, and leaves it to others to represent the cell.
+    /// Whether the sender is shutting down and no longer represents its cell.
     #[serde(rename = "S", default, skip_serializing_if = "is_false")]
     pub is_stopping: bool,
-    /// Instances of its cell that it hears, itself included. Told with beats only.
+    /// Number of instances of its cell that the sender can reach, including itself. Sent with
+    /// heartbeats only.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     pub reachable_count: Option<u32>,
-    /// Their names, likewise.
+    /// These instances. Sent with heartbeats only.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
     pub reachable_filter: Option<super::InstanceFilter>,
-    /// Requests that endpoints execute for it, and the tokens of prompts that these have not answered
-    /// with a first event; none where there are none.
+    /// Load that the sender has placed on endpoints; idle endpoints are omitted.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub loads: Vec<EndpointLoad>,
-    /// Whether all counters are told, of accounts and of endpoints used lately.
+    /// Whether all counters are included: those of client accounts and of recently used endpoints.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub has_all_counters: bool,
-    /// What it has seen of endpoints that it used lately. Told now and then only.
+    /// Outcomes and latencies at recently used endpoints. Sent with some reports only.
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     pub endpoint_stats: Vec<EndpointStats>,
-    /// What waits at it, the first in order first.
+    /// Requests waiting at the sender, in order.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub waiting: Vec<WaitingRequest>,
-    /// Units admitted in this life, by client account.
+    /// Units admitted in this incarnation, by client account.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub admitted_units: Vec<(AccountId, u64)>,
-    /// Whether it represents its cell among the others.
+    /// Whether the sender represents its cell to other cells.
     #[serde(rename = "k", default, skip_serializing_if = "is_false")]
     pub is_representative: bool,
-    /// Instances of its cell that take on requests, told to other cells.
+    /// Instances of its cell that accept requests. Sent to other cells.
     #[serde(rename = "q", default, skip_serializing_if = "is_zero")]
     pub cell_ready: u32,
-    /// What it knows of other cells, told to its own.
+    /// Summary of other cells. Sent to the sender's own cell.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub fleet_summary: Option<super::FleetSummary>,
-    /// Units admitted by all of its cell, as far as it has heard in this life, by client account. Told
-    /// to other cells.
+    /// Units admitted by its cell, by client account, as received in this incarnation. Sent to
+    /// other cells.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub cell_admitted_units: Vec<(AccountId, u64)>,
-    /// Which cell that is. Told to other cells.
+    /// Index of the sender's cell. Sent to other cells.
     #[serde(rename = "D", default, skip_serializing_if = "is_zero")]
     pub cell_index: u32,
-    /// What of these units was admitted lately. Told by one that has begun to represent its cell.
+    /// The part of these units admitted recently. Only sent by a new representative.
     #[serde(rename = "L", default, skip_serializing_if = "Vec::is_empty")]
     pub cell_recent_units: Vec<(AccountId, Lately)>,
-    /// Whether all accounts that its cell has admitted units of are among them.
+    /// Whether all non-zero counters of the cell are included.
     #[serde(rename = "b", default, skip_serializing_if = "is_false")]
     pub has_all_cell_counters: bool,
-    /// Roll-outs, and how far they are.
+    /// State of roll-outs.
     #[serde(rename = "R", default, skip_serializing_if = "Vec::is_empty")]
     pub rollouts: Vec<ToldRollout>,
-    /// Answers of versions that are rolled out, in this life.
+    /// Answer counters of versions being rolled out, in this incarnation.
     #[serde(rename = "V", default, skip_serializing_if = "Vec::is_empty")]
     pub evidence: Vec<(EvidenceKey, u64)>,
-    /// Those of all of its cell, as far as it has heard. Told to other cells.
+    /// Answer counters of the sender's cell, as received in this incarnation. Sent to other cells.
     #[serde(rename = "C", default, skip_serializing_if = "Vec::is_empty")]
     pub cell_evidence: Vec<(EvidenceKey, u64)>,
-    /// What accounts have used in each of the last seconds, the newest first. Told while an instance of its cell has
-    /// just started.
+    /// Units used by client accounts in each of the last seconds, newest first. Sent while the cell
+    /// has a new instance.
     #[serde(rename = "W", default, skip_serializing_if = "Vec::is_empty")]
     pub usage_windows: Vec<(AccountId, Window)>,
-    /// What endpoints have said of themselves. Told with beats only.
+    /// Notices from endpoints. Sent with heartbeats only.
     #[serde(rename = "B", default, skip_serializing_if = "EndpointNotices::is_empty")]
     pub endpoint_notices: EndpointNotices,
-    /// What it knows of requests that end endpoints.
+    /// State of the quarantine of requests that crash endpoints.
     #[serde(rename = "Q", default, skip_serializing_if = "Told::is_empty")]
     pub quarantine: Told,
-    /// Where it knows representatives of other cells to be, or at the first start of a fleet all instances.
+    /// Addresses of representatives of other cells, or of all known instances at the first start of
+    /// a fleet.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub representative_addresses: Vec<SocketAddr>,
 }
 
-/// What endpoints have said of themselves in their answers.
+/// Notices that endpoints sent with their answers.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct EndpointNotices {
-    /// Limits, of endpoints that have named one.
+    /// Rate limits.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<super::ToldLimit>,
-    /// Endpoints that leave.
+    /// Endpoints that are draining.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<EndpointKey>,
 }
 
 impl EndpointNotices {
-    /// Whether nothing is told.
+    /// Whether there are no notices.
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty() && self.leaving.is_empty()
     }
 }
 
-/// What an instance has running at one endpoint. It travels as a list of its parts in this order.
+/// Load that an instance has placed on one endpoint. Serialized as a tuple of its fields in this
+/// order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(from = "(EndpointKey, u32, u32)", into = "(EndpointKey, u32, u32)")]
 pub struct EndpointLoad {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Requests that it executes for the sender.
+    /// Running requests.
     pub running: u32,
-    /// Tokens of their prompts that it has not answered with a first event.
+    /// Prompt tokens of running requests without a first event.
     pub pending_prompt_tokens: u32,
 }
 
@@ -174,20 +176,20 @@
     }
 }
 
-/// What an instance has seen of one endpoint. The counters run from the start of its life. It travels as a
-/// list of its parts in this order.
+/// Outcomes and latency that an instance has observed at one endpoint. The counters start with its
+/// incarnation. Serialized as a tuple of its fields in this order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(from = "EndpointStatsParts", into = "EndpointStatsParts")]
 pub struct EndpointStats {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Requests that it answered well.
+    /// Successful requests.
     pub successes: u64,
-    /// Requests that it failed.
+    /// Failed requests.
     pub failures: u64,
-    /// Nanoseconds to the first event for each unit of work; 0 if not measured.
+    /// Nanoseconds to the first event per unit of work; 0 if not measured.
     pub ns_per_unit: u64,
-    /// Measurements behind that.
+    /// Number of measurements behind `ns_per_unit`.
     pub samples: u32,
 }
 
@@ -207,28 +209,28 @@
     }
 }
 
-/// A waiting request. Ages are sent instead of times, since no two clocks agree.
+/// A waiting request. Contains ages instead of timestamps, since clocks differ between instances.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct WaitingRequest {
-    /// The service it waits for.
+    /// Service that must execute the request.
     #[serde(rename = "s")]
     pub service: ServiceId,
-    /// Its rank; 0 goes first.
+    /// Priority; 0 is the most urgent.
     #[serde(rename = "k")]
     pub rank: u16,
-    /// Milliseconds for which it has waited.
+    /// Milliseconds since its arrival.
     #[serde(rename = "w")]
     pub waited_ms: u32,
-    /// Milliseconds from its arrival within which it should be answered.
+    /// Target time from arrival to the first event, in milliseconds.
     #[serde(rename = "o")]
     pub objective_ms: u32,
-    /// Tokens of its prompt.
+    /// Prompt length in tokens.
     #[serde(rename = "p")]
     pub prompt_tokens: u32,
-    /// Tokens that its answer is expected to have.
+    /// Expected length of the answer in tokens.
     #[serde(rename = "n", default)]
     pub output_tokens: u32,
-    /// How it holds up the streams beside it.
+    /// How its prefill stalls concurrent streams.
     #[serde(rename = "h")]
     pub stall: super::PrefillStall,
 }
--- a/oxbowbend-core/src/cell/signals.rs
+++ b/oxbowbend-core/src/cell/signals.rs
@@ -1,21 +1,21 @@
-//! What endpoints say of themselves in their answers, and who passes it on to whom.
+//! Signals that endpoints send in response headers, and how they are propagated.
 
 use std::time::Duration;
 
-/// A value that an answer may name.
+/// An optional value in a response header.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum SignalValue<T> {
-    /// It names none.
+    /// The header is absent.
     #[default]
     Nothing,
-    /// It names this one.
+    /// The header has this value.
     Value(T),
-    /// It names something that is no such value.
+    /// The header is present but cannot be parsed.
     Unreadable,
 }
 
 impl<T: Copy> SignalValue<T> {
-    /// The value.
+    /// Returns the value, if there is a readable one.
     ///
     /// ```
     /// use oxbowbend_core::cell::SignalValue;
@@ -30,46 +30,47 @@
     }
 }
 
-/// What the head of an answer says of its endpoint.
+/// Signals in the headers of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
-    /// Requests a second that it takes from all instances together.
+    /// Requests per second that the endpoint accepts from all instances together.
     pub rate_limit: SignalValue<f64>,
-    /// Whether it leaves, and takes no new requests.
+    /// Whether the endpoint is draining and accepts no new requests.
     pub is_draining: bool,
-    /// Time for which it wants nothing from this instance.
+    /// Time for which this instance should send no requests.
     pub backoff: SignalValue<Duration>,
 }
 
-/// From whom a word of an endpoint is known.
+/// How a signal became known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Origin {
-    /// An answer to this instance.
+    /// From a response to this instance.
     Answer,
-    /// The endpoint's entry, as this instance knows it.
+    /// From the endpoint's entry in the platform's list.
     Entry,
-    /// An instance of its cell.
+    /// From an instance of the same cell.
     Cell,
-    /// The representative of another cell.
+    /// From the representative of another cell.
     Fleet,
 }
 
-/// Whom a report is for.
+/// Recipients of a report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Audience {
-    /// The own cell, by any of its instances.
+    /// The sender's cell, from an instance that is not its representative.
     Cell,
-    /// The own cell, by its representative.
+    /// The sender's cell, from its representative.
     RepresentedCell,
-    /// Other cells.
+    /// Instances of other cells.
     OtherCells,
     /// An instance that has just started.
     Newcomer,
 }
 
 impl Audience {
-    /// Whether it is told what is known from there. Each word passes from an answer to the cell, and from there once from cell to
-    /// cell: what was told on would seem younger each time, and never end.
+    /// Whether signals of this origin are sent to these recipients. A signal is forwarded at most
+    /// once within a cell and once between cells; otherwise it would circulate with an ever younger
+    /// age.
     pub(super) fn receives(self, origin: Origin) -> bool {
         match origin {
             Origin::Answer | Origin::Entry => true,
