--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -1,55 +1,60 @@
-//! How an instance stays sure that it knows every change of a part of the store.
+//! Detects stale watches of a part of the store.
 //!
-//! A watch that waits says nothing, and so does one that nobody will ever answer: the store fell silent when
-//! it was sent, its answer was lost, or its connection went silent while others work. An instance that
-//! trusts a watch for as long as it may wait can apply an old configuration for all that time, and after an
-//! outage all instances can be in that state together, so that none can tell the others.
+//! A watch without changes looks the same as one whose request or answer was lost, so an instance
+//! that trusts a watch for as long as it may block can apply an outdated configuration for all that
+//! time. After an outage, all instances can be in this state at once.
 //!
-//! So knowledge has an age: the time since the store last said, to this instance or to one that knows the same,
-//! that there is nothing newer. One instance, the first by name that the store answers, asks often enough to
-//! keep that age below a bound, and its reports tell the others, whose own watches wait long and are
-//! given up for three reasons: nobody has verified what this instance knows for too long (the next one by name
-//! is the first to notice), another instance knows something newer that the watch should have told, or the
-//! store takes too long. What follows is a watch that does not wait, so its answer or its absence is known at once.
+//! Therefore the store's state has an age: the time since the store last confirmed, to this
+//! instance or to another one with the same state, that nothing newer exists. The verifier, the
+//! first instance by name that can reach the store, polls often enough to bound that age and shares
+//! it through its reports. Other instances use long polls and cancel them when
 //!
-//! What was traded: two calls within six tenths of the time in which changes must be in force, for the whole
-//! fleet. Having every instance ask as often would cost as many times more as there are instances; trusting the
-//! renewals of leases would cost a tenth, but they are answered on connections of their own.
+//! - the state was not verified for too long, in which case the next instance by name is the first
+//!   to take over,
+//! - another instance has a newer state that the watch should have delivered, or
+//! - the store does not answer in time.
+//!
+//! A cancelled watch is followed by one that does not block, so that a failure is noticed at once.
+//! The whole fleet makes about one verifying call for each part of the store per
+//! [`Role::verify_interval`], independent of its size. Lease renewals cannot replace these calls,
+//! because they use connections of their own.
 
 use std::time::{Duration, Instant};
 
-/// Part of the time within which changes must be in force after which the verifier asks again. With the time
-/// that an answer may take (two attempts, 1.5 s) what was lost in an outage is known 2.7 s after its end at the
-/// latest, where that time is 2 s.
+/// Fraction of the time within which changes must be in force after which the verifier polls again.
+/// Allowing two attempts for an answer (1.5 s), a change lost in an outage is noticed within 2.7 s
+/// of its end if that time is 2 s.
 const VERIFY_SHARE: f64 = 0.6;
-/// Time for which a watch waits that others need not rely on: the longest that the platform allows.
+/// Time for which a watch blocks at instances that are not the verifier: the maximum that the
+/// platform allows.
 const LONG_POLL: Duration = Duration::from_secs(30);
-/// Time that an answer may take beside the wait, for each attempt in a row. The store answers in 4 ms, and up to
-/// a hundred times slower when it is slow; the last one is what it is given for good.
+/// Time to wait for an answer beyond the blocking time, by the number of preceding failures.
 const ANSWER_TIMEOUTS: [Duration; 3] =
     [Duration::from_millis(500), Duration::from_millis(1000), Duration::from_millis(1500)];
-/// Time after which the next instance by name verifies what the first one should have, and that of each further
-/// one after it. Reports come every 130 ms.
+/// Delay after which the next instance by name verifies in place of the verifier, and additional
+/// delay of each further instance. Several times the report interval of 130 ms.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(500);
 const TAKEOVER_STEP: Duration = Duration::from_millis(100);
-/// Time for which another instance must have known something newer before a watch is taken for dead. Changes
-/// reach all instances within some 10 ms.
+/// Time for which another instance must have had a newer state before a watch is considered lost.
+/// Changes normally reach all instances within some 10 ms.
 const MISMATCH_DELAY: Duration = Duration::from_millis(300);
-/// First and longest time between two watches given up because another instance knows something else. What two
-/// instances believe may differ for 1.7 s after an outage although both are up to date.
+/// Minimum time between two watches cancelled because of another instance's state: initial and
+/// maximum. The states of two up-to-date instances can differ for 1.7 s after an outage.
 const MISMATCH_PAUSES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
 
-/// What an instance's watches are for.
+/// How an instance watches the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Role {
-    /// Instances by name before this one that the store answers; without one this instance verifies.
+    /// Number of instances preceding this one by name that can reach the store. The instance with
+    /// rank 0 is the verifier.
     pub rank: u32,
-    /// How often knowledge is verified.
+    /// Interval at which the state is verified.
     pub verify_interval: Duration,
 }
 
 impl Role {
-    /// The role behind so many instances, where changes must be in force within that time.
+    /// Creates the role of the instance with this rank, where changes must be in force within
+    /// `in_force`.
     pub fn new(rank: usize, in_force: Duration) -> Role {
         Role {
             rank: rank.min(u32::MAX as usize) as u32,
@@ -57,7 +62,7 @@
         }
     }
 
-    /// Age from which knowledge is verified by this instance, whoever should have done so.
+    /// Age of the state at which this instance verifies it.
     fn max_age(&self) -> Duration {
         match self.rank {
             0 => self.verify_interval,
@@ -67,30 +72,30 @@
     }
 }
 
-/// A watch to begin.
+/// Parameters of a watch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WatchParams {
-    /// How long the store may wait for a change.
+    /// How long the store may block until there is a change.
     pub wait: Duration,
-    /// How long the answer may take, the wait included.
+    /// How long the answer may take, including `wait`.
     pub timeout: Duration,
 }
 
-/// Why a watch was given up.
+/// Why a watch was cancelled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CancelReason {
-    /// Nobody has verified for too long that there is nothing newer.
+    /// The state was not verified for too long.
     Unverified,
-    /// Another instance knows something newer.
+    /// Another instance has a newer state.
     Overtaken,
 }
 
-/// Why a watch has no answer.
+/// Why a watch failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WatchFailure {
-    /// There was none in time. The watch may have been lost on its way while the store was well.
+    /// There was no answer in time. The watch may have been lost while the store is available.
     Unanswered,
-    /// The store refused, or the connection failed.
+    /// The store refused the call, or the connection failed.
     Refused,
 }
 
@@ -104,21 +109,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct Subscription {
     pending: Option<PendingWatch>,
-    /// When the store last told this instance all there was.
+    /// When the store last confirmed the state to this instance.
     verified_at: Option<Instant>,
-    /// When it last told another one that knows the same.
+    /// When the store last confirmed the state to another instance that has the same one.
     peer_verified_at: Option<Instant>,
-    /// Attempts in a row without an answer.
+    /// Consecutive failures.
     failures: usize,
-    /// Whether the next watch must not wait.
+    /// Whether the next watch must not block.
     is_probe_due: bool,
-    /// Since when another instance has known something newer.
+    /// Since when another instance has had a newer state.
     newer_elsewhere_since: Option<Instant>,
-    /// For how long no watch is given up for that again.
+    /// Limits cancellations because of another instance's state.
     mismatch_backoff: Option<MismatchBackoff>,
 }
 
-/// A difference to another instance that outlasts an answer of the store is tolerated longer each time.
+/// Grows while a difference to another instance persists although the store has answered.
 #[derive(Clone, Copy, Debug)]
 struct MismatchBackoff {
     until: Instant,
@@ -133,24 +138,24 @@
 }
 
 impl Subscription {
-    /// Notes that everything was read anew.
+    /// Records that the whole state was read again.
     pub fn reset(&mut self, now: Instant) {
         *self = Subscription { verified_at: Some(now), ..Subscription::default() };
     }
 
-    /// Begins a watch.
+    /// Starts a watch.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
     ///
-    /// use oxbowbend_core::subscription::{WatchFailure, Role, Subscription};
+    /// use oxbowbend_core::subscription::{Role, Subscription, WatchFailure};
     ///
     /// let now = Instant::now();
     /// let role = Role::new(0, Duration::from_secs(2));
     /// let mut subscription = Subscription::default();
     /// subscription.reset(now);
     /// assert_eq!(subscription.start_watch(now, role).wait, Duration::from_millis(1200));
-    /// // An unanswered watch says nothing of the store yet; one that did not wait does.
+    /// // An unanswered watch does not mean that the store is unavailable, unless it did not block.
     /// assert!(!subscription.record_failure(WatchFailure::Unanswered));
     /// assert_eq!(subscription.start_watch(now, role).wait, Duration::ZERO);
     /// assert!(subscription.record_failure(WatchFailure::Unanswered));
@@ -169,7 +174,7 @@
         }
     }
 
-    /// Notes an answer of the store.
+    /// Records an answer of the store.
     pub fn record_answer(&mut self, now: Instant) {
         self.pending = None;
         self.verified_at = Some(now);
@@ -178,7 +183,7 @@
         self.newer_elsewhere_since = None;
     }
 
-    /// Notes that a watch has failed; returns whether that means that the store is away.
+    /// Records a failed watch. Returns whether the store is unavailable.
     pub fn record_failure(&mut self, failure: WatchFailure) -> bool {
         let was_probe = self.pending.take().is_some_and(|p| p.wait == Duration::ZERO);
         self.is_probe_due = true;
@@ -186,8 +191,8 @@
         was_probe || failure == WatchFailure::Refused
     }
 
-    /// Notes what another instance knows: whether it is the same, and when the store told it that there was
-    /// nothing newer.
+    /// Records the state of another instance: whether it is the same, and when the store last
+    /// confirmed it.
     pub fn record_peer(&mut self, now: Instant, verified_at: Instant, is_same: bool) {
         if is_same {
             self.peer_verified_at = self.peer_verified_at.max(Some(verified_at));
@@ -198,10 +203,10 @@
         }
     }
 
-    /// Whether the watch that waits is to be given up, and why. The next one does not wait.
+    /// Returns why the current watch must be cancelled, if it must. The next watch does not block.
     pub fn check_cancel(&mut self, now: Instant, role: Role) -> Option<CancelReason> {
         let pending = self.pending?;
-        // Such a one is answered, or fails, by its own limit.
+        // A short watch ends by its own timeout.
         if pending.wait <= role.verify_interval {
             return None;
         }
@@ -226,12 +231,13 @@
             && self.mismatch_backoff.is_none_or(|b| now >= b.until)
     }
 
-    /// Time since the store told this instance that there was nothing newer, to tell others.
+    /// Time since the store last confirmed the state to this instance.
     pub fn own_age(&self, now: Instant) -> Option<Duration> {
         self.verified_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Time since the store told this instance, or one that knows the same, that there was nothing newer.
+    /// Time since the store last confirmed the state to this instance or to another one with the
+    /// same state.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.verified_at.max(self.peer_verified_at).map(|at| now.saturating_duration_since(at))
     }
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -1,36 +1,37 @@
-//! Instances that follow a store, in virtual time: the store, its outage, and the reports between them.
+//! Simulation of instances that watch a store: the store, an outage, and the reports between
+//! instances.
 
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::subscription::{Role, Subscription, WatchFailure};
 
-/// Steps of virtual time.
+/// Step of simulated time.
 const STEP: Duration = Duration::from_millis(10);
 const INSTANCES: usize = 3;
-/// Time between two reports, as a number of steps.
+/// Steps between two reports.
 const REPORT_STEPS: u32 = 13;
-/// Time that the store takes for an answer.
+/// Response time of the store.
 const STORE_LATENCY: Duration = Duration::from_millis(4);
 /// Pause after a change, and after a failure of the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(120);
-/// Longest time that is played after the outage, in milliseconds.
+/// Simulated time after the outage in milliseconds.
 const RUN_AFTER_OUTAGE_MS: i64 = 6000;
-/// Milliseconds before the first outage in which the fleet settles.
+/// Time before the outage in milliseconds.
 const WARM_UP_MS: i64 = 3000;
 
 /// What is lost in an outage.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OutageMode {
-    /// Calls that come meanwhile; watches that wait go on afterwards.
+    /// Requests sent during the outage; pending watches continue afterwards.
     DropRequests,
-    /// Answers that fall due meanwhile.
+    /// Answers sent during the outage.
     DropAnswers,
     DropBoth,
-    /// Nothing: calls are refused, watches cut.
+    /// Nothing: requests are refused and pending watches fail.
     Refuse,
 }
 
-/// An outage of the store; times in milliseconds.
+/// An outage of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
     pub start_ms: i64,
@@ -38,7 +39,7 @@
     pub mode: OutageMode,
 }
 
-/// A watch at the store.
+/// A watch as seen by the store.
 #[derive(Clone, Copy, Debug)]
 struct Watch {
     started_ms: i64,
@@ -58,7 +59,7 @@
     has_crashed: bool,
 }
 
-/// What an instance tells the others.
+/// State that an instance reports to the others.
 #[derive(Clone, Copy, Debug)]
 struct ReportedState {
     version: u64,
@@ -69,7 +70,7 @@
 pub struct Simulation {
     start: Instant,
     outage: Outage,
-    /// When the first instance dies, and when the configuration changes.
+    /// When the first instance fails, and when the configuration changes, in milliseconds.
     crash_ms: Option<i64>,
     change_ms: i64,
     followers: Vec<Follower>,
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Plays until some time after the outage; fails with what was not in force in time.
+    /// Runs the simulation until some time after the outage. Fails if a change is not in force in
+    /// time.
     pub fn run(&mut self, in_force: Duration, recovery: Duration) -> Result<(), String> {
         let outage_end = self.outage.start_ms + self.outage.duration_ms;
         let committed =
@@ -138,7 +140,7 @@
         (self.outage.start_ms..self.outage.start_ms + self.outage.duration_ms).contains(&at)
     }
 
-    /// Version that the store holds. Changes are made in an outage too.
+    /// Version in the store. Changes are also made during an outage.
     fn stored_version(&self, at: i64) -> u64 {
         u64::from(at >= self.change_ms)
     }
@@ -182,7 +184,7 @@
             Some(Watch { started_ms: now, wait_ms, timeout_ms, known_version, is_lost });
     }
 
-    /// What becomes of a watch that waits.
+    /// Advances a pending watch.
     fn advance_watch(&mut self, n: usize, now: i64, mut watch: Watch) {
         let (at, stored, is_outage) =
             (self.instant(now), self.stored_version(now), self.is_during_outage(now));
@@ -214,7 +216,7 @@
         follower.watch = None;
     }
 
-    /// Everybody tells everybody, and fetches what is newer.
+    /// Exchanges reports between all instances.
     fn exchange_reports(&mut self, now: i64) {
         let at = self.instant(now);
         for n in 0..INSTANCES {
--- a/oxbowbend-core/tests/subscription.rs
+++ b/oxbowbend-core/tests/subscription.rs
@@ -1,5 +1,5 @@
-//! How sure instances stay of what they know of the store: cases, then every combination of outage, change and
-//! death of an instance, played in virtual time.
+//! Detection of stale watches: single cases, then every combination of store outage, configuration
+//! change and instance failure in simulated time.
 
 mod followers;
 
@@ -9,9 +9,9 @@
 use oxbowbend_core::subscription::{CancelReason, Role, Subscription, WatchFailure};
 
 const MS: Duration = Duration::from_millis(1);
-/// The users' bound on changes.
+/// Time within which a change must be in force.
 const IN_FORCE: Duration = Duration::from_millis(2000);
-/// Time after an outage from which the bound holds.
+/// Time after an outage from which `IN_FORCE` applies again.
 const RECOVERY: Duration = Duration::from_millis(3000);
 
 fn up_to_date(now: Instant, rank: usize) -> (Subscription, Role) {
@@ -58,7 +58,7 @@
     subscription.start_watch(now, role);
     let mut gaps = Vec::new();
     let mut last = now + 400 * MS;
-    // The difference lasts, though the store says each time that there is nothing newer.
+    // The difference persists although the store confirms the state each time.
     for ms in (400..12_000).step_by(20) {
         let at = now + ms * MS;
         subscription.record_peer(at, at - 10 * MS, false);
