--- a/oxbowbend-core/src/membership.rs
+++ b/oxbowbend-core/src/membership.rs
@@ -1,9 +1,10 @@
-//! Which instances exist, and which of them does a given job.
+//! Instance membership, and the choice of an instance for a job.
 //!
-//! The platform's list lags. It is used for two different questions: who *may still* act (safety,
-//! answered by the newest list anyone has shown us, never by our own suspicion) and who *should*
-//! act (a hint, answered by the list less those that do not answer). Rendezvous hashing was taken
-//! over a hash ring because it needs no state and moves only the share of the member that changed.
+//! The platform's list is eventually consistent and answers two different questions: which
+//! instances may still act (a safety property, decided by the newest known list and never by local
+//! suspicion), and which instance should act (a hint, decided by the list without unresponsive
+//! instances). Jobs are assigned by rendezvous hashing, which needs no state and moves only the
+//! jobs of a changed member.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,21 +13,21 @@
 
 use crate::ids;
 
-/// One instance in the platform's list.
+/// An instance in the platform's list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Member {
     /// Availability zone of the instance.
     pub zone: ids::ZoneId,
-    /// Address (`ip:port`) at which peers reach it.
+    /// Address (`ip:port`) for other instances.
     pub address: String,
-    /// Whether the instance is leaving: it finishes its work and takes no new share.
+    /// Whether the instance is leaving: it finishes its running work and takes no more.
     pub leaving: bool,
 }
 
 /// A version of the platform's list.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct InstanceList {
-    /// Version; the platform only ever raises it.
+    /// Version of the list; only increases.
     pub version: ids::ListVersion,
     /// Live and leaving instances.
     pub members: BTreeMap<ids::InstanceId, Member>,
@@ -43,13 +44,13 @@
     xxh3::xxh3_64_with_seed(key.as_bytes(), xxh3::xxh3_64(member.as_bytes()))
 }
 
-/// Picks the member with the highest score for `key`.
+/// Returns the member with the highest score for `key`.
 ///
 /// ```
 /// use oxbowbend_core::membership::pick;
 /// let members = ["a", "b", "c"];
 /// let first = pick(members.into_iter(), "job").unwrap();
-/// // Taking out a member that was not chosen changes nothing.
+/// // Removing a member that was not chosen does not change the result.
 /// let rest = members.into_iter().filter(|m| *m == first || *m == "a");
 /// assert_eq!(pick(rest, "job"), Some(first));
 /// ```
@@ -57,19 +58,19 @@
     members.max_by_key(|m| (score(m, key), *m))
 }
 
-/// Candidates hashed once, to rank them for many keys.
+/// Candidates with precomputed hashes, to rank them for many keys.
 #[derive(Debug)]
 pub struct Ranking<'a> {
     members: Vec<(u64, &'a ids::InstanceId)>,
 }
 
 impl<'a> Ranking<'a> {
-    /// Prepares a ranking of `members`.
+    /// Creates a ranking of `members`.
     pub fn new(members: impl Iterator<Item = &'a ids::InstanceId>) -> Ranking<'a> {
         Ranking { members: members.map(|m| (xxh3::xxh3_64(m.as_bytes()), m)).collect() }
     }
 
-    /// The member that ranks first for the `index`th thing called `name`.
+    /// Returns the first-ranked member for the `index`th job called `name`.
     pub fn pick(&self, name: &str, index: u32) -> Option<&'a ids::InstanceId> {
         let key = xxh3::xxh3_64_with_seed(name.as_bytes(), u64::from(index));
         let best = self.members.iter().max_by_key(|(hash, id)| (mix(hash ^ key), *id))?;
@@ -77,14 +78,14 @@
     }
 }
 
-/// The finaliser of splitmix64: spreads the difference of two hashes over all bits.
+/// The splitmix64 finaliser, which spreads the difference of two hashes over all bits.
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// An instance's view of the others.
+/// An instance's view of the other instances.
 ///
 /// ```
 /// use oxbowbend_core::membership::{InstanceList, Membership};
@@ -101,12 +102,12 @@
 }
 
 impl Membership {
-    /// Creates the view of instance `me`, which knows of nobody yet.
+    /// Creates an empty view for instance `local_id`.
     pub fn new(local_id: ids::InstanceId) -> Membership {
         Membership { local_id, list: InstanceList::default(), suspects: BTreeSet::new() }
     }
 
-    /// Takes over `list` if it is newer than the one known; says whether it was.
+    /// Replaces the list if `list` is newer. Returns whether it was.
     pub fn adopt(&mut self, list: &InstanceList) -> bool {
         if list.version <= self.list.version {
             return false;
@@ -116,32 +117,33 @@
         true
     }
 
-    /// The newest list known.
+    /// Returns the newest known list.
     pub fn list(&self) -> &InstanceList {
         &self.list
     }
 
-    /// Whether `id` is in the newest list known, leaving or not.
+    /// Whether `id` is in the newest known list, leaving or not.
     pub fn contains(&self, id: &str) -> bool {
         self.list.members.contains_key(id)
     }
 
-    /// Marks `id` as not answering.
+    /// Marks `id` as unresponsive. Returns whether it was not already.
     pub fn suspect(&mut self, id: &ids::InstanceId) -> bool {
         *id != self.local_id && self.suspects.insert(id.clone())
     }
 
-    /// Marks `id` as answering again; says whether it had been suspected.
+    /// Marks `id` as responsive. Returns whether it was suspected.
     pub fn trust(&mut self, id: &str) -> bool {
         self.suspects.remove(id)
     }
 
-    /// Instances that do not answer.
+    /// Instances that are marked as unresponsive.
     pub fn suspects(&self) -> impl Iterator<Item = &ids::InstanceId> {
         self.suspects.iter()
     }
 
-    /// Marks a listed instance as leaving on its own word, ahead of the list.
+    /// Marks a listed instance as leaving before the list says so. Returns whether it was not
+    /// already.
     pub fn mark_leaving(&mut self, id: &str) -> bool {
         match self.list.members.get_mut(id) {
             Some(m) if !m.leaving => {
@@ -152,12 +154,12 @@
         }
     }
 
-    /// Every listed instance other than this one.
+    /// All listed instances except this one.
     pub fn others(&self) -> impl Iterator<Item = &ids::InstanceId> {
         self.list.members.keys().filter(move |id| **id != self.local_id)
     }
 
-    /// Instances that may own a share, in the given zones; an empty set means every zone.
+    /// Instances in the given zones that are not leaving; an empty set means all zones.
     pub fn owners<'a>(
         &'a self,
         zones: &'a BTreeSet<ids::ZoneId>,
@@ -166,14 +168,14 @@
         self.list.members.iter().filter(move |(_, m)| !m.leaving && inside(m)).map(|(id, _)| id)
     }
 
-    /// The instance that should do the job `key`: an owner that answers.
+    /// Returns the responsive instance that should do the job `key`.
     pub fn preferred(&self, zones: &BTreeSet<ids::ZoneId>, key: &str) -> Option<ids::InstanceId> {
         let answering = self.owners(zones).filter(|id| !self.suspects.contains(*id));
         let chosen = pick(answering.map(|id| &**id), key)?;
         self.list.members.get_key_value(chosen).map(|(id, _)| id.clone())
     }
 
-    /// Address of a listed instance.
+    /// Returns the address of a listed instance.
     pub fn address(&self, id: &str) -> Option<&str> {
         self.list.members.get(id).map(|m| m.address.as_str())
     }
--- a/oxbowbend-core/src/topology.rs
+++ b/oxbowbend-core/src/topology.rs
@@ -1,7 +1,7 @@
-//! What the configuration says about pools, reduced to what scheduling needs.
+//! The scheduler's view of the configuration of pools.
 //!
 //! The daemon derives a [`Topology`] from the declared resources at every configuration change.
-//! Keeping this view separate keeps the decisions independent of the resource format.
+//! This keeps the scheduler independent of the resource format.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,63 +10,64 @@
 use crate::ids;
 use crate::message;
 
-/// Declared endpoint as a scheduler sees it.
+/// A declared endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Number of requests that may run there at once.
+    /// Number of requests that may run concurrently.
     pub slots: u32,
-    /// Hardware generation, as declared. Nothing is decided by it: speeds are learned.
+    /// Declared hardware generation. Informational only; speeds are measured.
     pub generation: Arc<str>,
-    /// Declared prompt tokens per second, the estimate until runs have been observed.
+    /// Declared prompt tokens per second; the estimate until requests have been observed.
     pub prefill_rate: f64,
     /// Declared output tokens per second and request.
     pub decode_rate: f64,
-    /// Prompt tokens that the endpoint's prefix cache can hold.
+    /// Capacity of the endpoint's prefix cache in prompt tokens.
     pub cache_tokens: u64,
-    /// Whether the endpoint is leaving and must receive no new work.
+    /// Whether the endpoint is draining and must receive no new requests.
     pub leaving: bool,
-    /// How far its report of its load may lag behind. Permits in doubt wait for that long.
+    /// Maximum delay of the endpoint's load reports. A permit of unknown state is held back for
+    /// this time.
     pub report_lag: Duration,
 }
 
-/// One pool.
+/// A pool of endpoints.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pool {
     /// Availability zones whose instances may serve the pool.
     pub zones: BTreeSet<ids::ZoneId>,
-    /// Endpoints by name.
+    /// Endpoints by id.
     pub endpoints: BTreeMap<ids::EndpointId, Endpoint>,
-    /// Number of waiting requests above which the pool sheds.
+    /// Number of waiting requests above which the pool sheds load.
     pub queue_bound: usize,
-    /// Time after which a run of unknown fate is taken to have ended.
+    /// Time after which a request of unknown state is considered ended.
     pub max_run: Duration,
-    /// How much more a second of prefill counts than a second of decoding, 0 for no more, when an
-    /// endpoint is chosen. It trades speed for prompts that are not processed again.
+    /// Additional weight of a second of prefill over a second of decoding in the choice of an
+    /// endpoint; 0 for none. Higher values favour prefix cache hits over speed.
     pub prefill_bias: f64,
 }
 
 /// Limits of one client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// Running requests allowed at any instant, in all pools together; `None` is unlimited.
+    /// Maximum number of requests running at a time in all pools together; `None` is unlimited.
     pub max_running: Option<u32>,
 }
 
-/// Everything the node needs to know of the configuration.
+/// The part of the configuration that a node needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Topology {
     /// Pools by id.
     pub pools: BTreeMap<ids::PoolId, Pool>,
-    /// Accounts by id; accounts without limits may be left out.
+    /// Accounts by id. Accounts without limits may be omitted.
     pub accounts: BTreeMap<ids::AccountId, Account>,
-    /// The lowest tier declared.
+    /// The lowest declared tier.
     pub lowest_tier: ids::TierLevel,
-    /// The longest of the pools' times after which a run is taken to have ended.
+    /// The longest `max_run` of all pools.
     pub max_run: Duration,
 }
 
 impl Topology {
-    /// Returns the pool that an endpoint belongs to.
+    /// Returns the pool that contains an endpoint.
     ///
     /// ```
     /// assert!(oxbowbend_core::topology::Topology::default().pool_of("e").is_none());
@@ -75,13 +76,13 @@
         self.pools.iter().find(|(_, p)| p.endpoints.contains_key(endpoint)).map(|(id, _)| id)
     }
 
-    /// How far an endpoint's report of its load may lag behind; `None` if it is not declared.
+    /// Maximum delay of an endpoint's load reports; `None` if it is not declared.
     pub fn report_lag_of(&self, endpoint: &str) -> Option<Duration> {
         let pool = self.pools.get(self.pool_of(endpoint)?)?;
         pool.endpoints.get(endpoint).map(|e| e.report_lag)
     }
 
-    /// Time after which a run of unknown fate that holds a permit is taken to have ended.
+    /// Time after which a request of unknown state that holds this permit is considered ended.
     pub fn max_run_of(&self, key: &message::PermitKey) -> Duration {
         let pool = match key {
             message::PermitKey::Endpoint(endpoint) => self.pool_of(endpoint),
