--- a/oxbowbend-core/src/suspicion.rs
+++ b/oxbowbend-core/src/suspicion.rs
@@ -1,38 +1,38 @@
-//! What an endpoint's silence says of it, before the request runs out of time.
+//! Early suspicion of endpoints that do not respond.
 //!
-//! The load that this answers: endpoints that have gone dark take requests on and answer nothing. Waiting for
-//! each request's own deadline fills their slots meanwhile. So an endpoint is suspected once it takes several
-//! times as long as expected, and as the objective allows.
+//! An endpoint that hangs accepts requests without answering, and waiting for each request's
+//! deadline would fill its slots. An endpoint is therefore suspected as soon as a response takes
+//! several times as long as expected and exceeds the objective.
 //!
-//! What was traded: a request that may be repeated is given up on a suspicion, so an answer that would have come
-//! late costs a repeat. One that may not be repeated waits on; only others are kept away. A request whose time
-//! runs out first says nothing of its endpoint.
+//! A request that can be retried is abandoned on suspicion, at the risk of discarding a late
+//! answer. A request that cannot be retried keeps waiting while new requests avoid the endpoint. A
+//! request that reaches its deadline first does not count against the endpoint.
 
 use std::time::Duration;
 
-/// Times the expected time after which an endpoint that has not begun is suspected.
+/// Multiple of the expected time after which an endpoint is suspected.
 const EXPECTED_TIME_FACTOR: u32 = 4;
-/// Least time before that, so that a short stall of either side is no suspicion.
+/// Minimum delay before an endpoint is suspected, to tolerate short stalls.
 const MIN_DELAY: Duration = Duration::from_millis(250);
 
-/// What to do about a request that its endpoint has not begun to answer when the earlier of the suspicion and
-/// the request's limit has come.
+/// What to do with a request that has no response after the suspicion delay or at its deadline,
+/// whichever comes first.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TimeoutAction {
-    /// The request has run out of time.
+    /// The request has reached its deadline.
     Fail,
-    /// The request is given up here and may be sent elsewhere.
+    /// Abandon the request here; it may be sent to another endpoint.
     Retry,
-    /// The request waits on; those that follow avoid the endpoint.
+    /// Keep waiting, and mark the endpoint as suspect.
     MarkSuspect,
 }
 
-/// Time after which an endpoint is suspected.
+/// Time after which an endpoint that has not responded is suspected.
 pub fn delay(expected: Duration, objective: Duration) -> Duration {
     (expected * EXPECTED_TIME_FACTOR).max(objective).max(MIN_DELAY)
 }
 
-/// Judges a silence that has lasted for the shorter of both times.
+/// Decides what to do once the shorter of `suspicion_delay` and `time_left` has passed.
 ///
 /// ```
 /// use std::time::Duration;
@@ -41,7 +41,8 @@
 ///
 /// let delay = suspicion::delay(Duration::from_millis(100), Duration::from_millis(300));
 /// assert_eq!(delay, Duration::from_millis(400));
-/// assert_eq!(suspicion::timeout_action(delay, Duration::from_secs(1), true), TimeoutAction::Retry);
+/// let action = suspicion::timeout_action(delay, Duration::from_secs(1), true);
+/// assert_eq!(action, TimeoutAction::Retry);
 /// ```
 pub fn timeout_action(
     suspicion_delay: Duration,
--- a/oxbowbend-core/tests/suspicion.rs
+++ b/oxbowbend-core/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! What an endpoint's silence says of it.
+//! Suspicion of endpoints that do not respond.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_request_at_its_deadline_does_not_blame_its_endpoint() {
-    // Expected time to the first event, objective, time left, whether it may be repeated.
+    // Expected time to the first event, objective, time left, whether the request can be retried.
     for (expected, objective, time_left, is_retryable, action) in [
         (50, 300, 2000, true, TimeoutAction::Retry),
         (50, 300, 2000, false, TimeoutAction::MarkSuspect),
