--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -14,14 +14,14 @@
 mod assign;
 mod fleet;
 mod gate;
+mod groups;
 mod health;
-mod layout;
+mod hear;
 mod leaving;
 mod limits;
 mod pace;
 mod peer;
-mod reachability;
-mod receive;
+mod reach;
 mod report;
 mod rests;
 mod shedding;
@@ -32,12 +32,12 @@
 
 pub use assign::{Assignment, UNHEARD};
 pub use fleet::{FleetSummary, RemoteInstances};
-pub use layout::{CellLayout, DEFAULT_MAX_CELL_SIZE};
+pub use groups::{CellLayout, DEFAULT_MAX_CELL_SIZE};
+pub use hear::{CounterDeltas, ReportDeltas};
 pub use leaving::Leaver;
 pub use limits::{LimitChange, ToldLimit};
 pub use pace::FIXED_UNITS;
-pub use reachability::{InstanceFilter, Reachability};
-pub use receive::{CounterDeltas, ReportDeltas};
+pub use reach::{InstanceFilter, Reachability};
 pub use report::{EndpointLoad, EndpointNotices, EndpointStats, Report, WaitingRequest};
 pub use shedding::{Patience, RetryAfter};
 pub use signals::{Origin, SignalValue, Signals};
@@ -172,7 +172,7 @@
     /// Number of reachable instances of the cell, including this one.
     reachable_count: u32,
     /// The reachable instances of the cell.
-    reachable_filter: reachability::InstanceFilter,
+    reachable_filter: reach::InstanceFilter,
     shedding: shedding::Shedding,
     is_representative: bool,
     /// When the totals of each other cell, and of all other cells together, were last received.
@@ -214,7 +214,7 @@
             last_failure: None,
             visible_share: 1.0,
             reachable_count: 1,
-            reachable_filter: reachability::InstanceFilter::default(),
+            reachable_filter: reach::InstanceFilter::default(),
             shedding: shedding::Shedding::default(),
             is_representative: false,
             cell_totals_at: BTreeMap::new(),
--- a/oxbowbend-core/src/suspicion.rs
+++ b/oxbowbend-core/src/silence.rs
@@ -37,11 +37,11 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use oxbowbend_core::suspicion::{self, TimeoutAction};
+/// use oxbowbend_core::silence::{self, TimeoutAction};
 ///
-/// let delay = suspicion::delay(Duration::from_millis(100), Duration::from_millis(300));
+/// let delay = silence::delay(Duration::from_millis(100), Duration::from_millis(300));
 /// assert_eq!(delay, Duration::from_millis(400));
-/// let action = suspicion::timeout_action(delay, Duration::from_secs(1), true);
+/// let action = silence::timeout_action(delay, Duration::from_secs(1), true);
 /// assert_eq!(action, TimeoutAction::Retry);
 /// ```
 pub fn timeout_action(
--- a/oxbowbend-core/tests/suspicion.rs
+++ b/oxbowbend-core/tests/silence.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oxbowbend_core::suspicion::{self, TimeoutAction};
+use oxbowbend_core::silence::{self, TimeoutAction};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -19,12 +19,8 @@
         (1, 1, 251, true, TimeoutAction::Retry),
         (1, 1, 250, true, TimeoutAction::Fail),
     ] {
-        let delay = suspicion::delay(expected * MS, objective * MS);
+        let delay = silence::delay(expected * MS, objective * MS);
         let case = format!("{expected} {objective} {time_left} {is_retryable}");
-        assert_eq!(
-            suspicion::timeout_action(delay, time_left * MS, is_retryable),
-            action,
-            "{case}"
-        );
+        assert_eq!(silence::timeout_action(delay, time_left * MS, is_retryable), action, "{case}");
     }
 }
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -13,7 +13,7 @@
 use oxbowbend_core::cell::{Assignment, Outcome, FIXED_UNITS};
 use oxbowbend_core::rollout::evidence::Answer;
 use oxbowbend_core::routes::{Endpoint, Route};
-use oxbowbend_core::suspicion::{self, TimeoutAction};
+use oxbowbend_core::silence::{self, TimeoutAction};
 use oxbowbend_http::h1;
 use thiserror::Error;
 
@@ -259,7 +259,7 @@
         expected: Duration,
         after: Option<u64>,
     ) -> Result<Begun, Failure> {
-        let due = suspicion::delay(expected, job.route.objective);
+        let due = silence::delay(expected, job.route.objective);
         let limit = until(job.limit);
         let (endpoint, began) = (run.endpoint.key(), run.began);
         let beginning = self.begin(job, run, after);
@@ -267,7 +267,7 @@
         if let Ok(begun) = future::timeout(due.min(limit), &mut beginning).await {
             return begun;
         }
-        match suspicion::timeout_action(due, limit, job.is_repeatable()) {
+        match silence::timeout_action(due, limit, job.is_repeatable()) {
             TimeoutAction::Fail => return Err(Failure::Timeout),
             TimeoutAction::Retry => return Err(Failure::Hanging),
             TimeoutAction::MarkSuspect => {
