--- a/oxbowbend-core/src/cell/groups.rs
+++ b/oxbowbend-core/src/cell/groups.rs
@@ -120,10 +120,8 @@
     endpoints.sort_by_key(|e| xxh3_64(e.id.as_bytes()));
     let mut assigned = Vec::with_capacity(endpoints.len());
     for endpoint in endpoints {
-        let candidates = (0..cell_count).filter(|cell| room[*cell] > 0);
-        let Some(cell) = candidates.min_by_key(|cell| cell_hash(&endpoint.id, *cell)) else {
-            continue;
-        };
+        let free = (0..cell_count).filter(|cell| room[*cell] > 0);
+        let Some(cell) = free.min_by_key(|cell| cell_hash(&endpoint.id, *cell)) else { continue };
         room[cell] -= 1;
         assigned.push((endpoint, cell));
     }
--- a/oxbowbend-core/src/cell/reach.rs
+++ b/oxbowbend-core/src/cell/reach.rs
@@ -55,20 +55,21 @@
         now: Instant,
         is_same_cell: impl Fn(&InstanceId) -> bool,
     ) -> Reachability {
-        let mut filter = InstanceFilter::default();
-        filter.insert(&self.local_id);
+        let mut reachable_filter = InstanceFilter::default();
+        reachable_filter.insert(&self.local_id);
         let mut peers = Vec::new();
         for peer in self.peers.values_mut().filter(|p| p.is_live(now, PEER_TTL)) {
             if is_same_cell(&peer.report.instance) {
-                filter.insert(&peer.report.instance);
+                reachable_filter.insert(&peer.report.instance);
                 peers.push(peer);
             }
         }
         let reachable = peers.len();
-        let covered =
-            peers.into_iter().filter_map(|p| (!p.is_uncovered(now, filter)).then_some(()));
+        let covered = peers
+            .into_iter()
+            .filter_map(|p| (!p.is_uncovered(now, reachable_filter)).then_some(()));
         let covered = covered.count();
-        (self.reachable_filter, self.reachable_count) = (filter, reachable as u32 + 1);
+        (self.reachable_filter, self.reachable_count) = (reachable_filter, reachable as u32 + 1);
         Reachability { reachable, covered }
     }
 
