--- a/oxbowbend-core/src/cell/health.rs
+++ b/oxbowbend-core/src/cell/health.rs
@@ -1,7 +1,7 @@
 //! Outlier detection: ejects endpoints that fail too many requests.
 //!
-//! Only request outcomes count, since an endpoint can pass health checks while requests fail. An
-//! ejected endpoint is then on probation, limited to one request at a time. At most half of a
+//! Only request outcomes count, since an endpoint can pass health checks while requests fail. After
+//! an ejection an endpoint is on probation, limited to one request at a time. At most half of a
 //! service's endpoints are ejected: if all of them fail, the cause is elsewhere.
 
 use std::collections::VecDeque;
@@ -9,7 +9,7 @@
 
 /// Period over which outcomes are counted.
 pub(super) const OUTCOME_WINDOW: Duration = Duration::from_secs(3);
-/// Failures below which an endpoint is never ejected.
+/// Minimum number of failures for an ejection, outside probation.
 const MIN_FAILURES: u32 = 4;
 /// Failures that end a probation with another ejection. A single one may be the request's fault.
 const PROBATION_FAILURES: u32 = 2;
@@ -51,8 +51,8 @@
         while self.outcomes.front().is_some_and(|(t, ..)| now.duration_since(*t) > OUTCOME_WINDOW) {
             self.outcomes.pop_front();
         }
-        let successes: u32 = self.outcomes.iter().map(|(_, g, _)| g).sum();
-        let failures: u32 = self.outcomes.iter().map(|(.., b)| b).sum();
+        let successes: u32 = self.outcomes.iter().map(|(_, s, _)| s).sum();
+        let failures: u32 = self.outcomes.iter().map(|(.., f)| f).sum();
         let min_failures = if self.is_on_probation { PROBATION_FAILURES } else { MIN_FAILURES };
         failures >= min_failures
             && f64::from(failures) >= FAILURE_RATIO * f64::from(successes + failures)
--- a/oxbowbend-core/src/silence.rs
+++ b/oxbowbend-core/src/silence.rs
@@ -32,7 +32,7 @@
     (expected * EXPECTED_TIME_FACTOR).max(objective).max(MIN_DELAY)
 }
 
-/// Decides what to do once the shorter of `suspicion_delay` and `time_left` has passed.
+/// Decides what to do once the shorter of `suspicion_delay` and `time_left` has passed without a response.
 ///
 /// ```
 /// use std::time::Duration;
