--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::gate::Allowances;
-use super::{Cell, Stall, Ticket, Want, CLAIM_TTL, FIXED_WORK_UNITS};
+use super::{Cell, PrefillStall, QueuedRequest, Ticket, FIXED_WORK_UNITS, WAITING_TTL};
 use crate::ids::{EndpointId, EndpointKey, ServiceId, ZoneId};
 use crate::routes::Endpoint;
 
@@ -124,7 +124,7 @@
     objective: Duration,
     prompt_tokens: u32,
     output_tokens: u32,
-    stall: Stall,
+    stall: PrefillStall,
     avoid: &'a [EndpointId],
 }
 
@@ -168,9 +168,9 @@
             if let Some(want) = self.waiting.remove(&a.ticket) {
                 self.shedding.record_placed(now, &want.service, want.rank);
             }
-            if let Some(site) = self.sites.get_mut(&a.endpoint.key()) {
+            if let Some(site) = self.endpoints.get_mut(&a.endpoint.key()) {
                 site.running += 1;
-                site.unread += a.prompt_tokens;
+                site.pending_prompt_tokens += a.prompt_tokens;
             }
         }
         assignments
@@ -189,7 +189,7 @@
             return assignments;
         }
         let free_slots_by_service = free_slots_by_service(&targets);
-        let is_alone = self.heard(now) == 0;
+        let is_alone = self.live_peer_count(now) == 0;
         for candidate in self.candidates(now) {
             let free_slots = free_slots_by_service.get(candidate.service).copied().unwrap_or(0);
             if free_slots == 0
@@ -225,31 +225,31 @@
     }
 
     /// Returns the priority of a request of this instance.
-    pub(super) fn priority(&self, now: Instant, want: &Want) -> Priority {
-        let deadline = want.arrived + want.objective;
-        Priority::new(now, want.rank, deadline, want.output, self.latency_cache.median_ns)
+    pub(super) fn priority(&self, now: Instant, want: &QueuedRequest) -> Priority {
+        let deadline = want.arrived_at + want.objective;
+        Priority::new(now, want.rank, deadline, want.output_tokens, self.latency_cache.median_ns)
     }
 
     fn candidates(&self, now: Instant) -> Vec<Candidate<'_>> {
-        let instance_hash = xxh3_64(self.me.as_bytes());
+        let instance_hash = xxh3_64(self.local_id.as_bytes());
         let own = self.waiting.iter().map(move |(ticket, want)| Candidate {
             priority: self.priority(now, want),
             ticket: Some(*ticket),
-            arrived: want.arrived,
+            arrived: want.arrived_at,
             service: &want.service,
             zone: &self.zone,
             instance_hash,
             objective: want.objective,
-            prompt_tokens: want.prompt,
-            output_tokens: want.output,
+            prompt_tokens: want.prompt_tokens,
+            output_tokens: want.output_tokens,
             stall: want.stall,
-            avoid: &want.avoid,
+            avoid: &want.excluded_endpoints,
         });
-        let reported = self.peers.values().filter(|p| p.is_live(now, CLAIM_TTL)).flat_map(|p| {
+        let reported = self.peers.values().filter(|p| p.is_live(now, WAITING_TTL)).flat_map(|p| {
             let instance_hash = xxh3_64(p.report.instance.as_bytes());
-            p.report.claims.iter().filter_map(move |claim| {
+            p.report.waiting.iter().filter_map(move |claim| {
                 let waited = Duration::from_millis(claim.waited_ms.into());
-                let arrived = p.heard.checked_sub(waited)?;
+                let arrived = p.last_heard.checked_sub(waited)?;
                 let objective = Duration::from_millis(claim.objective_ms.into());
                 let deadline = arrived + objective;
                 Some(Candidate {
@@ -257,7 +257,7 @@
                         now,
                         claim.rank,
                         deadline,
-                        claim.output,
+                        claim.output_tokens,
                         self.latency_cache.median_ns,
                     ),
                     ticket: None,
@@ -266,8 +266,8 @@
                     zone: &p.report.zone,
                     instance_hash,
                     objective,
-                    prompt_tokens: claim.prompt,
-                    output_tokens: claim.output,
+                    prompt_tokens: claim.prompt_tokens,
+                    output_tokens: claim.output_tokens,
                     stall: claim.stall,
                     avoid: &[],
                 })
@@ -282,16 +282,21 @@
         let mut loads: HashMap<EndpointKey, (u32, u32)> = HashMap::new();
         for reported in self.live_reports(now).flat_map(|r| &r.loads) {
             let load = loads.entry(reported.endpoint).or_default();
-            *load = (load.0 + reported.running, load.1.saturating_add(reported.unread));
+            *load =
+                (load.0 + reported.running, load.1.saturating_add(reported.pending_prompt_tokens));
         }
         let LatencyCache { ns_per_unit, median_ns, .. } = &self.latency_cache;
-        let available = self.sites.iter().filter(|(key, s)| self.is_available(now, **key, s));
-        let usage = |key: &EndpointKey, s: &'_ super::Site| {
+        let available = self.endpoints.iter().filter(|(key, s)| self.is_available(now, **key, s));
+        let usage = |key: &EndpointKey, s: &'_ super::EndpointState| {
             let (running, pending_tokens) = loads.get(key).copied().unwrap_or_default();
             let load = s.running + running;
-            let usable = (f64::from(s.endpoint.slots) * self.share).ceil() as u32;
-            let slots = if s.health.is_on_trial() { 1 } else { usable };
-            (load, slots.saturating_sub(load), s.unread.saturating_add(pending_tokens))
+            let usable = (f64::from(s.endpoint.slots) * self.visible_share).ceil() as u32;
+            let slots = if s.health.is_on_probation() { 1 } else { usable };
+            (
+                load,
+                slots.saturating_sub(load),
+                s.pending_prompt_tokens.saturating_add(pending_tokens),
+            )
         };
         available
             .map(|(key, s)| {
@@ -329,18 +334,19 @@
     /// Ejects failing endpoints, at most half of each service. Returns early unless there was a
     /// recent failure, because this runs on every report and at the end of every request.
     fn eject_failing_endpoints(&mut self, now: Instant) {
-        let is_expired = |at: Instant| now.saturating_duration_since(at) > super::health::WINDOW;
-        if self.last_bad.is_none_or(is_expired) {
+        let is_expired =
+            |at: Instant| now.saturating_duration_since(at) > super::health::OUTCOME_WINDOW;
+        if self.last_failure.is_none_or(is_expired) {
             return;
         }
         let mut services: HashMap<ServiceId, (usize, usize)> = HashMap::new();
-        for (_, site) in self.sites.iter().filter(|(key, s)| !self.is_draining(**key, s)) {
+        for (_, site) in self.endpoints.iter().filter(|(key, s)| !self.is_draining(**key, s)) {
             let (all, ejected) = services.entry(site.endpoint.service.clone()).or_default();
             *all += 1;
-            *ejected += usize::from(site.health.is_aside(now));
+            *ejected += usize::from(site.health.is_ejected(now));
         }
-        for site in self.sites.values_mut() {
-            if site.health.is_aside(now) || !site.health.is_failing(now) {
+        for site in self.endpoints.values_mut() {
+            if site.health.is_ejected(now) || !site.health.is_failing(now) {
                 continue;
             }
             let Some((all, ejected)) = services.get_mut(&site.endpoint.service) else { continue };
@@ -348,8 +354,9 @@
                 continue;
             }
             *ejected += 1;
-            let pause = site.health.set_aside(now);
-            self.news.push(super::SetAside { endpoint: site.endpoint.id.clone(), pause });
+            let pause = site.health.eject(now);
+            self.ejections
+                .push(super::Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
         }
     }
 }
@@ -389,7 +396,7 @@
 /// Whether the prefill of the prompt would pause the `load` other requests at the endpoint for too
 /// long.
 fn would_stall(target: &Target<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
-    let Stall { tokens, pause_ms } = candidate.stall;
+    let PrefillStall { chunk_tokens: tokens, max_gap_ms: pause_ms } = candidate.stall;
     let prefill_ms = f64::from(tokens) * target.ns_per_unit / 1e6;
     load > 0 && pause_ms > 0 && prefill_ms > f64::from(pause_ms) * STALL_TOLERANCE_SHARE
 }
--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -8,9 +8,9 @@
 
 use super::leaving::DrainNotice;
 use super::limits::{LimitChange, Scope};
-use super::report::ToldEndpoints;
-use super::signals::{Audience, Origin, Said, Signals};
-use super::{Cell, Site};
+use super::report::EndpointNotices;
+use super::signals::{Audience, Origin, SignalValue, Signals};
+use super::{Cell, EndpointState};
 use crate::ids::{EndpointKey, InstanceId, ServiceId};
 
 /// Number of requests that this instance may send, by endpoint. Endpoints without a rate limit or
@@ -27,12 +27,12 @@
         shared: BTreeSet<ServiceId>,
     ) {
         self.limits.set_instances(cell, fleet);
-        self.shared = shared;
+        self.shared_services = shared;
     }
 
     /// Sets the endpoints of all cells that the platform lists.
     pub fn set_listed_endpoints(&mut self, listed: impl Iterator<Item = EndpointKey>) {
-        self.listed = listed.collect();
+        self.listed_endpoints = listed.collect();
     }
 
     /// Applies the signals in an endpoint's response to a request that was sent at `sent_at`.
@@ -47,7 +47,7 @@
         if signals.is_draining {
             self.draining.record(now, endpoint, Origin::Answer);
         }
-        if let Said::Value(backoff) = signals.backoff {
+        if let SignalValue::Value(backoff) = signals.backoff {
             self.backoffs.extend(now, endpoint, backoff);
         }
     }
@@ -63,7 +63,7 @@
     pub fn merge_endpoint_signals(
         &mut self,
         now: Instant,
-        reported: &ToldEndpoints,
+        reported: &EndpointNotices,
         is_same_cell: bool,
     ) {
         let origin = if is_same_cell { Origin::Cell } else { Origin::Fleet };
@@ -76,37 +76,37 @@
     pub(super) fn merge_reported_signals(
         &mut self,
         now: Instant,
-        reported: &ToldEndpoints,
+        reported: &EndpointNotices,
         is_same_cell: bool,
     ) {
         let listed = reported.leaving.iter().filter(|key| self.is_listed(**key));
         let leaving = listed.copied().collect();
-        let listed = ToldEndpoints { leaving, limits: reported.limits.clone() };
+        let listed = EndpointNotices { leaving, limits: reported.limits.clone() };
         self.merge_endpoint_signals(now, &listed, is_same_cell);
     }
 
     /// Returns the signals to report to other instances of this cell.
-    pub(super) fn signals_for_cell(&self, now: Instant) -> ToldEndpoints {
+    pub(super) fn signals_for_cell(&self, now: Instant) -> EndpointNotices {
         let audience = match self.is_representative {
-            true => Audience::CellOfRepresentative,
+            true => Audience::RepresentedCell,
             false => Audience::Cell,
         };
-        self.signals_for(now, audience, |key| self.sites.contains_key(key))
+        self.signals_for(now, audience, |key| self.endpoints.contains_key(key))
     }
 
     /// Returns the signals to report to other cells: limits of endpoints that belong to all cells,
     /// and all draining endpoints, since an endpoint may move to another cell and a new instance
     /// may fetch the list from any.
-    pub fn signals_for_other_cells(&self, now: Instant) -> ToldEndpoints {
+    pub fn signals_for_other_cells(&self, now: Instant) -> EndpointNotices {
         let is_shared = |key: &EndpointKey| {
-            let service = self.sites.get(key).map(|s| &s.endpoint.service);
-            service.is_some_and(|service| self.shared.contains(service))
+            let service = self.endpoints.get(key).map(|s| &s.endpoint.service);
+            service.is_some_and(|service| self.shared_services.contains(service))
         };
-        self.signals_for(now, Audience::Others, is_shared)
+        self.signals_for(now, Audience::OtherCells, is_shared)
     }
 
     /// Returns the signals for an instance that has just started.
-    pub fn signals_for_new_instance(&self, now: Instant) -> ToldEndpoints {
+    pub fn signals_for_new_instance(&self, now: Instant) -> EndpointNotices {
         self.signals_for(now, Audience::Newcomer, |key| self.is_listed(*key))
     }
 
@@ -115,10 +115,10 @@
         now: Instant,
         audience: Audience,
         is_relevant: impl Fn(&EndpointKey) -> bool,
-    ) -> ToldEndpoints {
+    ) -> EndpointNotices {
         let limits = self.limits.to_report(now, audience, is_relevant);
         let leaving = self.draining.to_report(now, audience, |key| self.is_listed(*key));
-        ToldEndpoints { limits, leaving }
+        EndpointNotices { limits, leaving }
     }
 
     /// Returns the changes of limits since the last call.
@@ -153,7 +153,7 @@
         if allowances.is_empty() {
             return None;
         }
-        let available = self.sites.iter().filter(|(key, s)| self.is_available(now, **key, s));
+        let available = self.endpoints.iter().filter(|(key, s)| self.is_available(now, **key, s));
         let of_service = available.filter(|(_, s)| s.endpoint.service == *service);
         let keys: Vec<_> = of_service.map(|(key, s)| (*key, self.scope(s))).collect();
         if keys.iter().any(|(key, _)| allowances.get(key).is_none_or(|allowance| *allowance > 0)) {
@@ -173,7 +173,7 @@
     pub(super) fn allowances(&mut self, now: Instant) -> Allowances {
         let mut allowances = Allowances::new();
         for key in self.limits.limited_endpoints() {
-            let Some(scope) = self.sites.get(&key).map(|s| self.scope(s)) else { continue };
+            let Some(scope) = self.endpoints.get(&key).map(|s| self.scope(s)) else { continue };
             allowances.extend(
                 self.limits.available_requests(now, key, scope).map(|allowance| (key, allowance)),
             );
@@ -184,7 +184,7 @@
 
     /// Counts a request against the rate limit of its endpoint.
     pub(super) fn record_dispatch(&mut self, now: Instant, endpoint: EndpointKey) {
-        let Some(scope) = self.sites.get(&endpoint).map(|s| self.scope(s)) else { return };
+        let Some(scope) = self.endpoints.get(&endpoint).map(|s| self.scope(s)) else { return };
         self.limits.take(now, endpoint, scope);
     }
 
@@ -196,7 +196,7 @@
 
     /// Drops signals of endpoints that are no longer listed, and backoffs that have ended.
     pub(super) fn prune_endpoint_signals(&mut self, now: Instant) {
-        let (sites, listed) = (&self.sites, &self.listed);
+        let (sites, listed) = (&self.endpoints, &self.listed_endpoints);
         let is_listed = |key: &EndpointKey| sites.contains_key(key) || listed.contains(key);
         self.limits.prune(now, is_listed);
         self.backoffs.prune(now);
@@ -204,22 +204,27 @@
     }
 
     fn is_listed(&self, key: EndpointKey) -> bool {
-        self.sites.contains_key(&key) || self.listed.contains(&key)
+        self.endpoints.contains_key(&key) || self.listed_endpoints.contains(&key)
     }
 
     /// Whether an endpoint is draining, by its registry entry or its own signal. While the store is
     /// unreachable, only the signal is current.
-    pub(super) fn is_draining(&self, key: EndpointKey, site: &Site) -> bool {
+    pub(super) fn is_draining(&self, key: EndpointKey, site: &EndpointState) -> bool {
         site.endpoint.leaving || self.draining.contains(key)
     }
 
     /// Whether an endpoint is neither draining nor ejected.
-    pub(super) fn is_available(&self, now: Instant, key: EndpointKey, site: &Site) -> bool {
-        !self.is_draining(key, site) && !site.health.is_aside(now)
+    pub(super) fn is_available(
+        &self,
+        now: Instant,
+        key: EndpointKey,
+        site: &EndpointState,
+    ) -> bool {
+        !self.is_draining(key, site) && !site.health.is_ejected(now)
     }
 
-    fn scope(&self, site: &Site) -> Scope {
-        match self.shared.contains(&site.endpoint.service) {
+    fn scope(&self, site: &EndpointState) -> Scope {
+        match self.shared_services.contains(&site.endpoint.service) {
             true => Scope::Fleet,
             false => Scope::Cell,
         }
--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -21,7 +21,7 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::signals::{Audience, Origin, Said};
+use super::signals::{Audience, Origin, SignalValue};
 use crate::ids::{EndpointKey, InstanceId};
 
 /// Window in which the bound holds.
@@ -157,12 +157,12 @@
         now: Instant,
         endpoint: EndpointKey,
         sent_at: Instant,
-        signal: Said<f64>,
+        signal: SignalValue<f64>,
     ) {
         let per_s = match signal {
-            Said::Nothing => None,
-            Said::Value(per_s) => Some(per_s),
-            Said::Unreadable => return,
+            SignalValue::Nothing => None,
+            SignalValue::Value(per_s) => Some(per_s),
+            SignalValue::Unreadable => return,
         };
         let known = self.known_limits.get(&endpoint);
         let is_looser =
@@ -225,7 +225,7 @@
     ) -> Vec<ReportedLimit> {
         let age = |known: &KnownLimit| now.saturating_duration_since(known.answered_at);
         let should_report = |(key, known): &(&EndpointKey, &KnownLimit)| {
-            audience.is_told(known.origin)
+            audience.receives(known.origin)
                 && (known.per_s.is_some() || age(known) < REPORT_REMOVAL_FOR)
                 && is_relevant(key)
         };
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -3,7 +3,7 @@
 //! Such a request comes back under new ids at any instance, so it is known by its [`Fingerprint`]. When an endpoint
 //! ends, requests that ran there and of whose answers nothing had come are suspected; one that must have ended three
 //! endpoints is quarantined: no instance sends it to an endpoint, and its caller hears at once that it has not run. Instances tell each other
-//! what they have seen, and what was decided ([`Told`]): whole facts, each of which may be lost, come twice or
+//! what they have seen, and what was decided ([`ReportedState`]): whole facts, each of which may be lost, come twice or
 //! late, and comes to the same whoever passes it on. Decisions are also noted in the store, so that they outlast all
 //! instances.
 //!
@@ -23,7 +23,7 @@
 pub use told::{Told, ToldAnswer, ToldEnd, ToldVerdict};
 pub use verdict::ENDS;
 
-use crate::cell::Extent;
+use crate::cell::ReportDetail;
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointId, EndpointKey, InstanceId};
 use answered::Answered;
@@ -213,11 +213,11 @@
     /// What to tell other instances in a report of an extent: what is new, and in full ones also older decisions in
     /// turn. What others have seen is told on by those who pass it on: in a fleet of several cells, their
     /// representatives.
-    pub fn tell(&mut self, now: Instant, extent: Extent, passes_on: bool) -> Told {
-        let in_full = extent == Extent::Full;
+    pub fn tell(&mut self, now: Instant, extent: ReportDetail, passes_on: bool) -> Told {
+        let in_full = extent == ReportDetail::Full;
         let (ends_for, rest_for) = match extent {
-            Extent::Loads => (TOLD_AT_ONCE, TOLD_AT_ONCE),
-            Extent::Changes | Extent::Full => (ENDS_TOLD_FOR, TOLD_FOR),
+            ReportDetail::Loads => (TOLD_AT_ONCE, TOLD_AT_ONCE),
+            ReportDetail::Changes | ReportDetail::Full => (ENDS_TOLD_FOR, TOLD_FOR),
         };
         Told {
             ends: self.ends.tell(now, ends_for, passes_on, in_full),
--- a/oxbowbend-core/src/subscription.rs
+++ b/oxbowbend-core/src/subscription.rs
@@ -1,229 +1,244 @@
-//! How an instance stays sure that it knows every change of a part of the store.
+//! Detects stale watches of a part of the store.
 //!
-//! A watch that waits says nothing, and so does one that nobody will ever answer: the store fell silent when
-//! it was sent, its answer was lost, or its connection went silent while others work. An instance that
-//! trusts a watch for as long as it may wait can apply an old configuration for all that time, and after an
-//! outage all instances can be in that state together, so that none can tell the others.
+//! A watch without changes looks the same as one whose request or answer was lost, so an instance
+//! that trusts a watch for as long as it may block can apply an outdated configuration for all that
+//! time. After an outage, all instances can be in this state at once.
 //!
-//! So knowledge has an age: the time since the store last said, to this instance or to one that knows the same,
-//! that there is nothing newer. One instance, the first by name that the store answers, asks often enough to
-//! keep that age below a bound, and its reports tell the others, whose own watches wait long and are
-//! given up for three reasons: nobody has verified what this instance knows for too long (the next one by name
-//! is the first to notice), another instance knows something newer that the watch should have told, or the
-//! store takes too long. What follows is a watch that does not wait, so its answer or its absence is known at once.
+//! Therefore the store's state has an age: the time since the store last confirmed, to this
+//! instance or to another one with the same state, that nothing newer exists. The verifier, the
+//! first instance by name that can reach the store, polls often enough to bound that age and shares
+//! it through its reports. Other instances use long polls and cancel them when
 //!
-//! What was traded: two calls within six tenths of the time in which changes must be in force, for the whole
-//! fleet. Having every instance ask as often would cost as many times more as there are instances; trusting the
-//! renewals of leases would cost a tenth, but they are answered on connections of their own.
+//! - the state was not verified for too long, in which case the next instance by name is the first
+//!   to take over,
+//! - another instance has a newer state that the watch should have delivered, or
+//! - the store does not answer in time.
+//!
+//! A cancelled watch is followed by one that does not block, so that a failure is noticed at once.
+//! The whole fleet makes about one verifying call for each part of the store per
+//! [`Role::verify_interval`], independent of its size. Lease renewals cannot replace these calls,
+//! because they use connections of their own.
 
 use std::time::{Duration, Instant};
 
-/// Part of the time within which changes must be in force after which the verifier asks again. With the time
-/// that an answer may take (two attempts, 1.5 s) what was lost in an outage is known 2.7 s after its end at the
-/// latest, where that time is 2 s.
+/// Fraction of the time within which changes must be in force after which the verifier polls again.
+/// Allowing two attempts for an answer (1.5 s), a change lost in an outage is noticed within 2.7 s
+/// of its end if that time is 2 s.
 const VERIFY_SHARE: f64 = 0.6;
-/// Time for which a watch waits that others need not rely on: the longest that the platform allows.
-const LONG: Duration = Duration::from_secs(30);
-/// Time that an answer may take beside the wait, for each attempt in a row. The store answers in 4 ms, and up to
-/// a hundred times slower when it is slow; the last one is what it is given for good.
-const ANSWER: [Duration; 3] =
+/// Time for which a watch blocks at instances that are not the verifier: the maximum that the
+/// platform allows.
+const LONG_POLL: Duration = Duration::from_secs(30);
+/// Time to wait for an answer beyond the blocking time, by the number of preceding failures.
+const ANSWER_TIMEOUTS: [Duration; 3] =
     [Duration::from_millis(500), Duration::from_millis(1000), Duration::from_millis(1500)];
-/// Time after which the next instance by name verifies what the first one should have, and that of each further
-/// one after it. Reports come every 130 ms.
-const STEP_IN: Duration = Duration::from_millis(500);
-const STEP: Duration = Duration::from_millis(100);
-/// Time for which another instance must have known something newer before a watch is taken for dead. Changes
-/// reach all instances within some 10 ms.
-const OVERTAKEN: Duration = Duration::from_millis(300);
-/// First and longest time between two watches given up because another instance knows something else. What two
-/// instances believe may differ for 1.7 s after an outage although both are up to date.
-const TOLERATED: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
-
-/// What an instance's watches are for.
+/// Delay after which the next instance by name verifies in place of the verifier, and additional
+/// delay of each further instance. Several times the report interval of 130 ms.
+const TAKEOVER_DELAY: Duration = Duration::from_millis(500);
+const TAKEOVER_STEP: Duration = Duration::from_millis(100);
+/// Time for which another instance must have had a newer state before a watch is considered lost.
+/// Changes normally reach all instances within some 10 ms.
+const MISMATCH_DELAY: Duration = Duration::from_millis(300);
+/// Minimum time between two watches cancelled because of another instance's state: initial and
+/// maximum. The states of two up-to-date instances can differ for 1.7 s after an outage.
+const MISMATCH_PAUSES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
+
+/// How an instance watches the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Role {
-    /// Instances by name before this one that the store answers; without one this instance verifies.
+    /// Number of instances preceding this one by name that can reach the store. The instance with
+    /// rank 0 is the verifier.
     pub rank: u32,
-    /// How often knowledge is verified.
-    pub every: Duration,
+    /// Interval at which the state is verified.
+    pub verify_interval: Duration,
 }
 
 impl Role {
-    /// The role behind so many instances, where changes must be in force within that time.
+    /// Creates the role of the instance with this rank, where changes must be in force within
+    /// `in_force`.
     pub fn new(rank: usize, in_force: Duration) -> Role {
-        Role { rank: rank.min(u32::MAX as usize) as u32, every: in_force.mul_f64(VERIFY_SHARE) }
+        Role {
+            rank: rank.min(u32::MAX as usize) as u32,
+            verify_interval: in_force.mul_f64(VERIFY_SHARE),
+        }
     }
 
-    /// Age from which knowledge is verified by this instance, whoever should have done so.
-    fn limit(&self) -> Duration {
+    /// Age of the state at which this instance verifies it.
+    fn max_age(&self) -> Duration {
         match self.rank {
-            0 => self.every,
-            rank => (self.every + STEP_IN + STEP * (rank - 1)).min(self.every * 2),
+            0 => self.verify_interval,
+            rank => (self.verify_interval + TAKEOVER_DELAY + TAKEOVER_STEP * (rank - 1))
+                .min(self.verify_interval * 2),
         }
     }
 }
 
-/// A watch to begin.
+/// Parameters of a watch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Call {
-    /// How long the store may wait for a change.
+pub struct WatchParams {
+    /// How long the store may block until there is a change.
     pub wait: Duration,
-    /// How long the answer may take, the wait included.
-    pub limit: Duration,
+    /// How long the answer may take, including `wait`.
+    pub timeout: Duration,
 }
 
-/// Why a watch was given up.
+/// Why a watch was cancelled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum GivenUp {
-    /// Nobody has verified for too long that there is nothing newer.
+pub enum CancelReason {
+    /// The state was not verified for too long.
     Unverified,
-    /// Another instance knows something newer.
+    /// Another instance has a newer state.
     Overtaken,
 }
 
-/// Why a watch has no answer.
+/// Why a watch failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Failure {
-    /// There was none in time. The watch may have been lost on its way while the store was well.
+pub enum WatchFailure {
+    /// There was no answer in time. The watch may have been lost while the store is available.
     Unanswered,
-    /// The store refused, or the connection failed.
+    /// The store refused the call, or the connection failed.
     Refused,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Pending {
-    began: Instant,
+struct PendingWatch {
+    started_at: Instant,
     wait: Duration,
 }
 
 /// State of the watch of one part of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Subscription {
-    pending: Option<Pending>,
-    /// When the store last told this instance all there was.
-    verified: Option<Instant>,
-    /// When it last told another one that knows the same.
-    vouched: Option<Instant>,
-    /// Attempts in a row without an answer.
+    pending: Option<PendingWatch>,
+    /// When the store last confirmed the state to this instance.
+    verified_at: Option<Instant>,
+    /// When the store last confirmed the state to another instance that has the same one.
+    peer_verified_at: Option<Instant>,
+    /// Consecutive failures.
     failures: usize,
-    /// Whether the next watch must not wait.
+    /// Whether the next watch must not block.
     is_probe_due: bool,
-    /// Since when another instance has known something newer.
-    differs_since: Option<Instant>,
-    /// For how long no watch is given up for that again.
-    tolerance: Option<Tolerance>,
+    /// Since when another instance has had a newer state.
+    newer_elsewhere_since: Option<Instant>,
+    /// Limits cancellations because of another instance's state.
+    mismatch_backoff: Option<MismatchBackoff>,
 }
 
-/// A difference to another instance that outlasts an answer of the store is tolerated longer each time.
+/// Grows while a difference to another instance persists although the store has answered.
 #[derive(Clone, Copy, Debug)]
-struct Tolerance {
+struct MismatchBackoff {
     until: Instant,
     next: Duration,
 }
 
-impl Tolerance {
-    fn after(now: Instant, last: Option<Tolerance>) -> Tolerance {
-        let time = last.map_or(TOLERATED.0, |t| t.next);
-        Tolerance { until: now + time, next: (time * 2).min(TOLERATED.1) }
+impl MismatchBackoff {
+    fn following(now: Instant, last: Option<MismatchBackoff>) -> MismatchBackoff {
+        let pause = last.map_or(MISMATCH_PAUSES.0, |b| b.next);
+        MismatchBackoff { until: now + pause, next: (pause * 2).min(MISMATCH_PAUSES.1) }
     }
 }
 
 impl Subscription {
-    /// Notes that everything was read anew.
-    pub fn listed(&mut self, now: Instant) {
-        *self = Subscription { verified: Some(now), ..Subscription::default() };
+    /// Records that the whole state was read again.
+    pub fn reset(&mut self, now: Instant) {
+        *self = Subscription { verified_at: Some(now), ..Subscription::default() };
     }
 
-    /// Begins a watch.
+    /// Starts a watch.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
     ///
-    /// use oxbowbend_core::subscription::{Failure, Role, Subscription};
+    /// use oxbowbend_core::subscription::{Role, Subscription, WatchFailure};
     ///
     /// let now = Instant::now();
     /// let role = Role::new(0, Duration::from_secs(2));
     /// let mut subscription = Subscription::default();
-    /// subscription.listed(now);
-    /// assert_eq!(subscription.begin(now, role).wait, Duration::from_millis(1200));
-    /// // An unanswered watch says nothing of the store yet; one that did not wait does.
-    /// assert!(!subscription.failed(Failure::Unanswered));
-    /// assert_eq!(subscription.begin(now, role).wait, Duration::ZERO);
-    /// assert!(subscription.failed(Failure::Unanswered));
+    /// subscription.reset(now);
+    /// assert_eq!(subscription.start_watch(now, role).wait, Duration::from_millis(1200));
+    /// // An unanswered watch does not mean that the store is unavailable, unless it did not block.
+    /// assert!(!subscription.record_failure(WatchFailure::Unanswered));
+    /// assert_eq!(subscription.start_watch(now, role).wait, Duration::ZERO);
+    /// assert!(subscription.record_failure(WatchFailure::Unanswered));
     /// ```
-    pub fn begin(&mut self, now: Instant, role: Role) -> Call {
+    pub fn start_watch(&mut self, now: Instant, role: Role) -> WatchParams {
         let wait = match role.rank {
             _ if self.is_probe_due => Duration::ZERO,
-            0 => role.every.saturating_sub(self.told_age(now).unwrap_or(Duration::ZERO)),
-            _ => LONG,
+            0 => role.verify_interval.saturating_sub(self.own_age(now).unwrap_or(Duration::ZERO)),
+            _ => LONG_POLL,
         };
-        self.pending = Some(Pending { began: now, wait });
-        self.differs_since = None;
-        Call { wait, limit: wait + ANSWER[self.failures.min(ANSWER.len() - 1)] }
+        self.pending = Some(PendingWatch { started_at: now, wait });
+        self.newer_elsewhere_since = None;
+        WatchParams {
+            wait,
+            timeout: wait + ANSWER_TIMEOUTS[self.failures.min(ANSWER_TIMEOUTS.len() - 1)],
+        }
     }
 
-    /// Notes an answer of the store.
-    pub fn answered(&mut self, now: Instant) {
+    /// Records an answer of the store.
+    pub fn record_answer(&mut self, now: Instant) {
         self.pending = None;
-        self.verified = Some(now);
+        self.verified_at = Some(now);
         self.failures = 0;
         self.is_probe_due = false;
-        self.differs_since = None;
+        self.newer_elsewhere_since = None;
     }
 
-    /// Notes that a watch has failed; returns whether that means that the store is away.
-    pub fn failed(&mut self, failure: Failure) -> bool {
+    /// Records a failed watch. Returns whether the store is unavailable.
+    pub fn record_failure(&mut self, failure: WatchFailure) -> bool {
         let was_probe = self.pending.take().is_some_and(|p| p.wait == Duration::ZERO);
         self.is_probe_due = true;
         self.failures += 1;
-        was_probe || failure == Failure::Refused
+        was_probe || failure == WatchFailure::Refused
     }
 
-    /// Notes what another instance knows: whether it is the same, and when the store told it that there was
-    /// nothing newer.
-    pub fn heard(&mut self, now: Instant, as_of: Instant, is_same: bool) {
+    /// Records the state of another instance: whether it is the same, and when the store last
+    /// confirmed it.
+    pub fn record_peer(&mut self, now: Instant, verified_at: Instant, is_same: bool) {
         if is_same {
-            self.vouched = self.vouched.max(Some(as_of));
-            self.differs_since = None;
-            self.tolerance = None;
-        } else if Some(as_of) > self.verified.max(self.vouched) {
-            self.differs_since.get_or_insert(now);
+            self.peer_verified_at = self.peer_verified_at.max(Some(verified_at));
+            self.newer_elsewhere_since = None;
+            self.mismatch_backoff = None;
+        } else if Some(verified_at) > self.verified_at.max(self.peer_verified_at) {
+            self.newer_elsewhere_since.get_or_insert(now);
         }
     }
 
-    /// Whether the watch that waits is to be given up, and why. The next one does not wait.
-    pub fn give_up(&mut self, now: Instant, role: Role) -> Option<GivenUp> {
+    /// Returns why the current watch must be cancelled, if it must. The next watch does not block.
+    pub fn check_cancel(&mut self, now: Instant, role: Role) -> Option<CancelReason> {
         let pending = self.pending?;
-        // Such a one is answered, or fails, by its own limit.
-        if pending.wait <= role.every {
+        // A short watch ends by its own timeout.
+        if pending.wait <= role.verify_interval {
             return None;
         }
-        let given_up = if self.is_overtaken(now, pending) {
-            self.tolerance = Some(Tolerance::after(now, self.tolerance));
-            GivenUp::Overtaken
-        } else if self.age(now).is_none_or(|age| age >= role.limit()) {
-            GivenUp::Unverified
+        let reason = if self.has_missed_change(now, pending) {
+            self.mismatch_backoff = Some(MismatchBackoff::following(now, self.mismatch_backoff));
+            CancelReason::Overtaken
+        } else if self.age(now).is_none_or(|age| age >= role.max_age()) {
+            CancelReason::Unverified
         } else {
             return None;
         };
         self.pending = None;
         self.is_probe_due = true;
-        Some(given_up)
+        Some(reason)
     }
 
-    fn is_overtaken(&self, now: Instant, pending: Pending) -> bool {
-        let is_late =
-            |since: Instant| since >= pending.began && now.duration_since(since) >= OVERTAKEN;
-        self.differs_since.is_some_and(is_late) && self.tolerance.is_none_or(|t| now >= t.until)
+    fn has_missed_change(&self, now: Instant, pending: PendingWatch) -> bool {
+        let is_overdue = |since: Instant| {
+            since >= pending.started_at && now.duration_since(since) >= MISMATCH_DELAY
+        };
+        self.newer_elsewhere_since.is_some_and(is_overdue)
+            && self.mismatch_backoff.is_none_or(|b| now >= b.until)
     }
 
-    /// Time since the store told this instance that there was nothing newer, to tell others.
-    pub fn told_age(&self, now: Instant) -> Option<Duration> {
-        self.verified.map(|at| now.saturating_duration_since(at))
+    /// Time since the store last confirmed the state to this instance.
+    pub fn own_age(&self, now: Instant) -> Option<Duration> {
+        self.verified_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Time since the store told this instance, or one that knows the same, that there was nothing newer.
+    /// Time since the store last confirmed the state to this instance or to another one with the
+    /// same state.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.verified.max(self.vouched).map(|at| now.saturating_duration_since(at))
+        self.verified_at.max(self.peer_verified_at).map(|at| now.saturating_duration_since(at))
     }
 }
--- a/oxbowbend-core/tests/backoff.rs
+++ b/oxbowbend-core/tests/backoff.rs
@@ -5,17 +5,17 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, key, placed, want, MS};
-use oxbowbend_core::cell::{Cell, Extent, Outcome, RetryPolicy, Said, Signals};
+use oxbowbend_core::cell::{Cell, Outcome, ReportDetail, RetryPolicy, SignalValue, Signals};
 
 fn request_backoff(cell: &mut Cell, now: Instant, name: &str, ms: u64) {
-    let backoff = Said::Value(Duration::from_millis(ms));
+    let backoff = SignalValue::Value(Duration::from_millis(ms));
     cell.apply_signals(now, key(name), now, Signals { backoff, ..Signals::default() });
 }
 
 fn is_assigned(cell: &mut Cell, now: Instant) -> bool {
-    let ticket = cell.arrive(want(0, 1, now - 20 * MS));
+    let ticket = cell.enqueue(want(0, 1, now - 20 * MS));
     let is_placed = !placed(cell, now).is_empty();
-    cell.withdraw(ticket);
+    cell.dequeue(ticket);
     if is_placed {
         cell.finish(now, key("e0"), 1, Outcome::Neutral);
     }
@@ -52,7 +52,7 @@
     let now = Instant::now() + Duration::from_secs(10);
     let (mut a, mut b) = (cell("a", &[endpoint(0, 4)]), cell("b", &[endpoint(0, 4)]));
     request_backoff(&mut a, now, "e0", 1000);
-    b.hear(now, a.report(now, Extent::Full), true);
+    b.receive_report(now, a.report(now, ReportDetail::Full), true);
     assert!(is_assigned(&mut b, now) && !is_assigned(&mut a, now));
     let policy =
         RetryPolicy { objective: 100 * MS, max_delay: Duration::from_secs(3), jitter: 0.0 };
--- a/oxbowbend-core/tests/cell.rs
+++ b/oxbowbend-core/tests/cell.rs
@@ -6,17 +6,20 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, key, placed, want, MS};
-use oxbowbend_core::cell::{Extent, Heard, Load, Outcome, Want, CLAIM_TTL, LOAD_TTL, REPORT_DELAY};
+use oxbowbend_core::cell::{
+    EndpointLoad, Outcome, QueuedRequest, ReportDeltas, ReportDetail, PEER_TTL, REPORT_DELAY,
+    WAITING_TTL,
+};
 use oxbowbend_core::routes::Endpoint;
 
 #[test]
 fn higher_rank_precedes_older_request() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1)]);
-    let _old = cell.arrive(want(2, 100, now - 50 * MS));
-    let urgent = cell.arrive(want(0, 100, now));
+    let _old = cell.enqueue(want(2, 100, now - 50 * MS));
+    let urgent = cell.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut cell, now), [(urgent, "e0".to_owned())]);
-    assert_eq!(cell.waiting(), 1);
+    assert_eq!(cell.waiting_count(), 1);
 }
 
 #[test]
@@ -24,7 +27,7 @@
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 2)]);
     for _ in 0..3 {
-        cell.arrive(want(0, 100, now));
+        cell.enqueue(want(0, 100, now));
     }
     assert_eq!(placed(&mut cell, now).len(), 2);
     assert_eq!(placed(&mut cell, now).len(), 0);
@@ -37,12 +40,12 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    a.arrive(want(0, 100, now));
+    a.enqueue(want(0, 100, now));
     assert_eq!(a.assign(now).len(), 1);
-    b.hear(now, a.report(now, Extent::Full), true);
-    b.arrive(want(0, 100, now));
+    b.receive_report(now, a.report(now, ReportDetail::Full), true);
+    b.enqueue(want(0, 100, now));
     assert_eq!(b.assign(now).len(), 0);
-    assert_eq!(b.assign(now + LOAD_TTL).len(), 1);
+    assert_eq!(b.assign(now + PEER_TTL).len(), 1);
 }
 
 #[test]
@@ -51,11 +54,12 @@
     let endpoints = [endpoint(0, 1)];
     for (rank_a, rank_b, first) in [(0, 1, "a"), (1, 0, "b")] {
         let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-        a.arrive(want(rank_a, 100, now - REPORT_DELAY));
-        b.arrive(want(rank_b, 100, now - REPORT_DELAY));
-        let (from_a, from_b) = (a.report(now, Extent::Full), b.report(now, Extent::Full));
-        a.hear(now, from_b, true);
-        b.hear(now, from_a, true);
+        a.enqueue(want(rank_a, 100, now - REPORT_DELAY));
+        b.enqueue(want(rank_b, 100, now - REPORT_DELAY));
+        let (from_a, from_b) =
+            (a.report(now, ReportDetail::Full), b.report(now, ReportDetail::Full));
+        a.receive_report(now, from_b, true);
+        b.receive_report(now, from_a, true);
         let assigned = (a.assign(now).len(), b.assign(now).len());
         assert_eq!(assigned, if first == "a" { (1, 0) } else { (0, 1) });
     }
@@ -66,11 +70,11 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    a.arrive(want(0, 100, now));
-    b.hear(now, a.report(now, Extent::Full), true);
-    b.arrive(want(1, 100, now));
+    a.enqueue(want(0, 100, now));
+    b.receive_report(now, a.report(now, ReportDetail::Full), true);
+    b.enqueue(want(1, 100, now));
     assert_eq!(b.assign(now).len(), 0);
-    assert_eq!(b.assign(now + CLAIM_TTL).len(), 1);
+    assert_eq!(b.assign(now + WAITING_TTL).len(), 1);
 }
 
 #[test]
@@ -78,11 +82,11 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    let stale = a.report(now, Extent::Full);
-    a.arrive(want(0, 100, now));
+    let stale = a.report(now, ReportDetail::Full);
+    a.enqueue(want(0, 100, now));
     a.assign(now);
-    assert!(b.hear(now, a.report(now, Extent::Full), true).is_some());
-    assert!(b.hear(now, stale, true).is_none());
+    assert!(b.receive_report(now, a.report(now, ReportDetail::Full), true).is_some());
+    assert!(b.receive_report(now, stale, true).is_none());
     assert_eq!(b.load(now, key("e0")), 1);
 }
 
@@ -90,9 +94,9 @@
 fn faster_endpoint_is_chosen() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
-    (0..10).for_each(|_| cell.began(now, key("e0"), 1000, 0, 300 * MS));
-    (0..10).for_each(|_| cell.began(now, key("e2"), 1000, 0, 60 * MS));
-    let ticket = cell.arrive(want(0, 1000, now));
+    (0..10).for_each(|_| cell.record_first_event(now, key("e0"), 1000, 0, 300 * MS));
+    (0..10).for_each(|_| cell.record_first_event(now, key("e2"), 1000, 0, 60 * MS));
+    let ticket = cell.enqueue(want(0, 1000, now));
     assert_eq!(placed(&mut cell, now), [(ticket, "e2".to_owned())]);
 }
 
@@ -100,12 +104,12 @@
 fn request_waits_for_a_slot_that_meets_its_deadline() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1), endpoint(2, 1)]);
-    (0..10).for_each(|_| cell.began(now, key("e0"), 700, 0, 300 * MS));
-    (0..10).for_each(|_| cell.began(now, key("e2"), 700, 0, 50 * MS));
-    cell.arrive(want(0, 700, now));
+    (0..10).for_each(|_| cell.record_first_event(now, key("e0"), 700, 0, 300 * MS));
+    (0..10).for_each(|_| cell.record_first_event(now, key("e2"), 700, 0, 50 * MS));
+    cell.enqueue(want(0, 700, now));
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
     // 4,700 tokens take 1.5 s at e0 and 0.3 s at e2; the objective is 0.5 s.
-    cell.arrive(want(0, 4700, now));
+    cell.enqueue(want(0, 4700, now));
     assert_eq!(placed(&mut cell, now).len(), 0);
     // Once it would miss its deadline at both, it takes the free slot.
     assert_eq!(placed(&mut cell, now + 400 * MS)[0].1, "e0");
@@ -116,7 +120,7 @@
     let now = Instant::now();
     let leaving = Endpoint { leaving: true, ..endpoint(0, 1) };
     let mut cell = cell("a", &[leaving, endpoint(2, 1)]);
-    cell.arrive(Want { avoid: vec!["e2".into()], ..want(0, 100, now) });
+    cell.enqueue(QueuedRequest { excluded_endpoints: vec!["e2".into()], ..want(0, 100, now) });
     assert_eq!(cell.assign(now).len(), 0);
 }
 
@@ -125,12 +129,12 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 8), endpoint(2, 8)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    b.hear(now, a.report(now, Extent::Full), true);
-    (0..4).for_each(|_| a.judge(now, key("e0"), Outcome::Bad));
-    b.hear(now, a.report(now, Extent::Full), true);
-    let ticket = b.arrive(want(0, 100, now));
+    b.receive_report(now, a.report(now, ReportDetail::Full), true);
+    (0..4).for_each(|_| a.record_outcome(now, key("e0"), Outcome::Bad));
+    b.receive_report(now, a.report(now, ReportDetail::Full), true);
+    let ticket = b.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut b, now), [(ticket, "e2".to_owned())]);
-    assert_eq!(b.take_news().len(), 1);
+    assert_eq!(b.take_ejections().len(), 1);
 }
 
 #[test]
@@ -139,13 +143,13 @@
     let endpoints: Vec<_> = (0..5).map(|n| endpoint(n, 1)).collect();
     let mut cell = cell("a", &endpoints);
     for e in &endpoints {
-        (0..9).for_each(|_| cell.judge(now, e.key(), Outcome::Bad));
+        (0..9).for_each(|_| cell.record_outcome(now, e.key(), Outcome::Bad));
     }
     for _ in 0..5 {
-        cell.arrive(want(0, 100, now));
+        cell.enqueue(want(0, 100, now));
     }
     assert_eq!(cell.assign(now).len(), 3);
-    assert_eq!(cell.take_news().len(), 2);
+    assert_eq!(cell.take_ejections().len(), 2);
 }
 
 #[test]
@@ -153,9 +157,9 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 4), endpoint(2, 0)];
     let mut cell = cell("a", &endpoints);
-    (0..4).for_each(|_| cell.judge(now, key("e0"), Outcome::Bad));
+    (0..4).for_each(|_| cell.record_outcome(now, key("e0"), Outcome::Bad));
     for _ in 0..4 {
-        cell.arrive(want(0, 100, now));
+        cell.enqueue(want(0, 100, now));
     }
     assert_eq!(cell.assign(now).len(), 0);
     let later = now + Duration::from_secs(2);
@@ -164,7 +168,7 @@
         cell.finish(later, key("e0"), 0, Outcome::Good);
     }
     for _ in 0..4 {
-        cell.arrive(want(0, 100, now));
+        cell.enqueue(want(0, 100, now));
     }
     assert_eq!(cell.assign(later).len(), 4);
 }
@@ -175,10 +179,10 @@
     let mut cell = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
     for n in 0..50 {
         let outcome = if n % 7 == 0 { Outcome::Bad } else { Outcome::Good };
-        cell.judge(now, key("e0"), outcome);
+        cell.record_outcome(now, key("e0"), outcome);
     }
     cell.assign(now);
-    assert_eq!(cell.take_news(), []);
+    assert_eq!(cell.take_ejections(), []);
 }
 
 #[test]
@@ -187,13 +191,20 @@
     let endpoints = [endpoint(0, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     let with_spent = |mut report: oxbowbend_core::cell::Report, units| {
-        report.spent = vec![("acc".into(), units)];
+        report.admitted_units = vec![("acc".into(), units)];
         report
     };
-    let spent =
-        |heard: Option<Heard>| heard.expect("report is new").spent.near.first().map(|(_, u)| *u);
-    assert_eq!(spent(b.hear(now, with_spent(a.report(now, Extent::Full), 1000), true)), Some(0));
-    assert_eq!(spent(b.hear(now, with_spent(a.report(now, Extent::Full), 1200), true)), Some(200));
+    let spent = |heard: Option<ReportDeltas>| {
+        heard.expect("report is new").admitted_units.own_cell.first().map(|(_, u)| *u)
+    };
+    assert_eq!(
+        spent(b.receive_report(now, with_spent(a.report(now, ReportDetail::Full), 1000), true)),
+        Some(0)
+    );
+    assert_eq!(
+        spent(b.receive_report(now, with_spent(a.report(now, ReportDetail::Full), 1200), true)),
+        Some(200)
+    );
 }
 
 #[test]
@@ -201,27 +212,27 @@
     let now = Instant::now();
     let endpoints = [endpoint(0, 1), endpoint(2, 1)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
-    (0..9).for_each(|_| a.judge(now, key("e0"), Outcome::Bad));
-    b.hear(now, a.report(now, Extent::Loads), true);
-    let mut full = a.report(now, Extent::Full);
-    full.spent = vec![("acc".into(), 1000)];
-    let heard = b.hear(now, full, true).expect("report is new");
-    assert_eq!(heard.spent.near[0].1, 0);
+    (0..9).for_each(|_| a.record_outcome(now, key("e0"), Outcome::Bad));
+    b.receive_report(now, a.report(now, ReportDetail::Loads), true);
+    let mut full = a.report(now, ReportDetail::Full);
+    full.admitted_units = vec![("acc".into(), 1000)];
+    let heard = b.receive_report(now, full, true).expect("report is new");
+    assert_eq!(heard.admitted_units.own_cell[0].1, 0);
     b.assign(now);
-    assert_eq!(b.take_news(), []);
+    assert_eq!(b.take_ejections(), []);
 }
 
 #[test]
 fn changes_report_contains_only_recent_changes() {
     let now = Instant::now();
     let mut a = cell("a", &[endpoint(0, 4), endpoint(2, 4)]);
-    a.judge(now, key("e0"), Outcome::Good);
+    a.record_outcome(now, key("e0"), Outcome::Good);
     let later = now + 1000 * MS;
-    a.judge(later, key("e2"), Outcome::Good);
-    let tally_count = |report: oxbowbend_core::cell::Report| report.tallies.len();
-    assert_eq!(tally_count(a.report(later, Extent::Loads)), 0);
-    assert_eq!(tally_count(a.report(later, Extent::Changes)), 1);
-    assert_eq!(tally_count(a.report(later, Extent::Full)), 2);
+    a.record_outcome(later, key("e2"), Outcome::Good);
+    let tally_count = |report: oxbowbend_core::cell::Report| report.endpoint_stats.len();
+    assert_eq!(tally_count(a.report(later, ReportDetail::Loads)), 0);
+    assert_eq!(tally_count(a.report(later, ReportDetail::Changes)), 1);
+    assert_eq!(tally_count(a.report(later, ReportDetail::Full)), 2);
 }
 
 #[test]
@@ -230,18 +241,18 @@
     let endpoints = [endpoint(0, 4), endpoint(2, 4), endpoint(4, 4)];
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     // Failures from before the first full report do not count.
-    (0..9).for_each(|_| a.judge(now, key("e0"), Outcome::Bad));
+    (0..9).for_each(|_| a.record_outcome(now, key("e0"), Outcome::Bad));
     let later = now + 1000 * MS;
-    a.judge(later, key("e2"), Outcome::Good);
-    b.hear(later, a.report(later, Extent::Changes), true);
-    b.hear(later, a.report(later, Extent::Full), true);
+    a.record_outcome(later, key("e2"), Outcome::Good);
+    b.receive_report(later, a.report(later, ReportDetail::Changes), true);
+    b.receive_report(later, a.report(later, ReportDetail::Full), true);
     b.assign(later);
-    assert_eq!(b.take_news(), []);
+    assert_eq!(b.take_ejections(), []);
     // Later ones do.
-    (0..9).for_each(|_| a.judge(later, key("e0"), Outcome::Bad));
-    b.hear(later, a.report(later, Extent::Changes), true);
+    (0..9).for_each(|_| a.record_outcome(later, key("e0"), Outcome::Bad));
+    b.receive_report(later, a.report(later, ReportDetail::Changes), true);
     b.assign(later);
-    assert_eq!(b.take_news().len(), 1);
+    assert_eq!(b.take_ejections().len(), 1);
 }
 
 /// Requests that wait for a version that is rolled back move to another version.
@@ -249,10 +260,10 @@
 fn waiting_requests_can_move_to_another_service() {
     let now = Instant::now();
     let mut cell = cell("a", &[endpoint(0, 1)]);
-    let ticket = cell.arrive(Want { service: "t".into(), ..want(0, 100, now) });
+    let ticket = cell.enqueue(QueuedRequest { service: "t".into(), ..want(0, 100, now) });
     assert!(cell.assign(now).is_empty());
     assert!(cell.serves(&"s".into()) && !cell.serves(&"t".into()));
-    cell.move_waiting(&"t".into(), &"s".into());
+    cell.change_service(&"t".into(), &"s".into());
     assert_eq!(placed(&mut cell, now), [(ticket, "e0".to_owned())]);
 }
 
@@ -263,12 +274,12 @@
     let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
     b.set_representative(true);
     let mut added = |is_cell_told, is_representative, cell_spent: u64| {
-        let mut report = a.report(now, Extent::Loads);
-        report.is_cell_told = is_cell_told;
+        let mut report = a.report(now, ReportDetail::Loads);
+        report.has_all_cell_counters = is_cell_told;
         report.is_representative = is_representative;
-        report.cell_spent = vec![("acc".into(), cell_spent)];
-        let news = b.hear(now, report, false).expect("report is new");
-        news.spent.far.first().map_or(0, |(_, units)| *units)
+        report.cell_admitted_units = vec![("acc".into(), cell_spent)];
+        let news = b.receive_report(now, report, false).expect("report is new");
+        news.admitted_units.other_cells.first().map_or(0, |(_, units)| *units)
     };
     assert_eq!(added(true, false, 1000), 0, "total of the first report");
     assert_eq!(added(true, false, 1100), 0, "not the representative");
@@ -283,7 +294,7 @@
     let endpoints: Vec<_> = (0..12).map(|n| endpoint(2 * n, 4)).collect();
     let first = |name: String| {
         let mut cell = cell(&name, &endpoints);
-        cell.arrive(want(0, 1000, now));
+        cell.enqueue(want(0, 1000, now));
         placed(&mut cell, now)[0].1.clone()
     };
     let chosen: std::collections::BTreeSet<_> = (0..12).map(|n| first(format!("i{n}"))).collect();
@@ -298,12 +309,12 @@
     let names: Vec<_> = (0..12).map(|n| format!("i{n}")).collect();
     let mut cells: Vec<_> = names.iter().map(|name| cell(name, &endpoints)).collect();
     for (n, cell) in cells.iter_mut().enumerate() {
-        cell.arrive(want(0, 1000, now - MS * n as u32));
+        cell.enqueue(want(0, 1000, now - MS * n as u32));
     }
-    let reports: Vec<_> = cells.iter_mut().map(|c| c.report(now, Extent::Full)).collect();
+    let reports: Vec<_> = cells.iter_mut().map(|c| c.report(now, ReportDetail::Full)).collect();
     let mut used = std::collections::BTreeSet::new();
     for cell in &mut cells {
-        reports.iter().for_each(|r| drop(cell.hear(now, r.clone(), true)));
+        reports.iter().for_each(|r| drop(cell.receive_report(now, r.clone(), true)));
         used.extend(placed(cell, now).into_iter().map(|(_, endpoint)| endpoint));
     }
     assert_eq!(used.len(), 12);
@@ -320,9 +331,9 @@
         let endpoints = [endpoint(0, free)];
         let (mut a, mut b) = (cell("a", &endpoints), cell("b", &endpoints));
         if has_peer {
-            a.hear(now, b.report(now, Extent::Loads), true);
+            a.receive_report(now, b.report(now, ReportDetail::Loads), true);
         }
-        a.arrive(want(0, 100, now - MS * age));
+        a.enqueue(want(0, 100, now - MS * age));
         assert_eq!(a.assign(now).len(), placed, "{free} free, {age} ms, peer: {has_peer}");
     }
 }
@@ -332,14 +343,17 @@
 fn load_on_a_removed_endpoint_is_still_reported() {
     let now = Instant::now();
     let mut a = cell("a", &[endpoint(0, 4)]);
-    a.arrive(want(0, 100, now));
+    a.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut a, now).len(), 1);
     a.set_endpoints([endpoint(2, 4)]);
-    let loads = a.report(now, Extent::Loads).loads;
-    assert_eq!(loads, [Load { endpoint: key("e0"), running: 1, unread: 100 }]);
-    a.arrive(want(0, 100, now));
+    let loads = a.report(now, ReportDetail::Loads).loads;
+    assert_eq!(
+        loads,
+        [EndpointLoad { endpoint: key("e0"), running: 1, pending_prompt_tokens: 100 }]
+    );
+    a.enqueue(want(0, 100, now));
     assert_eq!(placed(&mut a, now)[0].1, "e2", "no further requests");
     a.finish(now, key("e0"), 100, Outcome::Good);
     a.set_endpoints([endpoint(2, 4)]);
-    assert_eq!(a.report(now, Extent::Loads).loads.len(), 1);
+    assert_eq!(a.report(now, ReportDetail::Loads).loads.len(), 1);
 }
--- a/oxbowbend-core/tests/cells/mod.rs
+++ b/oxbowbend-core/tests/cells/mod.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::cell::{Cell, Stall, Ticket, Want};
+use oxbowbend_core::cell::{Cell, PrefillStall, QueuedRequest, Ticket};
 use oxbowbend_core::ids::EndpointKey;
 use oxbowbend_core::routes::Endpoint;
 
@@ -35,16 +35,16 @@
     cell
 }
 
-pub fn want(rank: u16, prompt: u32, arrived: Instant) -> Want {
-    Want {
+pub fn want(rank: u16, prompt: u32, arrived: Instant) -> QueuedRequest {
+    QueuedRequest {
         service: "s".into(),
         rank,
-        prompt,
-        output: 0,
-        stall: Stall::default(),
-        arrived,
+        prompt_tokens: prompt,
+        output_tokens: 0,
+        stall: PrefillStall::default(),
+        arrived_at: arrived,
         objective: 500 * MS,
-        avoid: Vec::new(),
+        excluded_endpoints: Vec::new(),
     }
 }
 
--- a/oxbowbend-core/tests/followers/mod.rs
+++ b/oxbowbend-core/tests/followers/mod.rs
@@ -1,50 +1,51 @@
-//! Instances that follow a store, in virtual time: the store, its outage, and the reports between them.
+//! Simulation of instances that watch a store: the store, an outage, and the reports between
+//! instances.
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::subscription::{Failure, Role, Subscription};
+use oxbowbend_core::subscription::{Role, Subscription, WatchFailure};
 
-/// Steps of virtual time.
+/// Step of simulated time.
 const STEP: Duration = Duration::from_millis(10);
 const INSTANCES: usize = 3;
-/// Time between two reports, as a number of steps.
-const BEAT: u32 = 13;
-/// Time that the store takes for an answer.
-const TAKES: Duration = Duration::from_millis(4);
+/// Steps between two reports.
+const REPORT_STEPS: u32 = 13;
+/// Response time of the store.
+const STORE_LATENCY: Duration = Duration::from_millis(4);
 /// Pause after a change, and after a failure of the store.
-const PAUSE: Duration = Duration::from_millis(120);
-/// Longest time that is played after the outage, in milliseconds.
-const AFTER: i64 = 6000;
-/// Milliseconds before the first outage in which the fleet settles.
-const SETTLES: i64 = 3000;
+const RETRY_PAUSE: Duration = Duration::from_millis(120);
+/// Simulated time after the outage in milliseconds.
+const RUN_AFTER_OUTAGE_MS: i64 = 6000;
+/// Time before the outage in milliseconds.
+const WARM_UP_MS: i64 = 3000;
 
 /// What is lost in an outage.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Silence {
-    /// Calls that come meanwhile; watches that wait go on afterwards.
-    Calls,
-    /// Answers that fall due meanwhile.
-    Answers,
-    Both,
-    /// Nothing: calls are refused, watches cut.
-    Refuses,
+pub enum OutageMode {
+    /// Requests sent during the outage; pending watches continue afterwards.
+    DropRequests,
+    /// Answers sent during the outage.
+    DropAnswers,
+    DropBoth,
+    /// Nothing: requests are refused and pending watches fail.
+    Refuse,
 }
 
-/// An outage of the store; times in milliseconds.
+/// An outage of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    pub begins: i64,
-    pub lasts: i64,
-    pub silence: Silence,
+    pub start_ms: i64,
+    pub duration_ms: i64,
+    pub mode: OutageMode,
 }
 
-/// A watch at the store.
+/// A watch as seen by the store.
 #[derive(Clone, Copy, Debug)]
 struct Watch {
-    began: i64,
-    wait: i64,
-    limit: i64,
-    after: u64,
+    started_ms: i64,
+    wait_ms: i64,
+    timeout_ms: i64,
+    known_version: u64,
     is_lost: bool,
 }
 
@@ -55,171 +56,188 @@
     watch: Option<Watch>,
     paused_until: i64,
     has_store: bool,
-    is_dead: bool,
+    has_crashed: bool,
 }
 
-/// What an instance tells the others.
+/// State that an instance reports to the others.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct ReportedState {
     version: u64,
-    as_of: i64,
+    confirmed_ms: i64,
     has_store: bool,
 }
 
-pub struct Fleet {
-    zero: Instant,
+pub struct Simulation {
+    start: Instant,
     outage: Outage,
-    /// When the first instance dies, and when the configuration changes.
-    dies: Option<i64>,
-    changes: i64,
+    /// When the first instance fails, and when the configuration changes, in milliseconds.
+    crash_ms: Option<i64>,
+    change_ms: i64,
     followers: Vec<Follower>,
-    heard: Vec<Option<Told>>,
+    reports: Vec<Option<ReportedState>>,
 }
 
-impl Fleet {
-    pub fn new(outage: Outage, dies: Option<i64>, changes: i64) -> Fleet {
-        let outage = Outage { begins: outage.begins + SETTLES, ..outage };
-        let zero = Instant::now();
+impl Simulation {
+    pub fn new(outage: Outage, crash_ms: Option<i64>, change_ms: i64) -> Simulation {
+        let outage = Outage { start_ms: outage.start_ms + WARM_UP_MS, ..outage };
+        let start = Instant::now();
         let mut followers: Vec<_> = (0..INSTANCES).map(|_| Follower::default()).collect();
         followers.iter_mut().for_each(|f| {
-            f.subscription.listed(zero);
+            f.subscription.reset(start);
             f.has_store = true;
         });
-        let dies = dies.map(|after| outage.begins + after);
-        let heard = vec![None; INSTANCES];
-        Fleet { zero, outage, dies, changes: changes + SETTLES, followers, heard }
+        let crash_ms = crash_ms.map(|after| outage.start_ms + after);
+        let reports = vec![None; INSTANCES];
+        Simulation {
+            start,
+            outage,
+            crash_ms,
+            change_ms: change_ms + WARM_UP_MS,
+            followers,
+            reports,
+        }
     }
 
-    /// Plays until some time after the outage; fails with what was not in force in time.
-    pub fn play(&mut self, in_force: Duration, contact: Duration) -> Result<(), String> {
-        let ends = self.outage.begins + self.outage.lasts;
-        let acked = if self.is_out(self.changes) { ends } else { self.changes };
-        let due = (acked + millis(in_force)).max(ends + millis(contact));
+    /// Runs the simulation until some time after the outage. Fails if a change is not in force in
+    /// time.
+    pub fn run(&mut self, in_force: Duration, recovery: Duration) -> Result<(), String> {
+        let outage_end = self.outage.start_ms + self.outage.duration_ms;
+        let committed =
+            if self.is_during_outage(self.change_ms) { outage_end } else { self.change_ms };
+        let deadline = (committed + millis(in_force)).max(outage_end + millis(recovery));
         let mut now = 0;
         let mut step = 0;
-        while now < due.max(ends) + AFTER {
-            if self.dies.is_some_and(|at| now >= at) {
-                self.followers[0].is_dead = true;
-                self.heard[0] = None;
+        while now < deadline.max(outage_end) + RUN_AFTER_OUTAGE_MS {
+            if self.crash_ms.is_some_and(|at| now >= at) {
+                self.followers[0].has_crashed = true;
+                self.reports[0] = None;
             }
             (0..INSTANCES).for_each(|n| self.step(n, now, in_force));
-            if step % BEAT == 0 {
-                self.tell(now);
+            if step % REPORT_STEPS == 0 {
+                self.exchange_reports(now);
             }
-            self.check(now, due)?;
+            self.check(now, deadline)?;
             now += millis(STEP);
             step += 1;
         }
         Ok(())
     }
 
-    fn check(&self, now: i64, due: i64) -> Result<(), String> {
-        let alive = self.followers.iter().enumerate().filter(|(_, f)| !f.is_dead);
+    fn check(&self, now: i64, deadline: i64) -> Result<(), String> {
+        let alive = self.followers.iter().enumerate().filter(|(_, f)| !f.has_crashed);
         for (n, follower) in alive {
-            if now >= due && follower.version < self.stored(now) {
+            if now >= deadline && follower.version < self.stored_version(now) {
                 return Err(format!(
-                    "instance {n} does not know it {} ms after its time",
-                    now - due
+                    "instance {n} has not applied the change {} ms after the deadline",
+                    now - deadline
                 ));
             }
         }
         Ok(())
     }
 
-    fn is_out(&self, at: i64) -> bool {
-        (self.outage.begins..self.outage.begins + self.outage.lasts).contains(&at)
+    fn is_during_outage(&self, at: i64) -> bool {
+        (self.outage.start_ms..self.outage.start_ms + self.outage.duration_ms).contains(&at)
     }
 
-    /// Version that the store holds. Changes are made in an outage too.
-    fn stored(&self, at: i64) -> u64 {
-        u64::from(at >= self.changes)
+    /// Version in the store. Changes are also made during an outage.
+    fn stored_version(&self, at: i64) -> u64 {
+        u64::from(at >= self.change_ms)
     }
 
-    fn at(&self, ms: i64) -> Instant {
-        self.zero + Duration::from_millis(ms as u64)
+    fn instant(&self, ms: i64) -> Instant {
+        self.start + Duration::from_millis(ms as u64)
     }
 
     fn role(&self, n: usize, in_force: Duration) -> Role {
-        let before = self.heard[..n].iter().flatten().filter(|t| t.has_store).count();
-        Role::new(before, in_force)
+        let rank = self.reports[..n].iter().flatten().filter(|r| r.has_store).count();
+        Role::new(rank, in_force)
     }
 
     fn step(&mut self, n: usize, now: i64, in_force: Duration) {
-        let (at, role) = (self.at(now), self.role(n, in_force));
-        if self.followers[n].is_dead {
+        let (at, role) = (self.instant(now), self.role(n, in_force));
+        if self.followers[n].has_crashed {
             return;
         }
         if let Some(watch) = self.followers[n].watch {
-            self.wait(n, now, watch);
+            self.advance_watch(n, now, watch);
         }
-        let is_out = self.is_out(now);
+        let is_outage = self.is_during_outage(now);
         let outage = self.outage;
         let follower = &mut self.followers[n];
-        if follower.subscription.give_up(at, role).is_some() {
+        if follower.subscription.check_cancel(at, role).is_some() {
             follower.watch = None;
         }
         if follower.watch.is_some() || now < follower.paused_until {
             return;
         }
-        let call = follower.subscription.begin(at, role);
-        if is_out && outage.silence == Silence::Refuses {
-            follower.fail(now, Failure::Refused);
+        let params = follower.subscription.start_watch(at, role);
+        if is_outage && outage.mode == OutageMode::Refuse {
+            follower.record_failure(now, WatchFailure::Refused);
             return;
         }
-        let is_lost = is_out && matches!(outage.silence, Silence::Calls | Silence::Both);
-        let (wait, limit) = (millis(call.wait), millis(call.limit));
-        let after = follower.version;
-        follower.watch = Some(Watch { began: now, wait, limit, after, is_lost });
+        let is_lost =
+            is_outage && matches!(outage.mode, OutageMode::DropRequests | OutageMode::DropBoth);
+        let (wait_ms, timeout_ms) = (millis(params.wait), millis(params.timeout));
+        let known_version = follower.version;
+        follower.watch =
+            Some(Watch { started_ms: now, wait_ms, timeout_ms, known_version, is_lost });
     }
 
-    /// What becomes of a watch that waits.
-    fn wait(&mut self, n: usize, now: i64, mut watch: Watch) {
-        let (at, stored, is_out) = (self.at(now), self.stored(now), self.is_out(now));
-        let silence = self.outage.silence;
+    /// Advances a pending watch.
+    fn advance_watch(&mut self, n: usize, now: i64, mut watch: Watch) {
+        let (at, stored, is_outage) =
+            (self.instant(now), self.stored_version(now), self.is_during_outage(now));
+        let mode = self.outage.mode;
         let follower = &mut self.followers[n];
-        if is_out && silence == Silence::Refuses {
-            follower.fail(now, Failure::Refused);
+        if is_outage && mode == OutageMode::Refuse {
+            follower.record_failure(now, WatchFailure::Refused);
             return;
         }
-        if now - watch.began >= watch.limit {
-            follower.fail(now, Failure::Unanswered);
+        if now - watch.started_ms >= watch.timeout_ms {
+            follower.record_failure(now, WatchFailure::Unanswered);
             return;
         }
-        let is_due = stored > watch.after || now - watch.began >= watch.wait;
-        if !is_due || watch.is_lost || now - watch.began < millis(TAKES) {
+        let is_complete = stored > watch.known_version || now - watch.started_ms >= watch.wait_ms;
+        if !is_complete || watch.is_lost || now - watch.started_ms < millis(STORE_LATENCY) {
             return;
         }
-        if is_out {
-            watch.is_lost = silence != Silence::Calls;
+        if is_outage {
+            watch.is_lost = mode != OutageMode::DropRequests;
             follower.watch = Some(watch);
             return;
         }
         if stored > follower.version {
-            follower.paused_until = now + millis(PAUSE);
+            follower.paused_until = now + millis(RETRY_PAUSE);
         }
         follower.version = follower.version.max(stored);
         follower.has_store = true;
-        follower.subscription.answered(at);
+        follower.subscription.record_answer(at);
         follower.watch = None;
     }
 
-    /// Everybody tells everybody, and fetches what is newer.
-    fn tell(&mut self, now: i64) {
-        let at = self.at(now);
+    /// Exchanges reports between all instances.
+    fn exchange_reports(&mut self, now: i64) {
+        let at = self.instant(now);
         for n in 0..INSTANCES {
             let follower = &self.followers[n];
-            let age = follower.subscription.told_age(at).filter(|_| !follower.is_dead);
+            let age = follower.subscription.own_age(at).filter(|_| !follower.has_crashed);
             let (version, has_store) = (follower.version, follower.has_store);
-            self.heard[n] = age.map(|age| Told { version, as_of: now - millis(age), has_store });
+            self.reports[n] = age.map(|age| ReportedState {
+                version,
+                confirmed_ms: now - millis(age),
+                has_store,
+            });
         }
         for n in 0..INSTANCES {
-            let others = (0..INSTANCES).filter(|m| *m != n).filter_map(|m| self.heard[m]);
-            let others: Vec<_> = others.map(|told| (told, self.at(told.as_of.max(0)))).collect();
+            let others = (0..INSTANCES).filter(|m| *m != n).filter_map(|m| self.reports[m]);
+            let others: Vec<_> =
+                others.map(|state| (state, self.instant(state.confirmed_ms.max(0)))).collect();
             let follower = &mut self.followers[n];
-            for (told, as_of) in others {
-                if told.version >= follower.version {
-                    let is_same = told.version == follower.version;
-                    follower.subscription.heard(at, as_of, is_same);
+            for (state, confirmed_at) in others {
+                if state.version >= follower.version {
+                    let is_same = state.version == follower.version;
+                    follower.subscription.record_peer(at, confirmed_at, is_same);
                 }
             }
         }
@@ -227,11 +245,11 @@
 }
 
 impl Follower {
-    fn fail(&mut self, now: i64, failure: Failure) {
+    fn record_failure(&mut self, now: i64, failure: WatchFailure) {
         self.watch = None;
-        if self.subscription.failed(failure) {
+        if self.subscription.record_failure(failure) {
             self.has_store = false;
-            self.paused_until = now + millis(PAUSE);
+            self.paused_until = now + millis(RETRY_PAUSE);
         }
     }
 }
--- a/oxbowbend-core/tests/limit_exploration.rs
+++ b/oxbowbend-core/tests/limit_exploration.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, key, want, MS};
-use oxbowbend_core::cell::{Cell, Extent, Outcome, Said, Signals};
+use oxbowbend_core::cell::{Cell, Outcome, ReportDetail, SignalValue, Signals};
 use oxbowbend_core::ids::InstanceId;
 use rand::{Rng, SeedableRng};
 
@@ -137,16 +137,16 @@
     fn send_all(&mut self, n: usize) -> usize {
         let (cell, now) = (&mut self.cells[n], self.now);
         let tickets: Vec<_> =
-            (0..REQUESTS_PER_STEP).map(|_| cell.arrive(want(0, 1, now - 20 * MS))).collect();
+            (0..REQUESTS_PER_STEP).map(|_| cell.enqueue(want(0, 1, now - 20 * MS))).collect();
         let sent = cell.assign(now).len();
-        tickets.into_iter().for_each(|ticket| _ = cell.withdraw(ticket));
+        tickets.into_iter().for_each(|ticket| _ = cell.dequeue(ticket));
         (0..sent).for_each(|_| cell.finish(now, key("e0"), 1, Outcome::Good));
         sent
     }
 
     fn deliver(&mut self, response: &Response) {
         let at = self.now + 100 * MS;
-        let rate_limit = response.limit.map_or(Said::Nothing, Said::Value);
+        let rate_limit = response.limit.map_or(SignalValue::Nothing, SignalValue::Value);
         let signals = Signals { rate_limit, ..Signals::default() };
         self.cells[response.instance].apply_signals(at, key("e0"), response.sent, signals);
         if response.limit.is_some() {
@@ -157,10 +157,10 @@
     fn report(&mut self, event: Event) {
         let at = self.now + 200 * MS;
         for from in 0..INSTANCES {
-            let report = self.cells[from].report(at, Extent::Full);
+            let report = self.cells[from].report(at, ReportDetail::Full);
             for to in (0..INSTANCES).filter(|to| *to != from) {
                 if event != Event::Partition || (from != 0 && to != 0) {
-                    self.cells[to].hear(at + 5 * MS, report.clone(), true);
+                    self.cells[to].receive_report(at + 5 * MS, report.clone(), true);
                 }
             }
         }
--- a/oxbowbend-core/tests/limits.rs
+++ b/oxbowbend-core/tests/limits.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use cells::{cell, endpoint, key, want, MS};
-use oxbowbend_core::cell::{Cell, Extent, Origin, Outcome, Said, Signals};
+use oxbowbend_core::cell::{Cell, Origin, Outcome, ReportDetail, SignalValue, Signals};
 use oxbowbend_core::ids::InstanceId;
 use rand::{Rng, SeedableRng};
 
@@ -27,14 +27,17 @@
 }
 
 fn limit_signal(limit: Option<f64>) -> Signals {
-    Signals { rate_limit: limit.map_or(Said::Nothing, Said::Value), ..Signals::default() }
+    Signals {
+        rate_limit: limit.map_or(SignalValue::Nothing, SignalValue::Value),
+        ..Signals::default()
+    }
 }
 
 /// Sends as many requests as allowed, up to `max_sent`, and returns their number.
 fn send_all(cell: &mut Cell, now: Instant, max_sent: usize) -> usize {
-    let tickets: Vec<_> = (0..max_sent).map(|_| cell.arrive(want(0, 1, now - 20 * MS))).collect();
+    let tickets: Vec<_> = (0..max_sent).map(|_| cell.enqueue(want(0, 1, now - 20 * MS))).collect();
     let sent = cell.assign(now).len();
-    tickets.into_iter().for_each(|ticket| _ = cell.withdraw(ticket));
+    tickets.into_iter().for_each(|ticket| _ = cell.dequeue(ticket));
     (0..sent).for_each(|_| cell.finish(now, key("e0"), 1, Outcome::Good));
     sent
 }
@@ -178,7 +181,7 @@
     }
     let mut cell = instance(0, &names(1));
     cell.apply_signals(at(0), key("e0"), at(0), limit_signal(Some(1.0)));
-    let unreadable = Signals { rate_limit: Said::Unreadable, ..Signals::default() };
+    let unreadable = Signals { rate_limit: SignalValue::Unreadable, ..Signals::default() };
     cell.apply_signals(at(20), key("e0"), at(10), unreadable);
     assert_eq!(cell.limited_count(), 1, "an unreadable limit does not end the known one");
 }
@@ -189,23 +192,23 @@
     let now = Instant::now() + Duration::from_secs(60);
     let (mut a, mut b) = (instance(0, &all), instance(1, &all));
     a.apply_signals(now, key("e0"), now, limit_signal(Some(1.0)));
-    b.hear(now + 50 * MS, a.report(now + 40 * MS, Extent::Changes), true);
+    b.receive_report(now + 50 * MS, a.report(now + 40 * MS, ReportDetail::Changes), true);
     let change = b.take_limit_changes()[0];
     assert_eq!((change.per_s, change.origin, change.age), (Some(1.0), Origin::Cell, 40 * MS));
     // A limit learned from the cell is not reported back to it.
-    assert!(b.report(now + 60 * MS, Extent::Changes).said.limits.is_empty());
+    assert!(b.report(now + 60 * MS, ReportDetail::Changes).endpoint_notices.limits.is_empty());
     assert_eq!(b.signals_for_other_cells(now + 60 * MS).limits.len(), 1);
     b.apply_signals(now + 200 * MS, key("e0"), now + 100 * MS, limit_signal(None));
-    a.hear(now + 250 * MS, b.report(now + 240 * MS, Extent::Changes), true);
+    a.receive_report(now + 250 * MS, b.report(now + 240 * MS, ReportDetail::Changes), true);
     assert_eq!((a.limited_count(), b.limited_count()), (0, 0));
     // An older report does not restore the limit.
-    let mut late = a.report(now + 260 * MS, Extent::Changes);
-    late.said.limits = vec![oxbowbend_core::cell::ReportedLimit {
+    let mut late = a.report(now + 260 * MS, ReportDetail::Changes);
+    late.endpoint_notices.limits = vec![oxbowbend_core::cell::ReportedLimit {
         endpoint: key("e0"),
         per_s: Some(1.0),
         age_ms: 300,
     }];
-    b.hear(now + 270 * MS, late, true);
+    b.receive_report(now + 270 * MS, late, true);
     assert_eq!(b.limited_count(), 0);
 }
 
@@ -215,7 +218,7 @@
     let mut cell = cell("i0", &[endpoint(0, 4), endpoint(2, 4)]);
     cell.apply_signals(now, key("e0"), now, limit_signal(Some(0.5)));
     let later = now + 20 * MS;
-    (0..10).for_each(|_| _ = cell.arrive(want(0, 1, now)));
+    (0..10).for_each(|_| _ = cell.enqueue(want(0, 1, now)));
     let placed = cell.assign(later);
     let at_limited = placed.iter().filter(|a| &*a.endpoint.id == "e0").count();
     assert!(at_limited <= 4, "{at_limited} at once");
@@ -225,7 +228,7 @@
     while !cell.assign(later).is_empty() {
         (0..4).for_each(|_| cell.finish(later, key("e0"), 1, Outcome::Good));
         (0..4).for_each(|_| cell.finish(later, key("e2"), 1, Outcome::Good));
-        (0..10).for_each(|_| _ = cell.arrive(want(0, 1, now)));
+        (0..10).for_each(|_| _ = cell.enqueue(want(0, 1, now)));
     }
     let available_in = cell.available_in(later, &"s".into()).expect("both are throttled");
     assert!(
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::cell::{Cell, Extent, FleetView, Report};
+use oxbowbend_core::cell::{Cell, FleetSummary, Report, ReportDetail};
 use oxbowbend_core::ids::AccountId;
 use oxbowbend_core::quota::{QuotaBounds, Quotas};
 use oxbowbend_core::routes::Quota;
@@ -61,11 +61,11 @@
         let has_begun = self.represents.is_some_and(|at| now - at < BEGINNING);
         let is_full = beat.is_multiple_of(8) || has_begun || now - self.since < 6 * BEAT;
         let quotas = &self.quotas;
-        let view = FleetView {
-            spent: owned(quotas.far_spent()),
-            lately: if has_begun { quotas.far_lately(now) } else { Vec::new() },
-            is_full,
-            ..FleetView::default()
+        let view = FleetSummary {
+            admitted_units: owned(quotas.far_spent()),
+            recent_units: if has_begun { quotas.far_lately(now) } else { Vec::new() },
+            is_complete: is_full,
+            ..FleetSummary::default()
         };
         let (spent, cell_spent) = (owned(quotas.spent()), owned(quotas.cell_spent()));
         let cell_lately = if has_begun { quotas.cell_lately(now) } else { Vec::new() };
@@ -73,33 +73,33 @@
             true => self.quotas.windows(now),
             false => Vec::new(),
         };
-        let extent = if is_full { Extent::Full } else { Extent::Changes };
+        let extent = if is_full { ReportDetail::Full } else { ReportDetail::Changes };
         let report = self.cell.report(now, extent);
         Report {
             is_stopping: self.is_stopping,
             is_representative,
-            spent,
-            fleet: is_representative.then_some(view),
-            cell_spent: if is_representative { cell_spent } else { Vec::new() },
-            cell_lately,
-            is_cell_told: is_full && is_representative,
-            windows,
+            admitted_units: spent,
+            fleet_summary: is_representative.then_some(view),
+            cell_admitted_units: if is_representative { cell_spent } else { Vec::new() },
+            cell_recent_units: cell_lately,
+            has_all_cell_counters: is_full && is_representative,
+            usage_windows: windows,
             ..report
         }
     }
 
     fn hear(&mut self, now: Instant, mut report: Report, is_near: bool) {
-        let windows = std::mem::take(&mut report.windows);
-        let Some(heard) = self.cell.hear(now, report, is_near) else { return };
+        let windows = std::mem::take(&mut report.usage_windows);
+        let Some(heard) = self.cell.receive_report(now, report, is_near) else { return };
         if is_near && now - self.since < Duration::from_secs(1) {
             for (account, window) in &windows {
                 self.quotas.restore_told(now, account, window);
             }
         }
-        for (account, units) in heard.spent.near {
+        for (account, units) in heard.admitted_units.own_cell {
             self.quotas.draw(now, &account, units as f64, true);
         }
-        for (account, units) in heard.spent.far {
+        for (account, units) in heard.admitted_units.other_cells {
             self.quotas.draw(now, &account, units as f64, false);
         }
     }
@@ -150,7 +150,7 @@
                 let is_far = report.is_representative && beat % 2 == 0;
                 if to != from && (is_near || is_far && node.represents.is_some()) {
                     let cell = (from / CELL) as u32;
-                    node.hear(now, Report { cell, ..report.clone() }, is_near);
+                    node.hear(now, Report { cell_index: cell, ..report.clone() }, is_near);
                 }
             }
         }
@@ -203,9 +203,9 @@
     let now = Instant::now();
     let mut me = Cell::new("a".into(), "z".into(), 1);
     let mut other = Cell::new("b".into(), "z".into(), 1);
-    let report = Report { is_stopping: true, ..other.report(now, Extent::Full) };
-    me.hear(now, report, true);
-    assert_eq!(me.measure_reach(now, |_| true).heard, 1);
+    let report = Report { is_stopping: true, ..other.report(now, ReportDetail::Full) };
+    me.receive_report(now, report, true);
+    assert_eq!(me.update_reachability(now, |_| true).reachable, 1);
     let silent = now + Duration::from_millis(1600);
-    assert_eq!(me.measure_reach(silent, |_| true).heard, 0);
+    assert_eq!(me.update_reachability(silent, |_| true).reachable, 0);
 }
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cells::key;
-use oxbowbend_core::cell::{Cell, Outcome, RetryPolicy, Stall, Ticket, Want};
+use oxbowbend_core::cell::{Cell, Outcome, PrefillStall, QueuedRequest, RetryPolicy, Ticket};
 use oxbowbend_core::ids::ServiceId;
 use oxbowbend_core::routes::Endpoint;
 
@@ -27,16 +27,16 @@
     cell
 }
 
-fn want(rank: u16, arrived: Instant) -> Want {
-    Want {
+fn want(rank: u16, arrived: Instant) -> QueuedRequest {
+    QueuedRequest {
         service: "s".into(),
         rank,
-        prompt: 100,
-        output: 0,
-        stall: Stall::default(),
-        arrived,
+        prompt_tokens: 100,
+        output_tokens: 0,
+        stall: PrefillStall::default(),
+        arrived_at: arrived,
         objective: OBJECTIVE,
-        avoid: Vec::new(),
+        excluded_endpoints: Vec::new(),
     }
 }
 
@@ -50,9 +50,9 @@
 
 /// Refuses a request for lack of a free slot and returns its retry delay.
 fn refuse(cell: &mut Cell, now: Instant, rank: u16) -> Duration {
-    let ticket = cell.arrive(want(rank, now));
+    let ticket = cell.enqueue(want(rank, now));
     assert!(cell.assign(now).is_empty(), "there is a free slot");
-    cell.withdraw(ticket);
+    cell.dequeue(ticket);
     cell.refuse(now, &service(), rank, policy(0.0)).delay
 }
 
@@ -60,23 +60,23 @@
 fn starved_rank_keeps_few_waiting_and_sheds_the_rest() {
     let now = Instant::now();
     let mut cell = cell(1);
-    cell.arrive(want(0, now));
+    cell.enqueue(want(0, now));
     assert_eq!(cell.assign(now).len(), 1);
-    let waiting: Vec<Ticket> = (0..3).map(|_| cell.arrive(want(1, now))).collect();
+    let waiting: Vec<Ticket> = (0..3).map(|_| cell.enqueue(want(1, now))).collect();
     // Without recent refusals, all wait.
     assert!(waiting.iter().all(|ticket| !cell.should_shed(now, *ticket)));
     for _ in 0..4 {
         refuse(&mut cell, now, 1);
     }
-    let one_more = cell.arrive(want(1, now));
+    let one_more = cell.enqueue(want(1, now));
     assert!(cell.should_shed(now, one_more));
-    cell.withdraw(one_more);
+    cell.dequeue(one_more);
     // Neither a more urgent request nor one of few waiting ones is shed.
-    let urgent = cell.arrive(want(0, now));
+    let urgent = cell.enqueue(want(0, now));
     assert!(!cell.should_shed(now, urgent));
-    cell.withdraw(urgent);
+    cell.dequeue(urgent);
     for ticket in &waiting[1..] {
-        cell.withdraw(*ticket);
+        cell.dequeue(*ticket);
     }
     assert!(!cell.should_shed(now, waiting[0]));
     // The remaining one gets the released slot.
@@ -88,13 +88,13 @@
 fn refusals_expire_after_a_second() {
     let now = Instant::now();
     let mut cell = cell(1);
-    cell.arrive(want(0, now));
+    cell.enqueue(want(0, now));
     cell.assign(now);
     for _ in 0..4 {
         refuse(&mut cell, now, 1);
     }
     let later = now + 1100 * MS;
-    let waiting: Vec<Ticket> = (0..4).map(|_| cell.arrive(want(1, later))).collect();
+    let waiting: Vec<Ticket> = (0..4).map(|_| cell.enqueue(want(1, later))).collect();
     assert!(!cell.should_shed(later, waiting[3]));
 }
 
@@ -104,7 +104,7 @@
     for (slots, refused, is_early) in [(9, 1, true), (5, 5, true), (2, 8, false), (0, 3, false)] {
         let mut cell = cell(slots);
         for _ in 0..slots {
-            cell.arrive(want(1, now));
+            cell.enqueue(want(1, now));
         }
         assert_eq!(cell.assign(now).len() as u32, slots);
         let delay = (0..refused).map(|_| refuse(&mut cell, now, 1)).last().expect("a refusal");
@@ -128,11 +128,11 @@
 fn earlier_deadline_goes_first_unless_already_missed() {
     let now = Instant::now();
     let mut cell = cell(1);
-    cell.arrive(want(0, now));
+    cell.enqueue(want(0, now));
     cell.assign(now);
-    let fresh = cell.arrive(want(1, now));
-    let retried = cell.arrive(Want { objective: OBJECTIVE - 150 * MS, ..want(1, now) });
-    let late = cell.arrive(Want { objective: Duration::ZERO, ..want(1, now - MS) });
+    let fresh = cell.enqueue(want(1, now));
+    let retried = cell.enqueue(QueuedRequest { objective: OBJECTIVE - 150 * MS, ..want(1, now) });
+    let late = cell.enqueue(QueuedRequest { objective: Duration::ZERO, ..want(1, now - MS) });
     for expected in [retried, fresh, late] {
         cell.finish(now, key("e"), 100, Outcome::Good);
         assert_eq!(cell.assign(now)[0].ticket, expected);
--- a/oxbowbend-core/tests/silence.rs
+++ b/oxbowbend-core/tests/silence.rs
@@ -1,26 +1,26 @@
-//! What an endpoint's silence says of it.
+//! Suspicion of endpoints that do not respond.
 
 use std::time::Duration;
 
-use oxbowbend_core::silence::{self, Silence};
+use oxbowbend_core::silence::{self, TimeoutAction};
 
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn a_request_whose_time_runs_out_first_says_nothing_of_its_endpoint() {
-    // Expected time to the first event, objective, time left, whether it may be repeated.
-    for (expected, objective, left, may_repeat, judged) in [
-        (50, 300, 2000, true, Silence::GivenUp),
-        (50, 300, 2000, false, Silence::Suspected),
-        (50, 300, 300, true, Silence::TimedOut),
-        (50, 300, 200, false, Silence::TimedOut),
-        (600, 300, 2400, false, Silence::TimedOut),
-        (600, 300, 2401, false, Silence::Suspected),
-        (1, 1, 251, true, Silence::GivenUp),
-        (1, 1, 250, true, Silence::TimedOut),
+fn a_request_at_its_deadline_does_not_blame_its_endpoint() {
+    // Expected time to the first event, objective, time left, whether the request can be retried.
+    for (expected, objective, time_left, is_retryable, action) in [
+        (50, 300, 2000, true, TimeoutAction::Retry),
+        (50, 300, 2000, false, TimeoutAction::MarkSuspect),
+        (50, 300, 300, true, TimeoutAction::Fail),
+        (50, 300, 200, false, TimeoutAction::Fail),
+        (600, 300, 2400, false, TimeoutAction::Fail),
+        (600, 300, 2401, false, TimeoutAction::MarkSuspect),
+        (1, 1, 251, true, TimeoutAction::Retry),
+        (1, 1, 250, true, TimeoutAction::Fail),
     ] {
-        let due = silence::due(expected * MS, objective * MS);
-        let case = format!("{expected} {objective} {left} {may_repeat}");
-        assert_eq!(silence::judge(due, left * MS, may_repeat), judged, "{case}");
+        let delay = silence::delay(expected * MS, objective * MS);
+        let case = format!("{expected} {objective} {time_left} {is_retryable}");
+        assert_eq!(silence::timeout_action(delay, time_left * MS, is_retryable), action, "{case}");
     }
 }
--- a/oxbowbend-gateway/src/follow.rs
+++ b/oxbowbend-gateway/src/follow.rs
@@ -15,7 +15,7 @@
 use oxbowbend_clock as clock;
 use oxbowbend_core::cell::Report;
 use oxbowbend_core::ids::{InstanceId, ZoneId};
-use oxbowbend_core::subscription::{Failure, GivenUp};
+use oxbowbend_core::subscription::{CancelReason, WatchFailure};
 use oxbowbend_http::h1;
 use rand::Rng;
 
@@ -136,7 +136,7 @@
     fn gather(&self) -> Duration {
         let state = self.shared.lock();
         let gather = (GATHER.0 * state.instances as u32).min(GATHER.1);
-        if state.group.cells <= 1 {
+        if state.group.cell_count <= 1 {
             gather
         } else {
             gather.min(source::GATHER)
@@ -189,10 +189,10 @@
     /// Notes a watch without an answer; returns whether the store is away.
     fn failed(&self, part: Part, e: &StoreError) -> bool {
         let failure = match e {
-            StoreError::Timeout(_) => Failure::Unanswered,
-            _ => Failure::Refused,
+            StoreError::Timeout(_) => WatchFailure::Unanswered,
+            _ => WatchFailure::Refused,
         };
-        let is_away = self.shared.lock().subscriptions.get(part).failed(failure);
+        let is_away = self.shared.lock().subscriptions.get(part).record_failure(failure);
         if is_away {
             self.lost(e);
         }
@@ -237,7 +237,7 @@
     );
 }
 
-fn log_given_up(part: Part, why: GivenUp, began: Instant) {
+fn log_given_up(part: Part, why: CancelReason, began: Instant) {
     let part = part.name();
     observe::store_call(part, "given_up");
     let waited_ms = clock::since(began).as_millis();
@@ -257,7 +257,7 @@
     let mut state = shared.lock();
     match part {
         None => state.subscriptions.listed(now),
-        Some(part) => state.subscriptions.get(part).answered(now),
+        Some(part) => state.subscriptions.get(part).record_answer(now),
     }
     if part != Some(Part::Config) {
         state.sources.answered(now);
@@ -336,10 +336,11 @@
 fn entry(shared: &Shared, me: &InstanceId, zone: &ZoneId, address: SocketAddr) -> Entry {
     let now = clock::now();
     let mut state = shared.lock();
-    let mine = (Reverse(state.cell.reach()), me);
-    let is_before = |r: &Report| r.has_store && (Reverse(r.reach.unwrap_or(0)), &r.instance) < mine;
+    let mine = (Reverse(state.cell.reachable_count()), me);
+    let is_before =
+        |r: &Report| r.has_store && (Reverse(r.reachable_count.unwrap_or(0)), &r.instance) < mine;
     let (mut used, mut paces) = (Vec::new(), Vec::new());
-    let mut all = state.cell.live_reports(now).chain(state.cell.other_reports(now));
+    let mut all = state.cell.live_reports(now).chain(state.cell.remote_reports(now));
     let is_first = !all.any(is_before);
     drop(all);
     if state.has_store() && is_first {
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -8,7 +8,7 @@
 use http::{request, Request};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
-use oxbowbend_core::cell::Stall;
+use oxbowbend_core::cell::PrefillStall;
 use oxbowbend_core::fingerprint::{fingerprint, Fingerprint};
 use oxbowbend_core::routes::{Account, Route, Table};
 use rand::Rng;
@@ -76,7 +76,7 @@
     /// Nothing can be served yet. Where another instance knows the configuration, this one soon will.
     fn not_ready(&self, now: Instant) -> Refusal {
         let state = self.shared.lock();
-        let come_back = match state.cell.live_reports(now).any(|r| r.version > 0) {
+        let come_back = match state.cell.live_reports(now).any(|r| r.config_version > 0) {
             true => STARTING,
             false => state.world.come_back(now),
         };
@@ -128,9 +128,9 @@
             age.as_millis()
         );
         let tokens_per_event = table.service(&service).map_or(0, |s| s.tokens_per_event);
-        let stall = Stall {
-            tokens: ask.prompt.min(tokens_per_event.saturating_mul(READ_CHUNK)),
-            pause_ms: route.pause.map_or(0, |p| p.as_millis() as u32),
+        let stall = PrefillStall {
+            chunk_tokens: ask.prompt.min(tokens_per_event.saturating_mul(READ_CHUNK)),
+            max_gap_ms: route.pause.map_or(0, |p| p.as_millis() as u32),
         };
         Ok(Job {
             method: head.method,
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -21,7 +21,7 @@
 use http_body_util::{Either, StreamBody};
 use hyper::body::{Frame, Incoming};
 use oxbowbend_clock as clock;
-use oxbowbend_core::cell::{Assignment, Outcome, RetryPolicy, Want};
+use oxbowbend_core::cell::{Assignment, Outcome, QueuedRequest, RetryPolicy};
 use oxbowbend_core::ids::EndpointId;
 use oxbowbend_core::shutdown::Shutdown;
 use oxbowbend_http::h1;
@@ -187,15 +187,15 @@
         if self.shared.lock().cell.available_in(now, &service).is_some_and(|wait| wait > hold) {
             return Err(self.busy(job, true));
         }
-        let waiting = self.shared.arrive(Want {
+        let waiting = self.shared.arrive(QueuedRequest {
             service,
             rank: job.rank,
-            prompt: job.ask.prompt,
-            output: job.ask.output.unwrap_or(0),
+            prompt_tokens: job.ask.prompt,
+            output_tokens: job.ask.output.unwrap_or(0),
             stall: job.stall,
-            arrived: job.arrived,
+            arrived_at: job.arrived,
             objective: job.route.objective.saturating_sub(job.age),
-            avoid: tries.avoid.clone(),
+            excluded_endpoints: tries.avoid.clone(),
         });
         if waiting.should_shed() {
             return Err(self.busy(job, true));
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -11,8 +11,10 @@
 use oxbowbend_core::admission::Admission;
 use oxbowbend_core::ages::Ages;
 use oxbowbend_core::cell::{
-    Assignment, Beyond, Cell, Group, Outcome, Reach, Report, Ticket, Want, REPORT_DELAY,
+    Assignment, Cell, CellLayout, Outcome, QueuedRequest, Reachability, RemoteInstances, Report,
+    Ticket, REPORT_DELAY,
 };
+
 use oxbowbend_core::ids::{AccountId, EndpointKey, InstanceId, ZoneId};
 use oxbowbend_core::quarantine::Quarantine;
 use oxbowbend_core::quota::Note;
@@ -20,7 +22,7 @@
 use oxbowbend_core::rollout::Rollouts;
 use oxbowbend_core::routes::{Endpoint, Table};
 use oxbowbend_core::shutdown::Shutdown;
-use oxbowbend_core::subscription::GivenUp;
+use oxbowbend_core::subscription::CancelReason;
 
 use crate::quarantine::log_changes;
 use crate::source::Sources;
@@ -44,7 +46,7 @@
     pub(crate) shutdown: Option<Shutdown>,
     pub(crate) waiters: HashMap<Ticket, oneshot::Sender<Assignment>>,
     /// This instance's cell.
-    pub(crate) group: Group,
+    pub(crate) group: CellLayout,
     /// From whom this instance learns what the store holds.
     pub(crate) sources: Sources,
     /// How sure this instance is of what it knows of the store, while it follows it.
@@ -71,26 +73,26 @@
         let mut members: BTreeMap<_, _> = BTreeMap::from([(self.me.clone(), self.zone.clone())]);
         let entered = self.world.instances().iter();
         members.extend(entered.map(|(name, e)| (name.clone(), e.zone.clone())));
-        let heard = self.cell.live_reports(now).chain(self.cell.other_reports(now));
+        let heard = self.cell.live_reports(now).chain(self.cell.remote_reports(now));
         members.extend(heard.map(|r| (r.instance.clone(), r.zone.clone())));
         let endpoints = self.endpoints_by_version(now);
         if members == self.members && endpoints == self.endpoints {
             return;
         }
-        let group = Group::of(&self.me, &members, &endpoints, self.cell_size);
-        if group.peers != self.group.peers || group.cells != self.group.cells {
+        let group = CellLayout::compute(&self.me, &members, &endpoints, self.cell_size);
+        if group.peers != self.group.peers || group.cell_count != self.group.cell_count {
             log::info!(
                 "event=cell cells={} peers={} endpoints={} instances={}",
-                group.cells,
+                group.cell_count,
                 group.peers.len(),
                 group.endpoints.len(),
                 members.len()
             );
-            self.cell.set_peers(|name| group.cells <= 1 || group.peers.contains(name));
+            self.cell.set_peers(|name| group.cell_count <= 1 || group.peers.contains(name));
         }
         let all = || members.keys();
         let near = || all().filter(|name| **name == self.me || group.peers.contains(*name));
-        self.cell.set_sharing_instances(near(), all(), group.shared.clone());
+        self.cell.set_sharing_instances(near(), all(), group.shared_services.clone());
         self.cell.set_listed_endpoints(endpoints.iter().map(Endpoint::key));
         if group.endpoints != self.group.endpoints {
             self.cell.set_endpoints(group.endpoints.iter().cloned());
@@ -107,8 +109,8 @@
     /// Chooses the source anew. A fleet of one cell does without: it has too few calls to save.
     pub(crate) fn choose_source(&mut self, now: Instant) {
         let State { cell, group, sources, me, world, .. } = self;
-        let is_peer = |r: &Report| group.cells > 1 && group.peers.contains(&r.instance);
-        let reports = cell.aged_reports(now).filter(|(r, _)| is_peer(r));
+        let is_peer = |r: &Report| group.cell_count > 1 && group.peers.contains(&r.instance);
+        let reports = cell.live_reports_with_age(now).filter(|(r, _)| is_peer(r));
         if !sources.choose(now, me, world.is_store_away(), reports) {
             return;
         }
@@ -122,29 +124,31 @@
     /// the cell.
     pub(crate) fn set_shares(&mut self, now: Instant) {
         let peers = &self.group.peers;
-        let Reach { heard: near, covered } = self.cell.measure_reach(now, |i| peers.contains(i));
+        let Reachability { reachable: near, covered } =
+            self.cell.update_reachability(now, |i| peers.contains(i));
         // In a fleet of several cells sums come from representatives, whoever hears whom in a cell; and while
         // instances do not agree on who belongs to it, each hears somebody whom another does not.
-        let covered = if self.group.cells > 1 { near } else { covered };
+        let covered = if self.group.cell_count > 1 { near } else { covered };
         let share = part(self.heard(now), self.instances.saturating_sub(1));
         self.admission.set_share(share * part(covered, near));
-        self.cell.set_share(part(near, self.group.peers.len()));
+        self.cell.set_visible_share(part(near, self.group.peers.len()));
     }
 
     /// Other instances of the fleet that are heard.
     pub(crate) fn heard(&self, now: Instant) -> usize {
-        self.cell.heard(now) + self.beyond(now).heard as usize
+        self.cell.live_peer_count(now) + self.beyond(now).reachable as usize
     }
 
     /// Instances of other cells that are heard.
-    pub(crate) fn beyond(&self, now: Instant) -> Beyond {
-        match self.group.cells {
-            0 | 1 => Beyond::default(),
+    pub(crate) fn beyond(&self, now: Instant) -> RemoteInstances {
+        match self.group.cell_count {
+            0 | 1 => RemoteInstances::default(),
             _ if self.is_representative(now) => {
-                let all = [self.cell.beyond(now), self.cell.told_beyond(now)];
-                all.into_iter().max_by_key(|beyond| beyond.heard).unwrap_or_default()
+                let all =
+                    [self.cell.remote_instances(now), self.cell.reported_remote_instances(now)];
+                all.into_iter().max_by_key(|beyond| beyond.reachable).unwrap_or_default()
             }
-            _ => self.cell.told_beyond(now),
+            _ => self.cell.reported_remote_instances(now),
         }
     }
 
@@ -171,7 +175,7 @@
         let is_peer = |r: &&Report| self.group.peers.contains(&r.instance);
         let is_stopping = self.shutdown.is_some();
         let goes_before = |r: &Report| (r.is_stopping, &r.instance) < (is_stopping, &self.me);
-        self.group.cells > 1 && !self.cell.live_reports(now).filter(is_peer).any(goes_before)
+        self.group.cell_count > 1 && !self.cell.live_reports(now).filter(is_peer).any(goes_before)
     }
 }
 
@@ -214,7 +218,7 @@
     /// Closed once requests can be served.
     loaded: (channel::Sender<()>, channel::Receiver<()>),
     /// Tells that the watch of a part is given up, by part.
-    pub(crate) given_up: [(channel::Sender<GivenUp>, channel::Receiver<GivenUp>); 2],
+    pub(crate) given_up: [(channel::Sender<CancelReason>, channel::Receiver<CancelReason>); 2],
 }
 
 impl Shared {
@@ -238,7 +242,7 @@
             rollouts,
             shutdown: None,
             waiters: HashMap::new(),
-            group: Group::default(),
+            group: CellLayout::default(),
             sources,
             subscriptions: Subscriptions::default(),
             cell_size,
@@ -349,26 +353,26 @@
     pub(crate) fn hear(&self, now: Instant, mut report: Report) {
         let mut state = self.lock();
         state.hear_of_ends(now, &report.quarantine);
-        let is_near = state.group.cells <= 1 || state.group.peers.contains(&report.instance);
-        let windows = std::mem::take(&mut report.windows);
+        let is_near = state.group.cell_count <= 1 || state.group.peers.contains(&report.instance);
+        let windows = std::mem::take(&mut report.usage_windows);
         state.hear_of_rollouts(now, &report, is_near);
-        let Some(heard) = state.cell.hear(now, report, is_near) else { return };
+        let Some(heard) = state.cell.receive_report(now, report, is_near) else { return };
         state.log_said();
         if is_near && state.is_new(now) {
             for (account, window) in &windows {
                 state.admission.quotas.restore_told(now, account, window);
             }
         }
-        state.draw(now, heard.spent.near, true);
-        state.draw(now, heard.spent.far, false);
-        for (key, n) in heard.evidence.near {
+        state.draw(now, heard.admitted_units.own_cell, true);
+        state.draw(now, heard.admitted_units.other_cells, false);
+        for (key, n) in heard.evidence.own_cell {
             state.rollouts.draw(now, key, n, true);
         }
-        for (key, n) in heard.evidence.far {
+        for (key, n) in heard.evidence.other_cells {
             state.rollouts.draw(now, key, n, false);
         }
         // Without a request that waits, no report gives anybody a place.
-        let has_work = state.cell.waiting() > 0;
+        let has_work = state.cell.waiting_count() > 0;
         drop(state);
         if has_work {
             self.place();
@@ -376,10 +380,10 @@
     }
 
     /// Brings in a request; the ticket gets its place.
-    pub(crate) fn arrive(&self, want: Want) -> Waiting {
+    pub(crate) fn arrive(&self, want: QueuedRequest) -> Waiting {
         let (tx, rx) = oneshot::channel();
         let mut state = self.lock();
-        let ticket = state.cell.arrive(want);
+        let ticket = state.cell.enqueue(want);
         state.waiters.insert(ticket, tx);
         drop(state);
         let waiting = Waiting::new(self.clone(), ticket, rx);
@@ -400,8 +404,8 @@
         let now = clock::now();
         let mut state = self.lock();
         let assignments = state.cell.assign(now);
-        for aside in state.cell.take_news() {
-            let pause = aside.pause.as_millis();
+        for aside in state.cell.take_ejections() {
+            let pause = aside.duration.as_millis();
             log::warn!("event=endpoint_set_aside endpoint={} pause_ms={pause}", aside.endpoint);
         }
         let placed = !assignments.is_empty();
@@ -419,7 +423,7 @@
 
     /// Notes the time to the first event of a run.
     pub(crate) fn began(&self, endpoint: EndpointKey, prompt: u32, backlog: u32, first: Duration) {
-        self.lock().cell.began(clock::now(), endpoint, prompt, backlog, first);
+        self.lock().cell.record_first_event(clock::now(), endpoint, prompt, backlog, first);
     }
 
     /// Ends a run.
--- a/oxbowbend-gateway/src/watches.rs
+++ b/oxbowbend-gateway/src/watches.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::cell::Report;
-use oxbowbend_core::subscription::{Call, GivenUp, Role, Subscription};
+use oxbowbend_core::subscription::{CancelReason, Role, Subscription, WatchParams};
 
 use crate::seam::Part;
 use crate::shared::{Shared, State};
@@ -19,8 +19,8 @@
 impl Subscriptions {
     /// Notes that everything was read anew.
     pub(crate) fn listed(&mut self, now: Instant) {
-        self.config.listed(now);
-        self.endpoints.listed(now);
+        self.config.reset(now);
+        self.endpoints.reset(now);
     }
 
     pub(crate) fn get(&mut self, part: Part) -> &mut Subscription {
@@ -36,25 +36,27 @@
     /// endpoints, and are told of changes later than it; so these are verified more often.
     pub(crate) fn role(&self, now: Instant, part: Part) -> Role {
         let is_before = |r: &&Report| r.has_store && r.instance < self.me;
-        let all = self.cell.live_reports(now).chain(self.cell.other_reports(now));
+        let all = self.cell.live_reports(now).chain(self.cell.remote_reports(now));
         let rank = all.filter(is_before).count();
         let role = Role::new(rank, self.sources.in_force());
         match part {
-            Part::Endpoints if self.group.cells > 1 => Role { every: self.sources.watch(), ..role },
+            Part::Endpoints if self.group.cell_count > 1 => {
+                Role { verify_interval: self.sources.watch(), ..role }
+            }
             _ => role,
         }
     }
 
     /// Gives a watch up that is not to be relied on.
-    fn give_up(&mut self, now: Instant, part: Part) -> Option<GivenUp> {
+    fn give_up(&mut self, now: Instant, part: Part) -> Option<CancelReason> {
         let role = self.role(now, part);
-        self.subscriptions.get(part).give_up(now, role)
+        self.subscriptions.get(part).check_cancel(now, role)
     }
 
     /// Milliseconds since the store last told this instance that there is no newer configuration; none while
     /// it does not follow it.
     pub(crate) fn config_ms(&mut self, now: Instant) -> Option<u32> {
-        let age = self.subscriptions.config.told_age(now).filter(|_| self.sources.is_store())?;
+        let age = self.subscriptions.config.own_age(now).filter(|_| self.sources.is_store())?;
         Some(age.as_millis().min(u32::MAX.into()) as u32)
     }
 
@@ -70,15 +72,16 @@
         let as_of = |ms: u32| now.checked_sub(Duration::from_millis(ms.into()));
         // In another epoch nothing that is known of the store holds, even if it looks the same.
         let is_same_epoch = report.epoch == self.world.epoch();
-        if let Some(as_of) = report.seen_ms.and_then(as_of) {
-            let is_same = report.digest == self.world.digest() && is_same_epoch;
-            self.subscriptions.endpoints.heard(now, as_of, is_same);
+        if let Some(as_of) = report.store_age_ms.and_then(as_of) {
+            let is_same = report.endpoints_digest == self.world.digest() && is_same_epoch;
+            self.subscriptions.endpoints.record_peer(now, as_of, is_same);
         }
         let version = self.world.table().map_or(0, |t| t.version());
-        let as_of = report.config_ms.and_then(as_of).filter(|_| report.version >= version);
+        let as_of =
+            report.config_age_ms.and_then(as_of).filter(|_| report.config_version >= version);
         if let Some(as_of) = as_of {
-            let is_same = report.version == version && is_same_epoch;
-            self.subscriptions.config.heard(now, as_of, is_same);
+            let is_same = report.config_version == version && is_same_epoch;
+            self.subscriptions.config.record_peer(now, as_of, is_same);
         }
     }
 }
@@ -95,16 +98,16 @@
     }
 
     /// Begins a watch of a part.
-    pub(crate) fn begin_watch(&self, now: Instant, part: Part) -> Call {
+    pub(crate) fn begin_watch(&self, now: Instant, part: Part) -> WatchParams {
         // A watch can be answered in the moment in which it is given up.
         let _ = self.given_up[part as usize].1.try_recv();
         let mut state = self.lock();
         let role = state.role(now, part);
-        state.subscriptions.get(part).begin(now, role)
+        state.subscriptions.get(part).start_watch(now, role)
     }
 
     /// Waits until the watch of a part is given up.
-    pub(crate) async fn given_up(&self, part: Part) -> GivenUp {
+    pub(crate) async fn given_up(&self, part: Part) -> CancelReason {
         match self.given_up[part as usize].1.recv().await {
             Ok(why) => why,
             // This instance holds the sender as well.
