--- a/oxbowbend-core/src/message.rs
+++ b/oxbowbend-core/src/message.rs
@@ -130,7 +130,7 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// The whole answer came.
     #[default]
     Complete,
@@ -144,7 +144,8 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RunReport {
     /// How it ended.
-    pub end: RunEnd,
+    #[serde(rename = "end")]
+    pub outcome: RunOutcome,
     /// Milliseconds to the first token, if one came.
     pub first_token_ms: Option<u64>,
     /// Milliseconds from dispatch to the end.
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -279,13 +279,13 @@
         let Some(known) = self.forget(&reference.0) else { return };
         let State::Running { site } = known.state else { return };
         let site = &mut self.sites[site];
-        match report.end {
-            message::RunEnd::Complete => {
+        match report.outcome {
+            message::RunOutcome::Complete => {
                 site.breaker.succeeded();
                 site.speed.learn(now, report);
             }
-            message::RunEnd::Failed => site.breaker.failed(now),
-            message::RunEnd::Cancelled => {}
+            message::RunOutcome::Failed => site.breaker.failed(now),
+            message::RunOutcome::Cancelled => {}
         }
     }
 
--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -48,7 +48,7 @@
 
     /// Learns from a finished run.
     pub fn learn(&mut self, now: Instant, report: &message::RunReport) {
-        if report.end != message::RunEnd::Complete {
+        if report.outcome != message::RunOutcome::Complete {
             return;
         }
         let fresh = report.prompt_tokens.saturating_sub(report.cached_tokens);
--- a/oxbowbend-core/tests/harness/mod.rs
+++ b/oxbowbend-core/tests/harness/mod.rs
@@ -11,7 +11,7 @@
 
 use oxbowbend_core::ids::{InstanceId, RequestId};
 use oxbowbend_core::membership::{InstanceList, Member};
-use oxbowbend_core::message::{Grant, Message, Record, Refusal, RunEnd, RunReport};
+use oxbowbend_core::message::{Grant, Message, Record, Refusal, RunOutcome, RunReport};
 use oxbowbend_core::node::{Action, Event, Node, TICK};
 use oxbowbend_core::topology::Topology;
 
@@ -222,7 +222,7 @@
             if self.now.duration_since(at) < DISPATCH_WITHIN {
                 self.start_run(id.clone(), grant);
             } else {
-                let report = RunReport { end: RunEnd::Failed, ..RunReport::default() };
+                let report = RunReport { outcome: RunOutcome::Failed, ..RunReport::default() };
                 self.feed(id, Event::Requeue { request: grant.request, report });
             }
         }
@@ -365,7 +365,7 @@
     fn finish(&mut self, entry: &InstanceId, request: &RequestId) {
         self.fates.insert(request.clone(), Fate::Done);
         let report = RunReport {
-            end: RunEnd::Complete,
+            outcome: RunOutcome::Complete,
             first_token_ms: Some(10),
             total_ms: 110,
             prompt_tokens: 100,
--- a/oxbowbend-core/tests/properties.rs
+++ b/oxbowbend-core/tests/properties.rs
@@ -6,7 +6,7 @@
 use oxbowbend_core::budget::{Breaker, RetryBudget};
 use oxbowbend_core::cache::{PrefixCache, BLOCK_TOKENS};
 use oxbowbend_core::membership::pick;
-use oxbowbend_core::message::{RunEnd, RunReport};
+use oxbowbend_core::message::{RunOutcome, RunReport};
 use oxbowbend_core::queue::{Item, Queue};
 use oxbowbend_core::speed::Speed;
 use quickcheck::{quickcheck, TestResult};
@@ -130,7 +130,7 @@
         let mut speed = Speed::new(1000.0, 10.0);
         for (first, total, prompt, output) in reports {
             let report = RunReport {
-                end: RunEnd::Complete,
+                outcome: RunOutcome::Complete,
                 first_token_ms: (first % 7 != 0).then_some(u64::from(first)),
                 total_ms: u64::from(total),
                 prompt_tokens: u32::from(prompt),
--- a/oxbowbend-daemon/src/callers/models.rs
+++ b/oxbowbend-daemon/src/callers/models.rs
@@ -337,7 +337,7 @@
     let usage = observed.usage.unwrap_or_default();
     let total = clock::now().saturating_duration_since(flow.granted_at());
     message::RunReport {
-        end: message::RunEnd::Complete,
+        outcome: message::RunOutcome::Complete,
         first_token_ms: observed.first.map(|d| d.as_millis() as u64),
         total_ms: total.as_millis() as u64,
         prompt_tokens: usage.prompt,
--- a/oxbowbend-daemon/src/callers/services.rs
+++ b/oxbowbend-daemon/src/callers/services.rs
@@ -287,7 +287,7 @@
 ) {
     let total = clock::now().saturating_duration_since(flow.granted_at());
     granted.ticket.finish(message::RunReport {
-        end: message::RunEnd::Complete,
+        outcome: message::RunOutcome::Complete,
         total_ms: total.as_millis() as u64,
         output_tokens: 1,
         ..message::RunReport::default()
--- a/oxbowbend-daemon/src/callers/settle.rs
+++ b/oxbowbend-daemon/src/callers/settle.rs
@@ -24,12 +24,12 @@
 
 /// The report of a run that says nothing of its endpoint.
 pub(crate) fn cancelled() -> message::RunReport {
-    message::RunReport { end: message::RunEnd::Cancelled, ..message::RunReport::default() }
+    message::RunReport { outcome: message::RunOutcome::Cancelled, ..message::RunReport::default() }
 }
 
 /// The report of a run that its endpoint failed.
 pub(crate) fn failed() -> message::RunReport {
-    message::RunReport { end: message::RunEnd::Failed, ..message::RunReport::default() }
+    message::RunReport { outcome: message::RunOutcome::Failed, ..message::RunReport::default() }
 }
 
 /// Waits in the background until a run is over, cancelling it if `cancel`, and then ends it.
--- a/oxbowbend-standin/src/experiment/run.rs
+++ b/oxbowbend-standin/src/experiment/run.rs
@@ -252,7 +252,7 @@
     fn happen(&mut self, what: What) {
         match what {
             What::Arrive(n) => self.arrive(n),
-            What::End(n) => self.end(n, message::RunEnd::Complete),
+            What::End(n) => self.end(n, message::RunOutcome::Complete),
             What::Deadline(n) => self.deadline(n),
             What::Tick => {
                 if self.scheduler_up {
@@ -321,12 +321,12 @@
         self.requests[n].begun = Some((self.now, begun));
     }
 
-    fn end(&mut self, n: usize, end: message::RunEnd) {
+    fn end(&mut self, n: usize, outcome: message::RunOutcome) {
         let Some(engine) = self.requests[n].engine.take() else { return };
-        let report = self.run_report(n, end);
+        let report = self.run_report(n, outcome);
         let next = self.engines[engine].end(n, &mut self.processed);
         self.note_begun(next);
-        let useful = end == message::RunEnd::Complete && !self.requests[n].over;
+        let useful = outcome == message::RunOutcome::Complete && !self.requests[n].over;
         if let Some((_, begun)) = &self.requests[n].begun {
             if !useful {
                 self.wasted += u64::from(begun.prefilled);
@@ -341,12 +341,12 @@
         self.carry_out(verdicts);
     }
 
-    fn run_report(&self, n: usize, end: message::RunEnd) -> message::RunReport {
+    fn run_report(&self, n: usize, outcome: message::RunOutcome) -> message::RunReport {
         let Some((at, begun)) = &self.requests[n].begun else {
-            return message::RunReport { end, ..message::RunReport::default() };
+            return message::RunReport { outcome, ..message::RunReport::default() };
         };
         message::RunReport {
-            end,
+            outcome,
             first_token_ms: Some((begun.first * 1000.0) as u64),
             total_ms: ((self.now - at) * 1000.0) as u64,
             prompt_tokens: begun.prefilled + begun.cached,
@@ -361,7 +361,7 @@
             return;
         }
         if self.requests[n].engine.is_some() {
-            self.end(n, message::RunEnd::Cancelled);
+            self.end(n, message::RunOutcome::Cancelled);
         } else {
             self.requests[n].over = true;
         }
@@ -384,7 +384,7 @@
             let lost = self.engines[engine].kill();
             self.policy.gone(engine);
             for n in lost {
-                self.end(n, message::RunEnd::Failed);
+                self.end(n, message::RunOutcome::Failed);
             }
         }
     }
