--- a/oxbowbend-core/src/entry.rs
+++ b/oxbowbend-core/src/entry.rs
@@ -111,7 +111,7 @@
         if let Some(floor) = side.floor.filter(|f| record.tier > f.keep) {
             let retry_after = floor.heard + FLOOR_KEEP;
             let wait = retry_after.saturating_duration_since(now);
-            out.push(node::Action::refuse(record.id, message::Refusal::Shed, wait));
+            out.push(node::Action::refuse(record.id, message::RefusalReason::Shed, wait));
             return;
         }
         let due = now + Duration::from_millis(record.due_in_ms);
@@ -291,7 +291,7 @@
     pub fn refused(
         &mut self,
         reference: &message::GrantRef,
-        reason: message::Refusal,
+        reason: message::RefusalReason,
         retry_after: Duration,
         out: &mut Vec<node::Action>,
     ) {
@@ -431,7 +431,7 @@
         };
         for id in self.select(below) {
             self.drop_waiting(&id, out);
-            out.push(node::Action::refuse(id, message::Refusal::Shed, FLOOR_KEEP));
+            out.push(node::Action::refuse(id, message::RefusalReason::Shed, FLOOR_KEEP));
         }
     }
 
@@ -442,7 +442,7 @@
         let below = |r: &Request| r.record.tier > 0 && r.state == State::Waiting;
         for id in self.select(below) {
             self.drop_waiting(&id, out);
-            out.push(node::Action::refuse(id, message::Refusal::Unavailable, DROPPED_RETRY));
+            out.push(node::Action::refuse(id, message::RefusalReason::Unavailable, DROPPED_RETRY));
         }
     }
 
@@ -465,7 +465,7 @@
         let overdue = |r: &Request| r.state == State::Waiting && r.due <= now;
         for id in self.select(overdue) {
             self.drop_waiting(&id, out);
-            out.push(node::Action::refuse(id, message::Refusal::Deadline, Duration::ZERO));
+            out.push(node::Action::refuse(id, message::RefusalReason::Deadline, Duration::ZERO));
         }
     }
 
--- a/oxbowbend-core/src/message.rs
+++ b/oxbowbend-core/src/message.rs
@@ -119,7 +119,7 @@
 
 /// Why a request was refused before it ran.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Refusal {
+pub enum RefusalReason {
     /// The pool is full and nothing of a lower tier is kept.
     Shed,
     /// The deadline cannot be met.
@@ -271,7 +271,7 @@
         /// Its attempt.
         attempt: ids::Attempt,
         /// Why.
-        reason: Refusal,
+        reason: RefusalReason,
         /// Milliseconds after which to come back.
         retry_after_ms: u64,
     },
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -113,7 +113,7 @@
         /// The request.
         request: ids::RequestId,
         /// Why.
-        reason: message::Refusal,
+        reason: message::RefusalReason,
         /// When to come back.
         retry_after: Duration,
     },
@@ -135,7 +135,7 @@
 
     pub(crate) fn refuse(
         request: ids::RequestId,
-        reason: message::Refusal,
+        reason: message::RefusalReason,
         retry_after: Duration,
     ) -> Action {
         Action::Refuse { request, reason, retry_after }
--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -53,7 +53,7 @@
             }
             self.deadlines.pop_first();
             if known.state == State::Queued {
-                self.refuse(now, &id, message::Refusal::Deadline, out);
+                self.refuse(now, &id, message::RefusalReason::Deadline, out);
             }
         }
     }
@@ -76,7 +76,7 @@
         &mut self,
         now: Instant,
         id: &ids::RequestId,
-        reason: message::Refusal,
+        reason: message::RefusalReason,
         out: &mut Vec<node::Action>,
     ) {
         let retry_after_ms = self.retry_after().as_millis() as u64;
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -32,7 +32,7 @@
     Queued,
     Asked { site: usize, owner: ids::InstanceId, ask: u64, at: Instant },
     Running { site: usize },
-    Refused { reason: message::Refusal, retry_after_ms: u64, at: Instant },
+    Refused { reason: message::RefusalReason, retry_after_ms: u64, at: Instant },
 }
 
 #[derive(Clone, Debug)]
--- a/oxbowbend-core/src/scheduler/shed.rs
+++ b/oxbowbend-core/src/scheduler/shed.rs
@@ -28,7 +28,7 @@
             if !directory.is_lowest(tier) && !self.floor_holds(now, tier, directory, out) {
                 return;
             }
-            self.refuse(now, &id, message::Refusal::Shed, out);
+            self.refuse(now, &id, message::RefusalReason::Shed, out);
         }
         let low = (self.queue_bound as f64 * FLOOR_LIFT) as usize;
         if self.floor.is_some() && self.queue.len() <= low {
--- a/oxbowbend-core/tests/harness/mod.rs
+++ b/oxbowbend-core/tests/harness/mod.rs
@@ -11,7 +11,7 @@
 
 use oxbowbend_core::ids::{InstanceId, RequestId};
 use oxbowbend_core::membership::{InstanceList, Member};
-use oxbowbend_core::message::{Grant, Message, Record, Refusal, RunOutcome, RunReport};
+use oxbowbend_core::message::{Grant, Message, Record, RefusalReason, RunOutcome, RunReport};
 use oxbowbend_core::node::{Action, Event, Node, TICK};
 use oxbowbend_core::topology::Topology;
 
@@ -35,7 +35,7 @@
 pub enum Fate {
     Open,
     Done,
-    Refused(Refusal),
+    Refused(RefusalReason),
     /// Its entry instance died.
     Lost,
 }
@@ -335,13 +335,13 @@
         }
     }
 
-    fn refused(&mut self, request: &RequestId, reason: Refusal) {
+    fn refused(&mut self, request: &RequestId, reason: RefusalReason) {
         let (_, record) = self.records[request].clone();
         if self.runs.contains_key(request) {
             self.broken.push(format!("{request} was refused though it ran"));
         }
         self.fates.insert(request.clone(), Fate::Refused(reason));
-        if reason == Refusal::Shed {
+        if reason == RefusalReason::Shed {
             self.check_shed(request, record.tier);
         }
     }
--- a/oxbowbend-daemon/src/callers/flow.rs
+++ b/oxbowbend-daemon/src/callers/flow.rs
@@ -257,18 +257,18 @@
     problem.detail("no endpoint can serve this at present").retry_after(COME_BACK)
 }
 
-fn refusal(reason: message::Refusal, retry_after: Duration) -> problem::Problem {
+fn refusal(reason: message::RefusalReason, retry_after: Duration) -> problem::Problem {
     let problem = match reason {
-        message::Refusal::Shed => {
+        message::RefusalReason::Shed => {
             let problem = problem::Problem::new(StatusCode::TooManyRequests, "shed");
             problem.detail("more work waits than can be served in time")
         }
-        message::Refusal::Deadline => {
+        message::RefusalReason::Deadline => {
             let problem =
                 problem::Problem::new(StatusCode::GatewayTimeout, "the deadline cannot be met");
             problem.detail("the answer would come too late")
         }
-        message::Refusal::Unavailable => return unavailable(),
+        message::RefusalReason::Unavailable => return unavailable(),
     };
     problem.retry_after(retry_after)
 }
--- a/oxbowbend-daemon/src/hub.rs
+++ b/oxbowbend-daemon/src/hub.rs
@@ -30,7 +30,7 @@
     /// Give the caller its final answer.
     Refuse {
         /// Why.
-        reason: message::Refusal,
+        reason: message::RefusalReason,
         /// When to come back.
         retry_after: std::time::Duration,
     },
@@ -157,7 +157,7 @@
         match self.decisions.recv().await {
             Ok(decision) => decision,
             Err(_) => Decision::Refuse {
-                reason: message::Refusal::Unavailable,
+                reason: message::RefusalReason::Unavailable,
                 retry_after: std::time::Duration::from_secs(1),
             },
         }
