--- a/oxbowbend-core/src/entry.rs
+++ b/oxbowbend-core/src/entry.rs
@@ -217,13 +217,8 @@
     }
 
     /// Makes every grant of an attempt void and asks for a new one.
-    pub fn void(
-        &mut self,
-        now: Instant,
-        reference: &message::GrantRef,
-        out: &mut Vec<node::Action>,
-    ) {
-        let (id, attempt) = reference;
+    pub fn void(&mut self, now: Instant, grant_id: &message::GrantId, out: &mut Vec<node::Action>) {
+        let (id, attempt) = grant_id;
         let waiting = self
             .requests
             .get(id)
@@ -290,12 +285,12 @@
     /// Carries out a scheduler's refusal, unless the request has moved on.
     pub fn refused(
         &mut self,
-        reference: &message::GrantRef,
+        grant_id: &message::GrantId,
         reason: message::RefusalReason,
         retry_after: Duration,
         out: &mut Vec<node::Action>,
     ) {
-        let (id, attempt) = reference;
+        let (id, attempt) = grant_id;
         let current = self
             .requests
             .get(id)
@@ -488,8 +483,8 @@
 
 fn permit_use(grant: &message::Grant, hop: &message::Hop) -> Option<message::PermitUse> {
     let permit = message::Permit { key: hop.key.clone(), index: hop.index? };
-    let reference = (grant.request.clone(), grant.attempt);
-    Some(message::PermitUse { permit, grant: reference, endpoint: grant.endpoint.clone() })
+    let grant_id = (grant.request.clone(), grant.attempt);
+    Some(message::PermitUse { permit, grant: grant_id, endpoint: grant.endpoint.clone() })
 }
 
 fn send_to(to: &Option<ids::InstanceId>, message: message::Message, out: &mut Vec<node::Action>) {
--- a/oxbowbend-core/src/message.rs
+++ b/oxbowbend-core/src/message.rs
@@ -159,7 +159,7 @@
 }
 
 /// The grant of one attempt of a request.
-pub type GrantRef = (ids::RequestId, ids::Attempt);
+pub type GrantId = (ids::RequestId, ids::Attempt);
 
 /// A permit and the grant that uses it, or may use it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -167,7 +167,7 @@
     /// The permit.
     pub permit: Permit,
     /// The grant.
-    pub grant: GrantRef,
+    pub grant: GrantId,
     /// Endpoint at which the request runs.
     pub endpoint: ids::EndpointId,
 }
@@ -262,7 +262,7 @@
     /// Entry to owner: these are used.
     Used {
         /// The grants.
-        grants: Vec<GrantRef>,
+        grants: Vec<GrantId>,
     },
     /// Scheduler to entry: give the caller its final answer.
     Refuse {
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -91,7 +91,7 @@
         asked_at: Instant,
     },
     /// An orphaned run is known to be over, or never to have reached its endpoint.
-    RunOver(message::GrantRef),
+    RunOver(message::GrantId),
     /// The instance is stopping.
     Drain,
 }
@@ -122,7 +122,7 @@
         /// The endpoint.
         endpoint: ids::EndpointId,
         /// The run.
-        grant: message::GrantRef,
+        grant: message::GrantId,
     },
     /// Ask an endpoint for its load.
     AskLoad(ids::EndpointId),
--- a/oxbowbend-core/src/permits/mod.rs
+++ b/oxbowbend-core/src/permits/mod.rs
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug)]
 pub struct Permits {
     shares: BTreeMap<message::PermitKey, Share>,
-    by_request: HashMap<message::GrantRef, Vec<message::Permit>>,
+    by_request: HashMap<message::GrantId, Vec<message::Permit>>,
     claim: Option<PendingClaim>,
     next_nonce: u64,
     cleared: HashSet<message::Permit>,
@@ -110,8 +110,8 @@
         key: &message::PermitKey,
         grant: &message::Grant,
     ) -> Option<u32> {
-        let reference = (grant.request.clone(), grant.attempt);
-        if let Some(index) = self.reserved(&reference, key) {
+        let grant_id = (grant.request.clone(), grant.attempt);
+        if let Some(index) = self.reserved(&grant_id, key) {
             return Some(index);
         }
         let share = self.shares.get_mut(key)?;
@@ -126,24 +126,24 @@
         };
         share.holds.insert(index, Hold::Used(used));
         let permit = message::Permit { key: key.clone(), index };
-        self.by_request.entry(reference).or_default().push(permit);
+        self.by_request.entry(grant_id).or_default().push(permit);
         self.note_change(key);
         Some(index)
     }
 
-    fn reserved(&self, reference: &message::GrantRef, key: &message::PermitKey) -> Option<u32> {
-        let permits = self.by_request.get(reference)?;
+    fn reserved(&self, grant_id: &message::GrantId, key: &message::PermitKey) -> Option<u32> {
+        let permits = self.by_request.get(grant_id)?;
         permits.iter().find(|p| p.key == *key).map(|p| p.index)
     }
 
     /// Frees the permits that a grant holds here; `key` restricts it to one.
-    pub fn release(&mut self, reference: &message::GrantRef, key: Option<&message::PermitKey>) {
-        let Some(permits) = self.by_request.get_mut(reference) else { return };
+    pub fn release(&mut self, grant_id: &message::GrantId, key: Option<&message::PermitKey>) {
+        let Some(permits) = self.by_request.get_mut(grant_id) else { return };
         let wanted = |p: &message::Permit| key.is_none_or(|k| *k == p.key);
         let freed: Vec<message::Permit> = permits.iter().filter(|p| wanted(p)).cloned().collect();
         permits.retain(|p| !wanted(p));
         if permits.is_empty() {
-            self.by_request.remove(reference);
+            self.by_request.remove(grant_id);
         }
         freed.iter().for_each(|p| self.set_free(p));
     }
@@ -229,9 +229,9 @@
     }
 
     /// An entry instance has confirmed that it uses grants.
-    pub fn confirm(&mut self, now: Instant, grants: &[message::GrantRef]) {
-        for reference in grants {
-            let Some(permits) = self.by_request.get(reference) else { continue };
+    pub fn confirm(&mut self, now: Instant, grants: &[message::GrantId]) {
+        for grant_id in grants {
+            let Some(permits) = self.by_request.get(grant_id) else { continue };
             for p in permits {
                 let hold = self.shares.get_mut(&p.key).and_then(|s| s.holds.get_mut(&p.index));
                 if let Some(Hold::Used(used)) = hold {
@@ -256,7 +256,7 @@
     }
 
     /// Runs whose entry instance is gone, to be asked about at their endpoints.
-    pub fn orphans(&self) -> Vec<(ids::EndpointId, message::GrantRef)> {
+    pub fn orphans(&self) -> Vec<(ids::EndpointId, message::GrantId)> {
         let orphaned = self.uses().filter(|(_, u)| u.orphaned.is_some());
         let mut runs: Vec<_> =
             orphaned.map(|(_, u)| (u.endpoint.clone(), (u.request.clone(), u.attempt))).collect();
@@ -334,9 +334,9 @@
                 }
             }
         }
-        for (permit, reference) in freed {
-            match reference {
-                Some(reference) => self.release(&reference, None),
+        for (permit, grant_id) in freed {
+            match grant_id {
+                Some(grant_id) => self.release(&grant_id, None),
                 None => self.set_free(&permit),
             }
         }
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -240,43 +240,38 @@
     }
 
     /// The entry gives a waiting request up.
-    pub fn withdraw(&mut self, reference: &message::GrantRef) {
-        if self.is_current(reference) {
-            self.forget(&reference.0);
+    pub fn withdraw(&mut self, grant_id: &message::GrantId) {
+        if self.is_current(grant_id) {
+            self.forget(&grant_id.0);
         }
     }
 
-    fn is_current(&self, (id, attempt): &message::GrantRef) -> bool {
+    fn is_current(&self, (id, attempt): &message::GrantId) -> bool {
         self.requests.get(id).is_some_and(|k| k.record.attempt == *attempt)
     }
 
     /// The entry has accepted a grant.
-    pub fn taken(&mut self, reference: &message::GrantRef) {
-        if !self.is_current(reference) {
+    pub fn taken(&mut self, grant_id: &message::GrantId) {
+        if !self.is_current(grant_id) {
             return;
         }
-        let Some(known) = self.requests.get(&reference.0).cloned() else { return };
+        let Some(known) = self.requests.get(&grant_id.0).cloned() else { return };
         let State::Asked { site, at, .. } = known.state else { return };
         self.unanswered.remove(&(at, known.record.id.clone()));
         self.deadlines.remove(&(known.due, known.record.id.clone()));
         self.mirror(&known.entry, &known.record, false);
         self.mirror(&known.entry, &known.record, true);
-        if let Some(k) = self.requests.get_mut(&reference.0) {
+        if let Some(k) = self.requests.get_mut(&grant_id.0) {
             k.state = State::Running { site };
         }
     }
 
     /// A run has ended; the endpoint's speed is learned from it.
-    pub fn done(
-        &mut self,
-        now: Instant,
-        reference: &message::GrantRef,
-        report: &message::RunReport,
-    ) {
-        if !self.is_current(reference) {
+    pub fn done(&mut self, now: Instant, grant_id: &message::GrantId, report: &message::RunReport) {
+        if !self.is_current(grant_id) {
             return;
         }
-        let Some(known) = self.forget(&reference.0) else { return };
+        let Some(known) = self.forget(&grant_id.0) else { return };
         let State::Running { site } = known.state else { return };
         let site = &mut self.sites[site];
         match report.outcome {
@@ -365,8 +360,8 @@
 
     /// An owner had no permit to give; the request goes back into the queue.
     pub fn denied(&mut self, now: Instant, grant: &message::Grant, key: &message::PermitKey) {
-        let reference = (grant.request.clone(), grant.attempt);
-        if !self.is_current(&reference) {
+        let grant_id = (grant.request.clone(), grant.attempt);
+        if !self.is_current(&grant_id) {
             return;
         }
         let Some(known) = self.requests.get(&grant.request) else { return };
--- a/oxbowbend-daemon/src/hub.rs
+++ b/oxbowbend-daemon/src/hub.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Question {
     /// Whether a run is over.
-    Run(oxbowbend_core::ids::EndpointId, message::GrantRef),
+    Run(oxbowbend_core::ids::EndpointId, message::GrantId),
     /// How many requests it has.
     Load(oxbowbend_core::ids::EndpointId),
 }
--- a/oxbowbend-daemon/src/probes.rs
+++ b/oxbowbend-daemon/src/probes.rs
@@ -54,7 +54,7 @@
     hub: &hub::Hub,
     client: &client::Client,
     address: SocketAddr,
-    grant: message::GrantRef,
+    grant: message::GrantId,
 ) {
     if is_over(client, address, &grant.0).await {
         hub.feed(node::Event::RunOver(grant));
