--- a/oxbowbend-core/src/entry.rs
+++ b/oxbowbend-core/src/entry.rs
@@ -29,19 +29,19 @@
 
 #[derive(Clone, Debug)]
 struct Request {
-    record: message::Record,
+    info: message::RequestInfo,
     due: Instant,
     state: State,
 }
 
 impl Request {
-    fn record_at(&self, now: Instant) -> message::Record {
+    fn info_at(&self, now: Instant) -> message::RequestInfo {
         let due_in_ms = self.due.saturating_duration_since(now).as_millis() as u64;
-        message::Record { due_in_ms, ..self.record.clone() }
+        message::RequestInfo { due_in_ms, ..self.info.clone() }
     }
 
     fn fingerprint(&self) -> u64 {
-        fingerprint(&self.record.id, self.record.attempt, self.state != State::Waiting)
+        fingerprint(&self.info.id, self.info.attempt, self.state != State::Waiting)
     }
 }
 
@@ -102,24 +102,29 @@
 
     /// The attempt that a held request is at.
     pub fn attempt(&self, id: &str) -> Option<ids::Attempt> {
-        self.requests.get(id).map(|r| r.record.attempt)
+        self.requests.get(id).map(|r| r.info.attempt)
     }
 
     /// Takes in a caller's request.
-    pub fn arrive(&mut self, now: Instant, record: message::Record, out: &mut Vec<node::Action>) {
-        let side = self.pools.entry(record.pool.clone()).or_default();
-        if let Some(floor) = side.floor.filter(|f| record.tier > f.keep) {
+    pub fn arrive(
+        &mut self,
+        now: Instant,
+        info: message::RequestInfo,
+        out: &mut Vec<node::Action>,
+    ) {
+        let side = self.pools.entry(info.pool.clone()).or_default();
+        if let Some(floor) = side.floor.filter(|f| info.tier > f.keep) {
             let retry_after = floor.heard + FLOOR_KEEP;
             let wait = retry_after.saturating_duration_since(now);
-            out.push(node::Action::refuse(record.id, message::RefusalReason::Shed, wait));
+            out.push(node::Action::refuse(info.id, message::RefusalReason::Shed, wait));
             return;
         }
-        let due = now + Duration::from_millis(record.due_in_ms);
-        let request = Request { record, due, state: State::Waiting };
+        let due = now + Duration::from_millis(info.due_in_ms);
+        let request = Request { info, due, state: State::Waiting };
         side.digest ^= request.fingerprint();
         side.requests += 1;
-        send_to(&side.scheduler, message::Message::Enqueue(request.record.clone()), out);
-        self.requests.insert(request.record.id.clone(), request);
+        send_to(&side.scheduler, message::Message::Enqueue(request.info.clone()), out);
+        self.requests.insert(request.info.id.clone(), request);
     }
 
     /// Gives up on a waiting request at the caller's wish; says whether it was still waiting.
@@ -132,16 +137,16 @@
 
     fn drop_waiting(&mut self, id: &str, out: &mut Vec<node::Action>) -> Option<Request> {
         let request = self.take(id)?;
-        let record = &request.record;
-        let (pool, attempt) = (record.pool.clone(), record.attempt);
-        let message = message::Message::Withdraw { pool, request: record.id.clone(), attempt };
-        send_to(&self.pools.get(&record.pool)?.scheduler, message, out);
+        let info = &request.info;
+        let (pool, attempt) = (info.pool.clone(), info.attempt);
+        let message = message::Message::Withdraw { pool, request: info.id.clone(), attempt };
+        send_to(&self.pools.get(&info.pool)?.scheduler, message, out);
         Some(request)
     }
 
     fn take(&mut self, id: &str) -> Option<Request> {
         let request = self.requests.remove(id)?;
-        if let Some(side) = self.pools.get_mut(&request.record.pool) {
+        if let Some(side) = self.pools.get_mut(&request.info.pool) {
             side.digest ^= request.fingerprint();
             side.requests -= 1;
         }
@@ -153,7 +158,7 @@
         let before = request.fingerprint();
         change(request);
         let after = request.fingerprint();
-        if let Some(side) = self.pools.get_mut(&request.record.pool) {
+        if let Some(side) = self.pools.get_mut(&request.info.pool) {
             side.digest ^= before ^ after;
         }
     }
@@ -165,12 +170,12 @@
     /// tick, not at once: what makes it invalid, such as an outdated list, would still be there.
     pub fn granted(&mut self, grant: message::Grant, valid: bool, out: &mut Vec<node::Action>) {
         let state = self.requests.get(&grant.request);
-        let current = state.filter(|r| r.record.attempt == grant.attempt);
+        let current = state.filter(|r| r.info.attempt == grant.attempt);
         match current.map(|r| &r.state) {
             Some(State::Running(taken)) if *taken == grant => self.confirm(&grant, out),
             Some(State::Waiting) if valid => self.accept(grant, out),
             Some(State::Waiting) => {
-                self.change(&grant.request, |r| r.record.attempt += 1);
+                self.change(&grant.request, |r| r.info.attempt += 1);
                 self.enqueue_later.insert(grant.request.clone());
                 self.give_back(&grant, out);
             }
@@ -222,9 +227,9 @@
         let waiting = self
             .requests
             .get(id)
-            .is_some_and(|r| r.state == State::Waiting && r.record.attempt == *attempt);
+            .is_some_and(|r| r.state == State::Waiting && r.info.attempt == *attempt);
         if waiting {
-            self.change(id, |r| r.record.attempt += 1);
+            self.change(id, |r| r.info.attempt += 1);
             self.enqueue_again(now, id, out);
         }
     }
@@ -232,8 +237,8 @@
     fn enqueue_again(&self, now: Instant, id: &str, out: &mut Vec<node::Action>) {
         let waiting = |r: &&Request| r.state == State::Waiting;
         let Some(request) = self.requests.get(id).filter(waiting) else { return };
-        let Some(side) = self.pools.get(&request.record.pool) else { return };
-        send_to(&side.scheduler, message::Message::Enqueue(request.record_at(now)), out);
+        let Some(side) = self.pools.get(&request.info.pool) else { return };
+        send_to(&side.scheduler, message::Message::Enqueue(request.info_at(now)), out);
     }
 
     /// Ends a run and gives its permits back.
@@ -261,7 +266,7 @@
         self.end_run(&grant, report, out);
         self.change(id, |r| {
             r.state = State::Waiting;
-            r.record.attempt += 1;
+            r.info.attempt += 1;
         });
         self.enqueue_again(now, id, out);
     }
@@ -294,7 +299,7 @@
         let current = self
             .requests
             .get(id)
-            .is_some_and(|r| r.state == State::Waiting && r.record.attempt == *attempt);
+            .is_some_and(|r| r.state == State::Waiting && r.info.attempt == *attempt);
         if current && self.drop_waiting(id, out).is_some() {
             out.push(node::Action::refuse(id.clone(), reason, retry_after));
         }
@@ -390,10 +395,10 @@
         let Some(side) = self.pools.get(pool) else { return };
         let mut waiting = Vec::new();
         let mut running = Vec::new();
-        for request in self.requests.values().filter(|r| r.record.pool == *pool) {
+        for request in self.requests.values().filter(|r| r.info.pool == *pool) {
             match &request.state {
-                State::Waiting => waiting.push(request.record_at(now)),
-                State::Running(g) => running.push((request.record_at(now), g.endpoint.clone())),
+                State::Waiting => waiting.push(request.info_at(now)),
+                State::Running(g) => running.push((request.info_at(now), g.endpoint.clone())),
             }
         }
         waiting.sort_by(|a, b| a.id.cmp(&b.id));
@@ -421,9 +426,8 @@
         }
         side.floor = keep.map(|keep| Floor { seq, keep, heard: now });
         let Some(keep) = keep else { return };
-        let below = |r: &Request| {
-            r.record.pool == *pool && r.record.tier > keep && r.state == State::Waiting
-        };
+        let below =
+            |r: &Request| r.info.pool == *pool && r.info.tier > keep && r.state == State::Waiting;
         for id in self.select(below) {
             self.drop_waiting(&id, out);
             out.push(node::Action::refuse(id, message::RefusalReason::Shed, FLOOR_KEEP));
@@ -434,7 +438,7 @@
     /// may have shed higher tiers since. All but the highest tier is given up, as it would have
     /// been had the instance died.
     pub fn dropped(&mut self, out: &mut Vec<node::Action>) {
-        let below = |r: &Request| r.record.tier > 0 && r.state == State::Waiting;
+        let below = |r: &Request| r.info.tier > 0 && r.state == State::Waiting;
         for id in self.select(below) {
             self.drop_waiting(&id, out);
             out.push(node::Action::refuse(id, message::RefusalReason::Unavailable, DROPPED_RETRY));
@@ -444,7 +448,7 @@
     /// Ids of the requests that match, in a fixed order.
     fn select(&self, matches: impl Fn(&Request) -> bool) -> Vec<ids::RequestId> {
         let matching = self.requests.values().filter(|r| matches(r));
-        let mut ids: Vec<ids::RequestId> = matching.map(|r| r.record.id.clone()).collect();
+        let mut ids: Vec<ids::RequestId> = matching.map(|r| r.info.id.clone()).collect();
         ids.sort();
         ids
     }
--- a/oxbowbend-core/src/message.rs
+++ b/oxbowbend-core/src/message.rs
@@ -11,7 +11,7 @@
 
 /// What a scheduler knows of a waiting request; the body stays at the entry instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Record {
+pub struct RequestInfo {
     /// The request.
     pub id: ids::RequestId,
     /// The attempt that this record stands for.
@@ -34,7 +34,7 @@
     pub due_in_ms: u64,
 }
 
-impl Record {
+impl RequestInfo {
     /// Estimated tokens of work, the unit of fairness.
     pub fn work(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.output_tokens)
@@ -176,7 +176,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// Entry to scheduler: a request waits.
-    Enqueue(Record),
+    Enqueue(RequestInfo),
     /// Entry to scheduler: a request waits no longer.
     Withdraw {
         /// The pool.
@@ -211,9 +211,9 @@
         /// The pool.
         pool: ids::PoolId,
         /// Requests that wait.
-        waiting: Vec<Record>,
+        waiting: Vec<RequestInfo>,
         /// Requests that run, and where.
-        running: Vec<(Record, ids::EndpointId)>,
+        running: Vec<(RequestInfo, ids::EndpointId)>,
     },
     /// Member to scheduler: sign of life with digests.
     Beat {
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -62,7 +62,7 @@
     /// Another instance refused a connection or cut it.
     PeerDown(ids::InstanceId),
     /// A caller's request came in and is ready to be scheduled.
-    Arrive(message::Record),
+    Arrive(message::RequestInfo),
     /// A caller went away, or the daemon gave its waiting request up.
     Withdraw(ids::RequestId),
     /// A run ended, well or badly.
@@ -282,7 +282,7 @@
             Event::Topology(topology) => self.configure(now, topology),
             Event::Peer { from, message } => self.message(now, &from, message),
             Event::PeerDown(id) => self.peer_down(now, &id),
-            Event::Arrive(record) => self.entry.arrive(now, record, &mut self.actions),
+            Event::Arrive(info) => self.entry.arrive(now, info, &mut self.actions),
             Event::Withdraw(request) => {
                 self.entry.withdraw(&request, &mut self.actions);
             }
--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -47,7 +47,7 @@
         }
         while let Some((due, id)) = self.deadlines.first().cloned() {
             let Some(known) = self.requests.get(&id) else { break };
-            let least = best * f64::from(known.record.output_tokens);
+            let least = best * f64::from(known.info.output_tokens);
             if now + Duration::from_secs_f64(least.min(86_400.0)) < due {
                 break;
             }
@@ -84,7 +84,7 @@
         let Some(known) = self.requests.get_mut(id) else { return };
         known.state = State::Refused { reason, retry_after_ms, at: now };
         self.unanswered.insert((now, id.clone()));
-        let (request, attempt) = (id.clone(), known.record.attempt);
+        let (request, attempt) = (id.clone(), known.info.attempt);
         let message = message::Message::Refuse { request, attempt, reason, retry_after_ms };
         out.push(node::Action::send(&known.entry, message));
     }
@@ -162,7 +162,7 @@
         for item in self.queue.first_of(head.tier, &head.account, LOOK_AHEAD) {
             let Some(known) = self.requests.get(&item.id) else { continue };
             for (index, site) in &free {
-                let cached = site.cache.cached_tokens(&known.record.prefix);
+                let cached = site.cache.cached_tokens(&known.info.prefix);
                 if cached > best.as_ref().map_or(0, |b| b.0) {
                     best = Some((cached, &item.id, *index));
                 }
@@ -177,12 +177,12 @@
     }
 
     fn choose_site(&mut self, now: Instant, id: &ids::RequestId) -> Option<usize> {
-        let record = &self.requests.get(id)?.record;
+        let info = &self.requests.get(id)?.info;
         let candidates: Vec<choose::Candidate> = self
             .open_sites(now)
             .map(|(index, s)| choose::Candidate {
                 index,
-                seconds: s.cost(record, self.prefill_bias),
+                seconds: s.cost(info, self.prefill_bias),
                 outstanding: s.running,
                 reported: s.reported,
                 avoid: s.speed.avoid(now),
@@ -202,7 +202,7 @@
     ) {
         let Some(owner) = self.sites[site].best_owner(&self.me) else { return };
         let Some(known) = self.requests.get(id).cloned() else { return };
-        let account = &known.record.account;
+        let account = &known.info.account;
         let Ok(account_hop) = self.account_hop(now, account, directory) else { return };
         self.queue.serve(id);
         let ask = self.asks.entry(owner.clone()).or_default();
@@ -210,7 +210,7 @@
         let ask = *ask;
         let target = &mut self.sites[site];
         target.running += 1;
-        target.cache.insert(&known.record.prefix);
+        target.cache.insert(&known.info.prefix);
         target.speed.probe();
         target.offers.entry(owner.clone()).or_default().pending.insert(ask);
         self.recount(site);
@@ -222,7 +222,7 @@
         hops.push(message::Hop { owner: owner.clone(), key, index: None });
         let grant = message::Grant {
             request: id.clone(),
-            attempt: known.record.attempt,
+            attempt: known.info.attempt,
             pool: self.pool.clone(),
             endpoint,
             entry: known.entry.clone(),
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Debug)]
 struct Known {
-    record: message::Record,
+    info: message::RequestInfo,
     entry: ids::InstanceId,
     due: Instant,
     account_owner: Option<ids::InstanceId>,
@@ -180,53 +180,53 @@
     }
 
     /// Takes in a waiting request.
-    pub fn enqueue(&mut self, now: Instant, from: &ids::InstanceId, record: message::Record) {
-        let id = record.id.clone();
+    pub fn enqueue(&mut self, now: Instant, from: &ids::InstanceId, info: message::RequestInfo) {
+        let id = info.id.clone();
         if let Some(known) = self.requests.get(&id) {
-            if known.record.attempt >= record.attempt {
+            if known.info.attempt >= info.attempt {
                 return;
             }
             self.forget(&id);
         }
-        self.mirror(from, &record, false);
-        let due = now + Duration::from_millis(record.due_in_ms);
-        self.queue.push(item(&record));
+        self.mirror(from, &info, false);
+        let due = now + Duration::from_millis(info.due_in_ms);
+        self.queue.push(item(&info));
         self.deadlines.insert((due, id.clone()));
         let entry = from.clone();
         let known =
-            Known { record, entry, due, account_owner: None, passed: 0, state: State::Queued };
+            Known { info, entry, due, account_owner: None, passed: 0, state: State::Queued };
         self.requests.insert(id, known);
     }
 
-    fn mirror(&mut self, entry: &ids::InstanceId, record: &message::Record, running: bool) {
+    fn mirror(&mut self, entry: &ids::InstanceId, info: &message::RequestInfo, running: bool) {
         let mirror = self.mirrors.entry(entry.clone()).or_default();
-        mirror.digest ^= entry::fingerprint(&record.id, record.attempt, running);
+        mirror.digest ^= entry::fingerprint(&info.id, info.attempt, running);
     }
 
     /// Removes every trace of a request.
     fn forget(&mut self, id: &str) -> Option<Known> {
         let known = self.requests.remove(id)?;
         self.queue.remove(id);
-        self.deadlines.remove(&(known.due, known.record.id.clone()));
+        self.deadlines.remove(&(known.due, known.info.id.clone()));
         self.leave_state(&known);
         if let Some(owner) = &known.account_owner {
-            self.account_use.entry(known.record.account.clone()).or_default().give_back(owner);
+            self.account_use.entry(known.info.account.clone()).or_default().give_back(owner);
         }
         let running = matches!(known.state, State::Running { .. });
-        self.mirror(&known.entry, &known.record, running);
+        self.mirror(&known.entry, &known.info, running);
         Some(known)
     }
 
     fn leave_state(&mut self, known: &Known) {
         match &known.state {
             State::Asked { site, owner, ask, at } => {
-                self.unanswered.remove(&(*at, known.record.id.clone()));
+                self.unanswered.remove(&(*at, known.info.id.clone()));
                 self.settle_ask(*site, owner, *ask);
                 self.sites[*site].running -= 1;
             }
             State::Running { site } => self.sites[*site].running -= 1,
             State::Refused { at, .. } => {
-                self.unanswered.remove(&(*at, known.record.id.clone()));
+                self.unanswered.remove(&(*at, known.info.id.clone()));
             }
             State::Queued => {}
         }
@@ -247,7 +247,7 @@
     }
 
     fn is_current(&self, (id, attempt): &message::GrantId) -> bool {
-        self.requests.get(id).is_some_and(|k| k.record.attempt == *attempt)
+        self.requests.get(id).is_some_and(|k| k.info.attempt == *attempt)
     }
 
     /// The entry has accepted a grant.
@@ -257,10 +257,10 @@
         }
         let Some(known) = self.requests.get(&grant_id.0).cloned() else { return };
         let State::Asked { site, at, .. } = known.state else { return };
-        self.unanswered.remove(&(at, known.record.id.clone()));
-        self.deadlines.remove(&(known.due, known.record.id.clone()));
-        self.mirror(&known.entry, &known.record, false);
-        self.mirror(&known.entry, &known.record, true);
+        self.unanswered.remove(&(at, known.info.id.clone()));
+        self.deadlines.remove(&(known.due, known.info.id.clone()));
+        self.mirror(&known.entry, &known.info, false);
+        self.mirror(&known.entry, &known.info, true);
         if let Some(k) = self.requests.get_mut(&grant_id.0) {
             k.state = State::Running { site };
         }
@@ -289,36 +289,36 @@
         &mut self,
         now: Instant,
         from: &ids::InstanceId,
-        waiting: Vec<message::Record>,
-        running: Vec<(message::Record, ids::EndpointId)>,
+        waiting: Vec<message::RequestInfo>,
+        running: Vec<(message::RequestInfo, ids::EndpointId)>,
     ) {
         let of_entry = |k: &&Known| k.entry == *from;
         let mut former: Vec<ids::RequestId> =
-            self.requests.values().filter(of_entry).map(|k| k.record.id.clone()).collect();
+            self.requests.values().filter(of_entry).map(|k| k.info.id.clone()).collect();
         former.sort();
         former.iter().for_each(|id| {
             self.forget(id);
         });
         self.mirrors.remove(from);
-        waiting.into_iter().for_each(|record| self.enqueue(now, from, record));
-        running.into_iter().for_each(|(record, at)| self.learn_running(now, from, record, &at));
+        waiting.into_iter().for_each(|info| self.enqueue(now, from, info));
+        running.into_iter().for_each(|(info, at)| self.learn_running(now, from, info, &at));
     }
 
     fn learn_running(
         &mut self,
         now: Instant,
         from: &ids::InstanceId,
-        record: message::Record,
+        info: message::RequestInfo,
         at: &ids::EndpointId,
     ) {
-        self.mirror(from, &record, true);
+        self.mirror(from, &info, true);
         let Some(site) = self.site_of.get(at).copied() else { return };
         self.sites[site].running += 1;
-        self.sites[site].cache.insert(&record.prefix);
-        let (id, entry) = (record.id.clone(), from.clone());
+        self.sites[site].cache.insert(&info.prefix);
+        let (id, entry) = (info.id.clone(), from.clone());
         let state = State::Running { site };
         self.requests
-            .insert(id, Known { record, entry, due: now, account_owner: None, passed: 0, state });
+            .insert(id, Known { info, entry, due: now, account_owner: None, passed: 0, state });
     }
 
     /// Compares an entry's digest with the mirror; says whether a report is needed.
@@ -332,7 +332,7 @@
     pub fn retain_members(&mut self, listed: impl Fn(&str) -> bool) {
         let gone = |k: &&Known| !listed(&k.entry);
         let mut lost: Vec<ids::RequestId> =
-            self.requests.values().filter(gone).map(|k| k.record.id.clone()).collect();
+            self.requests.values().filter(gone).map(|k| k.info.id.clone()).collect();
         lost.sort();
         lost.iter().for_each(|id| {
             self.forget(id);
@@ -394,9 +394,9 @@
         let Some(known) = self.requests.get(id).cloned() else { return };
         self.leave_state(&known);
         if let Some(owner) = &known.account_owner {
-            self.account_use.entry(known.record.account.clone()).or_default().take_back(owner);
+            self.account_use.entry(known.info.account.clone()).or_default().take_back(owner);
         }
-        self.queue.push(item(&known.record));
+        self.queue.push(item(&known.info));
         self.deadlines.insert((known.due.max(now), id.clone()));
         if let Some(k) = self.requests.get_mut(id) {
             k.state = State::Queued;
@@ -412,12 +412,12 @@
     }
 }
 
-fn item(record: &message::Record) -> queue::Item {
+fn item(info: &message::RequestInfo) -> queue::Item {
     queue::Item {
-        id: record.id.clone(),
-        account: record.account.clone(),
-        tier: record.tier,
-        weight: record.weight,
-        work: record.work(),
+        id: info.id.clone(),
+        account: info.account.clone(),
+        tier: info.tier,
+        weight: info.weight,
+        work: info.work(),
     }
 }
--- a/oxbowbend-core/src/scheduler/site.rs
+++ b/oxbowbend-core/src/scheduler/site.rs
@@ -58,10 +58,10 @@
     }
 
     /// Predicted seconds, with prefill weighed as the pool's settings say.
-    pub(super) fn cost(&self, record: &message::Record, prefill_bias: f64) -> f64 {
-        let cached = self.cache.cached_tokens(&record.prefix).min(record.prompt_tokens);
-        let fresh = record.prompt_tokens - cached;
-        let seconds = self.speed.predict_seconds(fresh, record.output_tokens);
+    pub(super) fn cost(&self, info: &message::RequestInfo, prefill_bias: f64) -> f64 {
+        let cached = self.cache.cached_tokens(&info.prefix).min(info.prompt_tokens);
+        let fresh = info.prompt_tokens - cached;
+        let seconds = self.speed.predict_seconds(fresh, info.output_tokens);
         seconds + prefill_bias * self.speed.predict_seconds(fresh, 0)
     }
 
--- a/oxbowbend-core/tests/harness/mod.rs
+++ b/oxbowbend-core/tests/harness/mod.rs
@@ -11,7 +11,7 @@
 
 use oxbowbend_core::ids::{InstanceId, RequestId};
 use oxbowbend_core::membership::{InstanceList, Member};
-use oxbowbend_core::message::{Grant, Message, Record, RefusalReason, RunOutcome, RunReport};
+use oxbowbend_core::message::{Grant, Message, RefusalReason, RequestInfo, RunOutcome, RunReport};
 use oxbowbend_core::node::{Action, Event, Node, TICK};
 use oxbowbend_core::topology::Topology;
 
@@ -89,7 +89,7 @@
     pub topology: Arc<Topology>,
     pub runs: BTreeMap<RequestId, Run>,
     pub fates: BTreeMap<RequestId, Fate>,
-    pub records: BTreeMap<RequestId, (InstanceId, Record)>,
+    pub records: BTreeMap<RequestId, (InstanceId, RequestInfo)>,
     pub run_time: Duration,
     pub filter: Option<Filter>,
     /// Waiting requests of the lower tiers at instances that the list dropped.
@@ -246,7 +246,7 @@
         self.settle();
     }
 
-    pub fn arrive(&mut self, entry: &str, record: Record) {
+    pub fn arrive(&mut self, entry: &str, record: RequestInfo) {
         let entry: InstanceId = entry.into();
         let id = record.id.clone();
         self.records.insert(id.clone(), (entry.clone(), record.clone()));
--- a/oxbowbend-core/tests/harness/setup.rs
+++ b/oxbowbend-core/tests/harness/setup.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oxbowbend_core::message::Record;
+use oxbowbend_core::message::RequestInfo;
 use oxbowbend_core::topology::{Account, Endpoint, Pool, Topology};
 
 /// The one pool of most tests.
@@ -37,8 +37,8 @@
     }
 }
 
-pub fn record(id: &str, tier: u8) -> Record {
-    Record {
+pub fn record(id: &str, tier: u8) -> RequestInfo {
+    RequestInfo {
         id: id.into(),
         attempt: 1,
         pool: POOL.into(),
--- a/oxbowbend-daemon/src/callers/flow.rs
+++ b/oxbowbend-daemon/src/callers/flow.rs
@@ -122,7 +122,7 @@
         work: &Work,
         keyed: Option<&keyed::Keyed<K>>,
     ) -> Result<Granted, Response> {
-        let record = message::Record {
+        let record = message::RequestInfo {
             id: run.as_str().into(),
             attempt: 1,
             pool: pool.clone(),
--- a/oxbowbend-daemon/src/hub.rs
+++ b/oxbowbend-daemon/src/hub.rs
@@ -134,7 +134,7 @@
     }
 
     /// Brings in a request; decisions on it come through the ticket.
-    pub(crate) fn arrive(self: &Arc<Hub>, record: message::Record) -> Ticket {
+    pub(crate) fn arrive(self: &Arc<Hub>, record: message::RequestInfo) -> Ticket {
         let (tx, rx) = bounded(MAX_PENDING);
         let id = record.id.clone();
         self.waiters.lock().expect("no panic under lock").insert(id.clone(), tx);
--- a/oxbowbend-standin/examples/capacity.rs
+++ b/oxbowbend-standin/examples/capacity.rs
@@ -70,8 +70,8 @@
     }
 }
 
-fn record(n: usize, blocks: u64) -> message::Record {
-    message::Record {
+fn record(n: usize, blocks: u64) -> message::RequestInfo {
+    message::RequestInfo {
         id: format!("r-{n:032x}").as_str().into(),
         attempt: 1,
         pool: POOL.into(),
@@ -106,7 +106,7 @@
     let mut seen = 0;
     let mut granted = 0;
     let rounds = 2000;
-    let records: Vec<message::Record> = (0..rounds).map(|n| record(queue + n, 16)).collect();
+    let records: Vec<message::RequestInfo> = (0..rounds).map(|n| record(queue + n, 16)).collect();
     let began = Instant::now();
     for (n, record) in records.into_iter().enumerate() {
         s.enqueue(now, &entry, record);
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -30,7 +30,12 @@
 /// Something that is told what happens and decides where requests go.
 pub trait Policy {
     /// A request has arrived.
-    fn arrive(&mut self, now: Instant, request: usize, record: message::Record) -> Vec<Verdict>;
+    fn arrive(
+        &mut self,
+        now: Instant,
+        request: usize,
+        record: message::RequestInfo,
+    ) -> Vec<Verdict>;
     /// A request has ended at an engine; `up` tells whether a scheduler is there to hear of it.
     fn ended(
         &mut self,
@@ -70,7 +75,7 @@
 }
 
 impl<C: Choose> Policy for Straight<C> {
-    fn arrive(&mut self, _: Instant, request: usize, _: message::Record) -> Vec<Verdict> {
+    fn arrive(&mut self, _: Instant, request: usize, _: message::RequestInfo) -> Vec<Verdict> {
         let living = (0..self.alive.len()).filter(|e| self.alive[*e]);
         let candidates: Vec<choose::Candidate> = living
             .map(|index| choose::Candidate {
@@ -138,7 +143,7 @@
     config: topology::Pool,
     free: Vec<u32>,
     asks: u64,
-    held: BTreeMap<usize, (message::Record, Option<usize>)>,
+    held: BTreeMap<usize, (message::RequestInfo, Option<usize>)>,
 }
 
 impl<C: Choose> Scheduled<C> {
@@ -218,7 +223,12 @@
 }
 
 impl<C: Choose> Policy for Scheduled<C> {
-    fn arrive(&mut self, now: Instant, request: usize, record: message::Record) -> Vec<Verdict> {
+    fn arrive(
+        &mut self,
+        now: Instant,
+        request: usize,
+        record: message::RequestInfo,
+    ) -> Vec<Verdict> {
         self.held.insert(request, (record.clone(), None));
         self.scheduler.enqueue(now, &ENTRY.into(), record);
         self.decide(now)
--- a/oxbowbend-standin/src/experiment/run.rs
+++ b/oxbowbend-standin/src/experiment/run.rs
@@ -28,7 +28,7 @@
     class: usize,
     account: String,
     at: f64,
-    record: message::Record,
+    record: message::RequestInfo,
     engine: Option<usize>,
     begun: Option<(f64, engines::Begun)>,
     over: bool,
@@ -189,7 +189,7 @@
         _ => UNSHARED | rng.random::<u64>(),
     };
     let prefix = (0..blocks).map(block).collect();
-    let record = message::Record {
+    let record = message::RequestInfo {
         id: "".into(),
         attempt: 1,
         pool: policy::POOL.into(),
