--- a/oxbowbend-core/src/entry.rs
+++ b/oxbowbend-core/src/entry.rs
@@ -469,9 +469,9 @@
     }
 
     /// Digests of the pools that `scheduler` schedules for this entry.
-    pub fn beats(&self, scheduler: &str) -> Vec<message::PoolBeat> {
+    pub fn pool_digests(&self, scheduler: &str) -> Vec<message::PoolDigest> {
         let mine = self.pools.iter().filter(|(_, s)| s.scheduler.as_deref() == Some(scheduler));
-        mine.map(|(pool, s)| message::PoolBeat {
+        mine.map(|(pool, s)| message::PoolDigest {
             pool: pool.clone(),
             digest: s.digest,
             floor: s.floor.map_or(0, |f| f.seq),
--- a/oxbowbend-core/src/message.rs
+++ b/oxbowbend-core/src/message.rs
@@ -108,7 +108,7 @@
 
 /// Proof of what an entry holds in a pool, sent with each heartbeat.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct PoolBeat {
+pub struct PoolDigest {
     /// The pool.
     pub pool: ids::PoolId,
     /// Order-independent digest of the requests held and their attempts and states.
@@ -216,14 +216,16 @@
         running: Vec<(RequestInfo, ids::EndpointId)>,
     },
     /// Member to scheduler: sign of life with digests.
-    Beat {
+    #[serde(rename = "Beat")]
+    Heartbeat {
         /// Number of the message.
         seq: u64,
         /// Digests by pool.
-        pools: Vec<PoolBeat>,
+        pools: Vec<PoolDigest>,
     },
     /// Scheduler to member: answer to a heartbeat, naming the pools whose digest differs.
-    BeatAck {
+    #[serde(rename = "BeatAck")]
+    HeartbeatAck {
         /// Number of the message.
         seq: u64,
         /// Pools whose report is wanted.
--- a/oxbowbend-core/src/node/beats.rs
+++ b/oxbowbend-core/src/node/heartbeats.rs
@@ -3,7 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use super::{Action, Node, Peer, BEAT, OFFERS_EVERY, PROBE_SUSPECT, SUSPECT};
+use super::{
+    Action, Node, Peer, HEARTBEATS_PER_OFFER, HEARTBEAT_INTERVAL, SUSPECT_PROBE_INTERVAL,
+    SUSPECT_TIMEOUT,
+};
 use crate::ids;
 use crate::message;
 
@@ -63,35 +66,41 @@
         }
     }
 
-    pub(super) fn beat(&mut self, now: Instant, to: &ids::InstanceId) {
-        self.beat_seq += 1;
-        let pools = self.entry.beats(to);
-        self.actions.push(Action::send(to, message::Message::Beat { seq: self.beat_seq, pools }));
+    pub(super) fn send_heartbeat(&mut self, now: Instant, to: &ids::InstanceId) {
+        self.heartbeat_seq += 1;
+        let pools = self.entry.pool_digests(to);
+        self.actions
+            .push(Action::send(to, message::Message::Heartbeat { seq: self.heartbeat_seq, pools }));
         if *to == self.me {
             return;
         }
-        let first = Peer { beating_since: now, last_beat: None, last_ack: None };
-        self.peers.entry(to.clone()).or_insert(first).last_beat = Some(now);
+        let first = Peer { heartbeats_since: now, last_heartbeat: None, last_ack: None };
+        self.peers.entry(to.clone()).or_insert(first).last_heartbeat = Some(now);
     }
 
-    pub(super) fn beaten(
+    pub(super) fn handle_heartbeat(
         &mut self,
         from: &ids::InstanceId,
         seq: u64,
-        pools: Vec<message::PoolBeat>,
+        pools: Vec<message::PoolDigest>,
     ) {
         let mut resync = Vec::new();
-        for beat in pools {
+        for digest in pools {
             let mut differs = false;
-            self.schedule(&beat.pool, |s| differs = s.beat(from, &beat));
+            self.schedule(&digest.pool, |s| differs = s.handle_digest(from, &digest));
             if differs {
-                resync.push(beat.pool);
+                resync.push(digest.pool);
             }
         }
-        self.actions.push(Action::send(from, message::Message::BeatAck { seq, resync }));
+        self.actions.push(Action::send(from, message::Message::HeartbeatAck { seq, resync }));
     }
 
-    pub(super) fn acked(&mut self, now: Instant, from: &ids::InstanceId, resync: &[ids::PoolId]) {
+    pub(super) fn handle_heartbeat_ack(
+        &mut self,
+        now: Instant,
+        from: &ids::InstanceId,
+        resync: &[ids::PoolId],
+    ) {
         if let Some(peer) = self.peers.get_mut(from) {
             peer.last_ack = Some(now);
         }
@@ -112,28 +121,32 @@
         }
     }
 
-    pub(super) fn beat_schedulers(&mut self, now: Instant) {
+    pub(super) fn send_heartbeats(&mut self, now: Instant) {
         let topology = self.view.topology.clone();
         let mut due: BTreeSet<ids::InstanceId> =
             topology.pools.keys().filter_map(|p| self.entry.scheduler(p).cloned()).collect();
-        due.retain(|id| self.beat_is_due(now, id, BEAT));
+        due.retain(|id| self.is_heartbeat_due(now, id, HEARTBEAT_INTERVAL));
         let suspects: Vec<ids::InstanceId> = self.view.members.suspects().cloned().collect();
-        due.extend(suspects.into_iter().filter(|id| self.beat_is_due(now, id, PROBE_SUSPECT)));
+        due.extend(
+            suspects
+                .into_iter()
+                .filter(|id| self.is_heartbeat_due(now, id, SUSPECT_PROBE_INTERVAL)),
+        );
         for id in due {
-            self.beat(now, &id);
-            if self.beat_seq.is_multiple_of(OFFERS_EVERY) {
+            self.send_heartbeat(now, &id);
+            if self.heartbeat_seq.is_multiple_of(HEARTBEATS_PER_OFFER) {
                 self.repeat_offers(&id);
             }
         }
     }
 
-    pub(super) fn beat_is_due(
+    pub(super) fn is_heartbeat_due(
         &self,
         now: Instant,
         id: &ids::InstanceId,
         interval: Duration,
     ) -> bool {
-        let last = self.peers.get(id).and_then(|p| p.last_beat);
+        let last = self.peers.get(id).and_then(|p| p.last_heartbeat);
         last.is_none_or(|last| now.duration_since(last) >= interval)
     }
 
@@ -148,9 +161,10 @@
 
     pub(super) fn suspect_silent(&mut self, now: Instant) {
         let silent = |p: &Peer| {
-            let heard = p.last_ack.unwrap_or(p.beating_since).max(p.beating_since);
-            let still_beating = p.last_beat.is_some_and(|b| now.duration_since(b) < SUSPECT);
-            still_beating && now.duration_since(heard) >= SUSPECT
+            let heard = p.last_ack.unwrap_or(p.heartbeats_since).max(p.heartbeats_since);
+            let sends_heartbeats =
+                p.last_heartbeat.is_some_and(|b| now.duration_since(b) < SUSPECT_TIMEOUT);
+            sends_heartbeats && now.duration_since(heard) >= SUSPECT_TIMEOUT
         };
         let silent: Vec<ids::InstanceId> =
             self.peers.iter().filter(|(_, p)| silent(p)).map(|(id, _)| id.clone()).collect();
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -4,9 +4,9 @@
 //! that schedules its own requests pays no round trip. The node also watches its own clock: a gap
 //! between two events means that the process was paused, and then it trusts nothing it owned.
 
-mod beats;
 mod claims;
 mod duties;
+mod heartbeats;
 mod upkeep;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -28,13 +28,13 @@
 /// an instance from its list.
 pub const PAUSE: Duration = Duration::from_secs(3);
 /// Time between two heartbeats to a scheduler.
-pub const BEAT: Duration = Duration::from_millis(500);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time without an answer to heartbeats after which an instance is suspected.
-pub const SUSPECT: Duration = Duration::from_millis(1500);
+pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time between two heartbeats to a suspect.
-const PROBE_SUSPECT: Duration = Duration::from_secs(2);
+const SUSPECT_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 /// Heartbeats between two repetitions of all offers.
-const OFFERS_EVERY: u64 = 4;
+const HEARTBEATS_PER_OFFER: u64 = 4;
 /// Time between two claims when the last one left something open.
 const RECLAIM: Duration = Duration::from_secs(2);
 /// Time for which an endpoint's own word that it is leaving is believed.
@@ -153,8 +153,8 @@
 
 #[derive(Clone, Debug)]
 struct Peer {
-    beating_since: Instant,
-    last_beat: Option<Instant>,
+    heartbeats_since: Instant,
+    last_heartbeat: Option<Instant>,
     last_ack: Option<Instant>,
 }
 
@@ -218,7 +218,7 @@
     idle_since: BTreeMap<ids::EndpointId, Instant>,
     asks_seen: BTreeMap<ids::InstanceId, u64>,
     leaving_endpoints: BTreeMap<ids::EndpointId, Instant>,
-    beat_seq: u64,
+    heartbeat_seq: u64,
     last_event: Option<Instant>,
     next_check: Option<Instant>,
     quarantined: bool,
@@ -248,7 +248,7 @@
             idle_since: BTreeMap::new(),
             asks_seen: BTreeMap::new(),
             leaving_endpoints: BTreeMap::new(),
-            beat_seq: 0,
+            heartbeat_seq: 0,
             last_event: None,
             next_check: None,
             quarantined: false,
@@ -359,8 +359,10 @@
             message::Message::Denied { grant, key } => {
                 self.schedule(&grant.pool, |s| s.denied(now, &grant, &key));
             }
-            message::Message::Beat { seq, pools } => self.beaten(from, seq, pools),
-            message::Message::BeatAck { resync, .. } => self.acked(now, from, &resync),
+            message::Message::Heartbeat { seq, pools } => self.handle_heartbeat(from, seq, pools),
+            message::Message::HeartbeatAck { resync, .. } => {
+                self.handle_heartbeat_ack(now, from, &resync)
+            }
             message::Message::Grant(grant) => self.grant(now, grant),
             message::Message::Release { request, attempt, key } => {
                 self.permits.release(&(request, attempt), Some(&key));
@@ -378,7 +380,7 @@
             }
             message::Message::Floor { pool, seq, keep } => {
                 self.entry.set_floor(now, from, &pool, seq, keep, &mut self.actions);
-                self.beat(now, from);
+                self.send_heartbeat(now, from);
             }
             message::Message::Claim { nonce, list, permits } => {
                 self.claimed(now, from, nonce, &list, &permits);
--- a/oxbowbend-core/src/node/upkeep.rs
+++ b/oxbowbend-core/src/node/upkeep.rs
@@ -15,7 +15,7 @@
     pub(super) fn tick(&mut self, now: Instant) {
         self.entry.tick(now, &mut self.actions);
         self.fix_baseline(now);
-        self.beat_schedulers(now);
+        self.send_heartbeats(now);
         self.suspect_silent(now);
         for (owner, uses) in self.permits.inquiries(now) {
             self.actions.push(Action::send(&owner, message::Message::Inquire { uses }));
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -322,10 +322,14 @@
     }
 
     /// Compares an entry's digest with the mirror; says whether a report is needed.
-    pub fn beat(&mut self, from: &ids::InstanceId, beat: &message::PoolBeat) -> bool {
+    pub fn handle_digest(
+        &mut self,
+        from: &ids::InstanceId,
+        reported: &message::PoolDigest,
+    ) -> bool {
         let mirror = self.mirrors.entry(from.clone()).or_default();
-        mirror.floor = beat.floor;
-        mirror.digest != beat.digest
+        mirror.floor = reported.floor;
+        mirror.digest != reported.digest
     }
 
     /// Drops what belongs to instances that are gone.
--- a/oxbowbend-standin/examples/capacity.rs
+++ b/oxbowbend-standin/examples/capacity.rs
@@ -190,9 +190,12 @@
         (0..pools).map(|n| (format!("p{n}").as_str().into(), config.clone())).collect();
     node.handle(now, node::Event::Topology(Arc::new(topology)));
     node.handle(now, node::Event::List(list(7)));
-    let beats =
-        |n: usize| message::PoolBeat { pool: format!("p{n}").as_str().into(), digest: 0, floor: 0 };
-    let message = message::Message::Beat { seq: 1, pools: (0..pools).map(beats).collect() };
+    let digests = |n: usize| message::PoolDigest {
+        pool: format!("p{n}").as_str().into(),
+        digest: 0,
+        floor: 0,
+    };
+    let message = message::Message::Heartbeat { seq: 1, pools: (0..pools).map(digests).collect() };
     let from: ids::InstanceId = "entry-001-0123abcd".into();
     let rounds = 2000;
     let began = Instant::now();
@@ -337,14 +340,20 @@
             hop(message::PermitKey::Endpoint("engine-12".into())),
         ],
     };
-    let beat = message::PoolBeat { pool: POOL.into(), digest: u64::MAX, floor: 0 };
+    let digest = message::PoolDigest { pool: POOL.into(), digest: u64::MAX, floor: 0 };
     let table: BTreeMap<&str, usize> = [
         ("enqueue, 16 blocks", bytes(&message::Message::Enqueue(record(1, 16)))),
         ("enqueue, no blocks", bytes(&message::Message::Enqueue(record(1, 0)))),
         ("grant, 2 hops", bytes(&message::Message::Grant(grant))),
-        ("beat, 1 pool", bytes(&message::Message::Beat { seq: 1000, pools: vec![beat.clone()] })),
-        ("beat, 21 pools", bytes(&message::Message::Beat { seq: 1000, pools: vec![beat; 21] })),
-        ("beat ack", bytes(&message::Message::BeatAck { seq: 1000, resync: Vec::new() })),
+        (
+            "beat, 1 pool",
+            bytes(&message::Message::Heartbeat { seq: 1000, pools: vec![digest.clone()] }),
+        ),
+        (
+            "beat, 21 pools",
+            bytes(&message::Message::Heartbeat { seq: 1000, pools: vec![digest; 21] }),
+        ),
+        ("beat ack", bytes(&message::Message::HeartbeatAck { seq: 1000, resync: Vec::new() })),
         ("claim of 100, list of 137", claim_bytes(137)),
         ("claim of 100, list of 410", claim_bytes(410)),
     ]
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -208,12 +208,12 @@
                     verdicts.push(Verdict::Refuse(request_number(&request)));
                 }
                 node::Action::Send { message: message::Message::Floor { seq, .. }, .. } => {
-                    let beat = oxbowbend_core::message::PoolBeat {
+                    let digest = oxbowbend_core::message::PoolDigest {
                         pool: POOL.into(),
                         digest: 0,
                         floor: seq,
                     };
-                    self.scheduler.beat(&ENTRY.into(), &beat);
+                    self.scheduler.handle_digest(&ENTRY.into(), &digest);
                 }
                 _ => {}
             }
