--- a/oxbowbend-core/src/entry.rs
+++ b/oxbowbend-core/src/entry.rs
@@ -172,7 +172,7 @@
         let state = self.requests.get(&grant.request);
         let current = state.filter(|r| r.info.attempt == grant.attempt);
         match current.map(|r| &r.state) {
-            Some(State::Running(taken)) if *taken == grant => self.confirm(&grant, out),
+            Some(State::Running(accepted)) if *accepted == grant => self.confirm(&grant, out),
             Some(State::Waiting) if valid => self.accept(grant, out),
             Some(State::Waiting) => {
                 self.change(&grant.request, |r| r.info.attempt += 1);
@@ -186,9 +186,9 @@
     fn accept(&mut self, grant: message::Grant, out: &mut Vec<node::Action>) {
         self.change(&grant.request, |r| r.state = State::Running(grant.clone()));
         let (pool, request) = (grant.pool.clone(), grant.request.clone());
-        let taken = message::Message::Taken { pool, request, attempt: grant.attempt };
+        let accepted = message::Message::Accepted { pool, request, attempt: grant.attempt };
         if let Some(side) = self.pools.get(&grant.pool) {
-            send_to(&side.scheduler, taken, out);
+            send_to(&side.scheduler, accepted, out);
         }
         self.confirm(&grant, out);
         out.push(node::Action::Dispatch(grant));
--- a/oxbowbend-core/src/message.rs
+++ b/oxbowbend-core/src/message.rs
@@ -187,7 +187,8 @@
         attempt: ids::Attempt,
     },
     /// Entry to scheduler: a grant was accepted.
-    Taken {
+    #[serde(rename = "Taken")]
+    Accepted {
         /// The pool.
         pool: ids::PoolId,
         /// The request.
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -342,8 +342,8 @@
             message::Message::Withdraw { pool, request, attempt } => {
                 self.schedule(&pool, |s| s.withdraw(&(request, attempt)));
             }
-            message::Message::Taken { pool, request, attempt } => {
-                self.schedule(&pool, |s| s.taken(&(request, attempt)));
+            message::Message::Accepted { pool, request, attempt } => {
+                self.schedule(&pool, |s| s.handle_accepted(&(request, attempt)));
             }
             message::Message::Done { pool, request, attempt, report } => {
                 self.schedule(&pool, |s| s.done(now, &(request, attempt), &report));
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -251,7 +251,7 @@
     }
 
     /// The entry has accepted a grant.
-    pub fn taken(&mut self, grant_id: &message::GrantId) {
+    pub fn handle_accepted(&mut self, grant_id: &message::GrantId) {
         if !self.is_current(grant_id) {
             return;
         }
--- a/oxbowbend-core/tests/fault_matrix.rs
+++ b/oxbowbend-core/tests/fault_matrix.rs
@@ -25,7 +25,7 @@
     ("grant to account owner", |e| grant_to(e, 0)),
     ("grant to slot owner", |e| grant_to(e, 1)),
     ("grant to entry", |e| grant_to(e, 2)),
-    ("taken", |e| matches!(e.message, Message::Taken { .. })),
+    ("taken", |e| matches!(e.message, Message::Accepted { .. })),
     ("used", |e| matches!(e.message, Message::Used { .. })),
     ("denied", |e| matches!(e.message, Message::Denied { .. })),
     ("done", |e| matches!(e.message, Message::Done { .. })),
--- a/oxbowbend-standin/examples/capacity.rs
+++ b/oxbowbend-standin/examples/capacity.rs
@@ -116,7 +116,7 @@
             if let node::Action::Send { message: message::Message::Grant(grant), .. } = &action {
                 seen = seen.max(grant.ask);
                 granted += 1;
-                s.taken(&(grant.request.clone(), grant.attempt));
+                s.handle_accepted(&(grant.request.clone(), grant.attempt));
             }
             black_box(&action);
         }
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -193,7 +193,7 @@
                     self.asks = self.asks.max(grant.ask);
                     self.free[engine] = self.free[engine].saturating_sub(1);
                     self.offer(engine);
-                    self.scheduler.taken(&(grant.request.clone(), grant.attempt));
+                    self.scheduler.handle_accepted(&(grant.request.clone(), grant.attempt));
                     if let Some(held) = self.held.get_mut(&request) {
                         held.1 = Some(engine);
                     }
