--- a/oxbowbend-core/src/entry.rs
+++ b/oxbowbend-core/src/entry.rs
@@ -172,7 +172,7 @@
         let state = self.requests.get(&grant.request);
         let current = state.filter(|r| r.info.attempt == grant.attempt);
         match current.map(|r| &r.state) {
-            Some(State::Running(accepted)) if *accepted == grant => self.confirm(&grant, out),
+            Some(State::Running(accepted)) if *accepted == grant => self.confirm_use(&grant, out),
             Some(State::Waiting) if valid => self.accept(grant, out),
             Some(State::Waiting) => {
                 self.change(&grant.request, |r| r.info.attempt += 1);
@@ -190,16 +190,16 @@
         if let Some(side) = self.pools.get(&grant.pool) {
             send_to(&side.scheduler, accepted, out);
         }
-        self.confirm(&grant, out);
+        self.confirm_use(&grant, out);
         out.push(node::Action::Dispatch(grant));
     }
 
-    fn confirm(&self, grant: &message::Grant, out: &mut Vec<node::Action>) {
+    fn confirm_use(&self, grant: &message::Grant, out: &mut Vec<node::Action>) {
         let grants = vec![(grant.request.clone(), grant.attempt)];
         for hop in &grant.hops {
             out.push(node::Action::send(
                 &hop.owner,
-                message::Message::Used { grants: grants.clone() },
+                message::Message::InUse { grants: grants.clone() },
             ));
         }
     }
@@ -308,7 +308,7 @@
     /// Answers an owner that asks which permits are used; grants of the others become void.
     ///
     /// Whoever asks owns the permit now, so that it is the one to hear when the run is over.
-    pub fn inquired(
+    pub fn handle_usage_query(
         &mut self,
         now: Instant,
         from: &ids::InstanceId,
@@ -326,10 +326,10 @@
             }
         }
         if !used.is_empty() {
-            out.push(node::Action::send(from, message::Message::Used { grants: used }));
+            out.push(node::Action::send(from, message::Message::InUse { grants: used }));
         }
         if !unused.is_empty() {
-            out.push(node::Action::send(from, message::Message::NotUsed { uses: unused }));
+            out.push(node::Action::send(from, message::Message::NotInUse { uses: unused }));
         }
     }
 
--- a/oxbowbend-core/src/message.rs
+++ b/oxbowbend-core/src/message.rs
@@ -253,17 +253,20 @@
         key: PermitKey,
     },
     /// Owner to entry: which of these do you use?
-    Inquire {
+    #[serde(rename = "Inquire")]
+    QueryUsage {
         /// The permits and their grants.
         uses: Vec<PermitUse>,
     },
     /// Entry to owner: these are not used and never will be.
-    NotUsed {
+    #[serde(rename = "NotUsed")]
+    NotInUse {
         /// The permits and their grants.
         uses: Vec<PermitUse>,
     },
     /// Entry to owner: these are used.
-    Used {
+    #[serde(rename = "Used")]
+    InUse {
         /// The grants.
         grants: Vec<GrantId>,
     },
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -367,13 +367,13 @@
             message::Message::Release { request, attempt, key } => {
                 self.permits.release(&(request, attempt), Some(&key));
             }
-            message::Message::Inquire { uses } => {
-                self.entry.inquired(now, from, uses, &mut self.actions);
+            message::Message::QueryUsage { uses } => {
+                self.entry.handle_usage_query(now, from, uses, &mut self.actions);
             }
-            message::Message::NotUsed { uses } => {
-                uses.iter().for_each(|u| self.permits.not_used(u))
+            message::Message::NotInUse { uses } => {
+                uses.iter().for_each(|u| self.permits.handle_not_in_use(u))
             }
-            message::Message::Used { grants } => self.permits.confirm(now, &grants),
+            message::Message::InUse { grants } => self.permits.confirm_use(now, &grants),
             message::Message::Refuse { request, attempt, reason, retry_after_ms } => {
                 let retry_after = Duration::from_millis(retry_after_ms);
                 self.entry.refused(&(request, attempt), reason, retry_after, &mut self.actions);
--- a/oxbowbend-core/src/node/upkeep.rs
+++ b/oxbowbend-core/src/node/upkeep.rs
@@ -17,8 +17,8 @@
         self.fix_baseline(now);
         self.send_heartbeats(now);
         self.suspect_silent(now);
-        for (owner, uses) in self.permits.inquiries(now) {
-            self.actions.push(Action::send(&owner, message::Message::Inquire { uses }));
+        for (owner, uses) in self.permits.due_usage_queries(now) {
+            self.actions.push(Action::send(&owner, message::Message::QueryUsage { uses }));
         }
         if self.next_claim.is_some_and(|at| at <= now) {
             self.claim(now);
--- a/oxbowbend-core/src/permits/claims.rs
+++ b/oxbowbend-core/src/permits/claims.rs
@@ -160,7 +160,7 @@
     fn take_used(&mut self, now: Instant, entry: &ids::InstanceId, u: &message::PermitUse) {
         let (request, attempt) = u.grant.clone();
         let (entry, endpoint) = (entry.clone(), u.endpoint.clone());
-        let used = Use { request, attempt, entry, endpoint, ask_at: now, orphaned: None };
+        let used = Use { request, attempt, entry, endpoint, query_at: now, orphaned: None };
         self.insert(&u.permit, Hold::Used(used));
         self.by_request.entry(u.grant.clone()).or_default().push(u.permit.clone());
     }
--- a/oxbowbend-core/src/permits/mod.rs
+++ b/oxbowbend-core/src/permits/mod.rs
@@ -23,9 +23,9 @@
 use crate::message;
 
 /// Time after which an owner asks an entry instance whether it uses a grant.
-pub const INQUIRE_AFTER: Duration = Duration::from_secs(1);
+pub const USAGE_QUERY_DELAY: Duration = Duration::from_secs(1);
 /// Time between two questions about a grant that the entry instance has confirmed.
-pub const INQUIRE_AGAIN: Duration = Duration::from_secs(5);
+pub const USAGE_QUERY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A permit in use.
 #[derive(Clone, Debug, PartialEq)]
@@ -38,7 +38,7 @@
     pub entry: ids::InstanceId,
     /// Endpoint at which it runs.
     pub endpoint: ids::EndpointId,
-    ask_at: Instant,
+    query_at: Instant,
     orphaned: Option<Instant>,
 }
 
@@ -65,7 +65,7 @@
 }
 
 /// Questions to ask after a while, by entry instance.
-pub type Inquiries = BTreeMap<ids::InstanceId, Vec<message::PermitUse>>;
+pub type UsageQueries = BTreeMap<ids::InstanceId, Vec<message::PermitUse>>;
 
 /// The permits that one instance owns.
 ///
@@ -121,7 +121,7 @@
             attempt: grant.attempt,
             entry: grant.entry.clone(),
             endpoint: grant.endpoint.clone(),
-            ask_at: now + INQUIRE_AFTER,
+            query_at: now + USAGE_QUERY_DELAY,
             orphaned: None,
         };
         share.holds.insert(index, Hold::Used(used));
@@ -205,15 +205,15 @@
     }
 
     /// Grants about which the entry instances should be asked now.
-    pub fn inquiries(&mut self, now: Instant) -> Inquiries {
-        let mut due = Inquiries::new();
+    pub fn due_usage_queries(&mut self, now: Instant) -> UsageQueries {
+        let mut due = UsageQueries::new();
         for (key, share) in &mut self.shares {
             for (index, hold) in &mut share.holds {
                 let Hold::Used(used) = hold else { continue };
-                if used.orphaned.is_some() || used.ask_at > now {
+                if used.orphaned.is_some() || used.query_at > now {
                     continue;
                 }
-                used.ask_at = now + INQUIRE_AFTER;
+                used.query_at = now + USAGE_QUERY_DELAY;
                 let permit = message::Permit { key: key.clone(), index: *index };
                 let grant = (used.request.clone(), used.attempt);
                 let asked = message::PermitUse { permit, grant, endpoint: used.endpoint.clone() };
@@ -224,18 +224,18 @@
     }
 
     /// An entry instance has said that it does not use a permit and never will under this grant.
-    pub fn not_used(&mut self, u: &message::PermitUse) {
+    pub fn handle_not_in_use(&mut self, u: &message::PermitUse) {
         self.release(&u.grant, Some(&u.permit.key));
     }
 
     /// An entry instance has confirmed that it uses grants.
-    pub fn confirm(&mut self, now: Instant, grants: &[message::GrantId]) {
+    pub fn confirm_use(&mut self, now: Instant, grants: &[message::GrantId]) {
         for grant_id in grants {
             let Some(permits) = self.by_request.get(grant_id) else { continue };
             for p in permits {
                 let hold = self.shares.get_mut(&p.key).and_then(|s| s.holds.get_mut(&p.index));
                 if let Some(Hold::Used(used)) = hold {
-                    used.ask_at = now + INQUIRE_AGAIN;
+                    used.query_at = now + USAGE_QUERY_INTERVAL;
                 }
             }
         }
