--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -88,10 +88,10 @@
         /// Requests running or waiting there.
         running: u32,
         /// When the request for the report was sent.
-        asked_at: Instant,
+        requested_at: Instant,
     },
     /// An orphaned run is known to be over, or never to have reached its endpoint.
-    RunOver(message::GrantId),
+    RunEnded(message::GrantId),
     /// The instance is stopping.
     Drain,
 }
@@ -118,14 +118,14 @@
         retry_after: Duration,
     },
     /// Ask an endpoint whether a run whose entry instance is gone is over.
-    AskRun {
+    QueryRun {
         /// The endpoint.
         endpoint: ids::EndpointId,
         /// The run.
         grant: message::GrantId,
     },
     /// Ask an endpoint for its load.
-    AskLoad(ids::EndpointId),
+    QueryLoad(ids::EndpointId),
 }
 
 impl Action {
@@ -293,10 +293,10 @@
                 self.entry.requeue(now, &request, report, &mut self.actions);
             }
             Event::EndpointLeaving(endpoint) => self.endpoint_leaving(now, endpoint, true),
-            Event::Load { endpoint, running, asked_at } => {
-                self.load(&endpoint, running, asked_at);
+            Event::Load { endpoint, running, requested_at } => {
+                self.load(&endpoint, running, requested_at);
             }
-            Event::RunOver(grant) => self.permits.release(&grant, None),
+            Event::RunEnded(grant) => self.permits.release(&grant, None),
             Event::Drain => self.drain(now),
         }
     }
--- a/oxbowbend-core/src/node/upkeep.rs
+++ b/oxbowbend-core/src/node/upkeep.rs
@@ -35,14 +35,14 @@
         let topology = self.view.topology.clone();
         self.permits.expire(now, |key| topology.max_run_of(key));
         for (endpoint, grant) in self.permits.orphans() {
-            self.actions.push(Action::AskRun { endpoint, grant });
+            self.actions.push(Action::QueryRun { endpoint, grant });
         }
         let mut doubtful = self.permits.doubtful();
         if self.permits.doubtful_accounts() {
             let pools = self.view.topology.pools.values();
             doubtful.extend(pools.flat_map(|p| p.endpoints.keys().cloned()));
         }
-        self.actions.extend(doubtful.into_iter().map(Action::AskLoad));
+        self.actions.extend(doubtful.into_iter().map(Action::QueryLoad));
         if self.draining {
             self.announce_leaving();
         }
@@ -64,9 +64,9 @@
         }
     }
 
-    pub(super) fn load(&mut self, endpoint: &ids::EndpointId, running: u32, asked_at: Instant) {
+    pub(super) fn load(&mut self, endpoint: &ids::EndpointId, running: u32, requested_at: Instant) {
         let Some(lag) = self.view.topology.report_lag_of(endpoint) else { return };
-        let Some(shown) = asked_at.checked_sub(lag) else { return };
+        let Some(shown) = requested_at.checked_sub(lag) else { return };
         self.permits.prove(endpoint, running, shown);
         if running == 0 {
             self.idle_since.insert(endpoint.clone(), shown);
--- a/oxbowbend-core/tests/harness/mod.rs
+++ b/oxbowbend-core/tests/harness/mod.rs
@@ -286,17 +286,17 @@
                 }
             }
             Action::Refuse { request, reason, .. } => self.refused(&request, reason),
-            Action::AskRun { endpoint, grant } => {
+            Action::QueryRun { endpoint, grant } => {
                 let over = self.runs.get(&grant.0).is_none_or(|r| r.over);
                 if over && !endpoint.is_empty() {
-                    self.feed_one(id, Event::RunOver(grant));
+                    self.feed_one(id, Event::RunEnded(grant));
                 }
             }
-            Action::AskLoad(endpoint) => {
+            Action::QueryLoad(endpoint) => {
                 let on = |r: &&Run| !r.over && *r.endpoint == *endpoint;
                 let running = self.runs.values().filter(on).count() as u32;
-                let asked_at = self.now;
-                self.feed_one(id, Event::Load { endpoint, running, asked_at });
+                let requested_at = self.now;
+                self.feed_one(id, Event::Load { endpoint, running, requested_at });
             }
         }
     }
--- a/oxbowbend-core/tests/permit_exploration.rs
+++ b/oxbowbend-core/tests/permit_exploration.rs
@@ -152,14 +152,14 @@
                     self.broken = Some(format!("one slot, running: {:?}", self.running));
                 }
             }
-            Action::AskRun { grant, .. } if !self.running.contains_key(&grant.0) => {
-                self.feed(id, Event::RunOver(grant));
+            Action::QueryRun { grant, .. } if !self.running.contains_key(&grant.0) => {
+                self.feed(id, Event::RunEnded(grant));
             }
-            Action::AskLoad(endpoint) => {
-                let (running, asked_at) = (self.running.len() as u32, self.now);
-                self.feed(id, Event::Load { endpoint, running, asked_at });
+            Action::QueryLoad(endpoint) => {
+                let (running, requested_at) = (self.running.len() as u32, self.now);
+                self.feed(id, Event::Load { endpoint, running, requested_at });
             }
-            Action::AskRun { .. } | Action::Refuse { .. } => {}
+            Action::QueryRun { .. } | Action::Refuse { .. } => {}
         }
     }
 
--- a/oxbowbend-daemon/src/hub.rs
+++ b/oxbowbend-daemon/src/hub.rs
@@ -114,10 +114,10 @@
             node::Action::Refuse { request, reason, retry_after } => {
                 self.tell(&request, Decision::Refuse { reason, retry_after });
             }
-            node::Action::AskRun { endpoint, grant } => {
+            node::Action::QueryRun { endpoint, grant } => {
                 self.questions.try_send(Question::Run(endpoint, grant)).ok();
             }
-            node::Action::AskLoad(endpoint) => {
+            node::Action::QueryLoad(endpoint) => {
                 self.questions.try_send(Question::Load(endpoint)).ok();
             }
         }
--- a/oxbowbend-daemon/src/probes.rs
+++ b/oxbowbend-daemon/src/probes.rs
@@ -57,7 +57,7 @@
     grant: message::GrantId,
 ) {
     if is_over(client, address, &grant.0).await {
-        hub.feed(node::Event::RunOver(grant));
+        hub.feed(node::Event::RunEnded(grant));
     }
 }
 
@@ -79,11 +79,11 @@
     address: SocketAddr,
     endpoint: ids::EndpointId,
 ) {
-    let asked_at = clock::now();
+    let requested_at = clock::now();
     match control::load(client, address, client::Limits::all(LIMIT)).await {
         Ok(load) => {
             let running = load.running + load.waiting;
-            hub.feed(node::Event::Load { endpoint, running, asked_at });
+            hub.feed(node::Event::Load { endpoint, running, requested_at });
         }
         Err(e) => log::debug!("probe: {endpoint} gives no load: {e}."),
     }
