--- a/oxbowbend-core/src/entry.rs
+++ b/oxbowbend-core/src/entry.rs
@@ -376,13 +376,13 @@
         }
         let former = std::mem::replace(&mut side.scheduler, scheduler);
         side.floor = None;
-        let nothing = message::Message::Report {
+        let nothing = message::Message::Snapshot {
             pool: pool.clone(),
             waiting: Vec::new(),
             running: Vec::new(),
         };
         send_to(&former, nothing, out);
-        self.report(now, pool, out);
+        self.send_snapshot(now, pool, out);
     }
 
     /// The scheduler that a pool's requests are sent to.
@@ -391,7 +391,7 @@
     }
 
     /// Sends everything held in a pool to its scheduler.
-    pub fn report(&self, now: Instant, pool: &ids::PoolId, out: &mut Vec<node::Action>) {
+    pub fn send_snapshot(&self, now: Instant, pool: &ids::PoolId, out: &mut Vec<node::Action>) {
         let Some(side) = self.pools.get(pool) else { return };
         let mut waiting = Vec::new();
         let mut running = Vec::new();
@@ -405,7 +405,7 @@
         running.sort_by(|a, b| a.0.id.cmp(&b.0.id));
         send_to(
             &side.scheduler,
-            message::Message::Report { pool: pool.clone(), waiting, running },
+            message::Message::Snapshot { pool: pool.clone(), waiting, running },
             out,
         );
     }
--- a/oxbowbend-core/src/message.rs
+++ b/oxbowbend-core/src/message.rs
@@ -208,7 +208,8 @@
         report: RunReport,
     },
     /// Entry to scheduler: everything held in a pool, waiting and running.
-    Report {
+    #[serde(rename = "Report")]
+    Snapshot {
         /// The pool.
         pool: ids::PoolId,
         /// Requests that wait.
--- a/oxbowbend-core/src/node/heartbeats.rs
+++ b/oxbowbend-core/src/node/heartbeats.rs
@@ -109,7 +109,7 @@
         }
         for pool in resync {
             if self.entry.scheduler(pool) == Some(from) {
-                self.entry.report(now, pool, &mut self.actions);
+                self.entry.send_snapshot(now, pool, &mut self.actions);
                 self.offer_pool(pool);
             }
         }
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -348,8 +348,8 @@
             message::Message::Done { pool, request, attempt, report } => {
                 self.schedule(&pool, |s| s.done(now, &(request, attempt), &report));
             }
-            message::Message::Report { pool, waiting, running } => {
-                self.schedule(&pool, |s| s.report(now, from, waiting, running));
+            message::Message::Snapshot { pool, waiting, running } => {
+                self.schedule(&pool, |s| s.handle_snapshot(now, from, waiting, running));
             }
             message::Message::Offer(offers) => {
                 for offer in offers {
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -285,7 +285,7 @@
     }
 
     /// Replaces what is known of one entry's requests by its own account of them.
-    pub fn report(
+    pub fn handle_snapshot(
         &mut self,
         now: Instant,
         from: &ids::InstanceId,
--- a/oxbowbend-core/tests/fault_matrix.rs
+++ b/oxbowbend-core/tests/fault_matrix.rs
@@ -20,7 +20,7 @@
 /// Steps: messages at whose first delivery the fault strikes.
 const STEPS: [(&str, Matches); 22] = [
     ("enqueue", |e| matches!(e.message, Message::Enqueue(_))),
-    ("report", |e| matches!(e.message, Message::Report { .. })),
+    ("report", |e| matches!(e.message, Message::Snapshot { .. })),
     ("offer", |e| matches!(e.message, Message::Offer(_))),
     ("grant to account owner", |e| grant_to(e, 0)),
     ("grant to slot owner", |e| grant_to(e, 1)),
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -284,7 +284,7 @@
                 Some(e) => running.push((record.clone(), engine_name(*e).as_str().into())),
             }
         }
-        self.scheduler.report(now, &ENTRY.into(), waiting, running);
+        self.scheduler.handle_snapshot(now, &ENTRY.into(), waiting, running);
         self.asks = 0;
         self.offer_all();
     }
