--- a/oxbowbend-core/src/message.rs
+++ b/oxbowbend-core/src/message.rs
@@ -86,7 +86,8 @@
     /// Scheduler that decided.
     pub scheduler: ids::InstanceId,
     /// The scheduler's count of grants sent to the endpoint's owner, to date its offers.
-    pub ask: u64,
+    #[serde(rename = "ask")]
+    pub seq: u64,
     /// Owners still to reserve or already reserved, in order.
     pub hops: Vec<Hop>,
 }
@@ -102,8 +103,9 @@
     pub free: u32,
     /// Permits owned, free or not.
     pub owned: u32,
-    /// The latest [`Grant::ask`] of this scheduler that the numbers include.
-    pub asks_seen: u64,
+    /// The latest [`Grant::seq`] of this scheduler that the numbers include.
+    #[serde(rename = "asks_seen")]
+    pub last_seq: u64,
 }
 
 /// Proof of what an entry holds in a pool, sent with each heartbeat.
--- a/oxbowbend-core/src/node/duties.rs
+++ b/oxbowbend-core/src/node/duties.rs
@@ -37,7 +37,7 @@
         self.permits.orphan(now, |id| members.contains(id));
         self.permits.excuse(|id| members.contains(id));
         self.peers.retain(|id, _| members.contains(id));
-        self.asks_seen.retain(|id, _| members.contains(id));
+        self.last_grant_seq.retain(|id, _| members.contains(id));
         for (pool, scheduler) in &mut self.pools {
             scheduler.retain_members(|id| members.contains(id));
             self.dirty.insert(pool.clone());
--- a/oxbowbend-core/src/node/heartbeats.rs
+++ b/oxbowbend-core/src/node/heartbeats.rs
@@ -35,8 +35,8 @@
         scheduler: &ids::InstanceId,
     ) -> message::Offer {
         let (free, owned) = self.permits.count(&message::PermitKey::Endpoint(endpoint.clone()));
-        let asks_seen = self.asks_seen.get(scheduler).copied().unwrap_or(0);
-        message::Offer { pool: pool.clone(), endpoint, free, owned, asks_seen }
+        let last_seq = self.last_grant_seq.get(scheduler).copied().unwrap_or(0);
+        message::Offer { pool: pool.clone(), endpoint, free, owned, last_seq }
     }
 
     pub(super) fn pool_offers(
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -216,7 +216,7 @@
     listed_since: Option<Instant>,
     next_claim: Option<Instant>,
     idle_since: BTreeMap<ids::EndpointId, Instant>,
-    asks_seen: BTreeMap<ids::InstanceId, u64>,
+    last_grant_seq: BTreeMap<ids::InstanceId, u64>,
     leaving_endpoints: BTreeMap<ids::EndpointId, Instant>,
     heartbeat_seq: u64,
     last_event: Option<Instant>,
@@ -246,7 +246,7 @@
             listed_since: None,
             next_claim: None,
             idle_since: BTreeMap::new(),
-            asks_seen: BTreeMap::new(),
+            last_grant_seq: BTreeMap::new(),
             leaving_endpoints: BTreeMap::new(),
             heartbeat_seq: 0,
             last_event: None,
@@ -432,8 +432,8 @@
     fn reserve(&mut self, now: Instant, mut grant: message::Grant, at: usize) {
         let key = grant.hops[at].key.clone();
         if matches!(key, message::PermitKey::Endpoint(_)) {
-            let seen = self.asks_seen.entry(grant.scheduler.clone()).or_default();
-            *seen = (*seen).max(grant.ask);
+            let seen = self.last_grant_seq.entry(grant.scheduler.clone()).or_default();
+            *seen = (*seen).max(grant.seq);
         }
         // For an entry that is not listed nobody would ever notice that the permit is not used.
         let listed = self.view.members.contains(&grant.entry);
--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -108,7 +108,7 @@
             self.unanswered.pop_first();
             match self.requests.get(&id).map(|k| k.state.clone()) {
                 Some(State::Refused { reason, .. }) => self.refuse(now, &id, reason, out),
-                Some(State::Asked { .. }) => self.put_back(now, &id),
+                Some(State::Granted { .. }) => self.put_back(now, &id),
                 _ => {}
             }
         }
@@ -205,14 +205,14 @@
         let account = &known.info.account;
         let Ok(account_hop) = self.account_hop(now, account, directory) else { return };
         self.queue.serve(id);
-        let ask = self.asks.entry(owner.clone()).or_default();
-        *ask += 1;
-        let ask = *ask;
+        let seq = self.grant_seq.entry(owner.clone()).or_default();
+        *seq += 1;
+        let seq = *seq;
         let target = &mut self.sites[site];
         target.running += 1;
         target.cache.insert(&known.info.prefix);
         target.speed.probe();
-        target.offers.entry(owner.clone()).or_default().pending.insert(ask);
+        target.offers.entry(owner.clone()).or_default().in_flight.insert(seq);
         self.recount(site);
         let target = &self.sites[site];
         let key = message::PermitKey::Endpoint(target.id.clone());
@@ -227,7 +227,7 @@
             endpoint,
             entry: known.entry.clone(),
             scheduler: self.me.clone(),
-            ask,
+            seq,
             hops,
         };
         let first = grant.hops[0].owner.clone();
@@ -235,7 +235,7 @@
         self.unanswered.insert((now, id.clone()));
         if let Some(k) = self.requests.get_mut(id) {
             k.account_owner = account_owner;
-            k.state = State::Asked { site, owner, ask, at: now };
+            k.state = State::Granted { site, owner, seq, at: now };
         }
     }
 
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum State {
     Queued,
-    Asked { site: usize, owner: ids::InstanceId, ask: u64, at: Instant },
+    Granted { site: usize, owner: ids::InstanceId, seq: u64, at: Instant },
     Running { site: usize },
     Refused { reason: message::RefusalReason, retry_after_ms: u64, at: Instant },
 }
@@ -89,7 +89,7 @@
     queue: queue::Queue,
     sites: Vec<Site>,
     mirrors: BTreeMap<ids::InstanceId, Mirror>,
-    asks: BTreeMap<ids::InstanceId, u64>,
+    grant_seq: BTreeMap<ids::InstanceId, u64>,
     account_use: HashMap<ids::AccountId, AccountUse>,
     deadlines: BTreeSet<(Instant, ids::RequestId)>,
     floor: Option<Floor>,
@@ -120,7 +120,7 @@
             queue: queue::Queue::default(),
             sites: Vec::new(),
             mirrors: BTreeMap::new(),
-            asks: BTreeMap::new(),
+            grant_seq: BTreeMap::new(),
             account_use: HashMap::new(),
             deadlines: BTreeSet::new(),
             floor: None,
@@ -219,9 +219,9 @@
 
     fn leave_state(&mut self, known: &Known) {
         match &known.state {
-            State::Asked { site, owner, ask, at } => {
+            State::Granted { site, owner, seq, at } => {
                 self.unanswered.remove(&(*at, known.info.id.clone()));
-                self.settle_ask(*site, owner, *ask);
+                self.remove_in_flight(*site, owner, *seq);
                 self.sites[*site].running -= 1;
             }
             State::Running { site } => self.sites[*site].running -= 1,
@@ -232,9 +232,9 @@
         }
     }
 
-    fn settle_ask(&mut self, site: usize, owner: &ids::InstanceId, ask: u64) {
+    fn remove_in_flight(&mut self, site: usize, owner: &ids::InstanceId, seq: u64) {
         if let Some(offered) = self.sites[site].offers.get_mut(owner) {
-            offered.pending.remove(&ask);
+            offered.in_flight.remove(&seq);
         }
         self.recount(site);
     }
@@ -256,7 +256,7 @@
             return;
         }
         let Some(known) = self.requests.get(&grant_id.0).cloned() else { return };
-        let State::Asked { site, at, .. } = known.state else { return };
+        let State::Granted { site, at, .. } = known.state else { return };
         self.unanswered.remove(&(at, known.info.id.clone()));
         self.deadlines.remove(&(known.due, known.info.id.clone()));
         self.mirror(&known.entry, &known.info, false);
@@ -342,7 +342,7 @@
             self.forget(id);
         });
         self.mirrors.retain(|id, _| listed(id));
-        self.asks.retain(|id, _| listed(id));
+        self.grant_seq.retain(|id, _| listed(id));
         self.sites.iter_mut().for_each(|s| s.offers.retain(|id, _| listed(id)));
         (0..self.sites.len()).for_each(|at| self.recount(at));
     }
@@ -356,8 +356,8 @@
         } else {
             let offered = site.offers.entry(from.clone()).or_default();
             offered.free = offer.free;
-            offered.asks_seen = offered.asks_seen.max(offer.asks_seen);
-            offered.pending = offered.pending.split_off(&(offered.asks_seen + 1));
+            offered.last_seq = offered.last_seq.max(offer.last_seq);
+            offered.in_flight = offered.in_flight.split_off(&(offered.last_seq + 1));
         }
         self.recount(at);
     }
@@ -369,8 +369,8 @@
             return;
         }
         let Some(known) = self.requests.get(&grant.request) else { return };
-        let State::Asked { site, owner, ask, .. } = known.state.clone() else { return };
-        if ask != grant.ask {
+        let State::Granted { site, owner, seq, .. } = known.state.clone() else { return };
+        if seq != grant.seq {
             return;
         }
         match key {
@@ -386,8 +386,8 @@
     }
 
     fn account_denied(&mut self, grant: &message::Grant, account: &ids::AccountId) {
-        let asked = grant.hops.iter().find(|h| matches!(h.key, message::PermitKey::Account(_)));
-        let Some(hop) = asked else { return };
+        let hop = grant.hops.iter().find(|h| matches!(h.key, message::PermitKey::Account(_)));
+        let Some(hop) = hop else { return };
         let used = self.account_use.entry(account.clone()).or_default();
         used.full.insert(hop.owner.clone());
     }
--- a/oxbowbend-core/src/scheduler/site.rs
+++ b/oxbowbend-core/src/scheduler/site.rs
@@ -13,13 +13,13 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Offered {
     pub(super) free: u32,
-    pub(super) asks_seen: u64,
-    pub(super) pending: BTreeSet<u64>,
+    pub(super) last_seq: u64,
+    pub(super) in_flight: BTreeSet<u64>,
 }
 
 impl Offered {
     pub(super) fn available(&self) -> u32 {
-        let in_flight = self.pending.range(self.asks_seen + 1..).count() as u32;
+        let in_flight = self.in_flight.range(self.last_seq + 1..).count() as u32;
         self.free.saturating_sub(in_flight)
     }
 }
--- a/oxbowbend-standin/examples/capacity.rs
+++ b/oxbowbend-standin/examples/capacity.rs
@@ -99,7 +99,7 @@
             let endpoint = endpoint.as_str().into();
             s.offer(
                 &entry,
-                &message::Offer { pool: POOL.into(), endpoint, free, owned: 4, asks_seen: seen },
+                &message::Offer { pool: POOL.into(), endpoint, free, owned: 4, last_seq: seen },
             );
         };
     let mut out = Vec::new();
@@ -114,7 +114,7 @@
         s.pump(now, &policy::Alone, &mut out);
         for action in out.drain(..) {
             if let node::Action::Send { message: message::Message::Grant(grant), .. } = &action {
-                seen = seen.max(grant.ask);
+                seen = seen.max(grant.seq);
                 granted += 1;
                 s.handle_accepted(&(grant.request.clone(), grant.attempt));
             }
@@ -334,7 +334,7 @@
         endpoint: "engine-12".into(),
         entry: entry.clone(),
         scheduler: entry.clone(),
-        ask: 12_345,
+        seq: 12_345,
         hops: vec![
             hop(message::PermitKey::Account("account-1".into())),
             hop(message::PermitKey::Endpoint("engine-12".into())),
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -142,7 +142,7 @@
     fresh: Box<dyn Fn() -> C>,
     config: topology::Pool,
     free: Vec<u32>,
-    asks: u64,
+    last_seq: u64,
     held: BTreeMap<usize, (message::RequestInfo, Option<usize>)>,
 }
 
@@ -155,7 +155,7 @@
             fresh: Box::new(fresh),
             config,
             free,
-            asks: 0,
+            last_seq: 0,
             held: BTreeMap::new(),
         };
         scheduled.offer_all();
@@ -176,7 +176,7 @@
             endpoint: endpoint.as_str().into(),
             free: self.free[engine],
             owned,
-            asks_seen: self.asks,
+            last_seq: self.last_seq,
         };
         self.scheduler.offer(&ENTRY.into(), &offer);
     }
@@ -190,7 +190,7 @@
                 node::Action::Send { message: message::Message::Grant(grant), .. } => {
                     let request = request_number(&grant.request);
                     let engine = engine_number(&grant.endpoint);
-                    self.asks = self.asks.max(grant.ask);
+                    self.last_seq = self.last_seq.max(grant.seq);
                     self.free[engine] = self.free[engine].saturating_sub(1);
                     self.offer(engine);
                     self.scheduler.handle_accepted(&(grant.request.clone(), grant.attempt));
@@ -285,7 +285,7 @@
             }
         }
         self.scheduler.handle_snapshot(now, &ENTRY.into(), waiting, running);
-        self.asks = 0;
+        self.last_seq = 0;
         self.offer_all();
     }
 }
