--- a/oxbowbend-core/src/entry.rs
+++ b/oxbowbend-core/src/entry.rs
@@ -15,8 +15,8 @@
 use crate::node;
 
 /// Time without a word of the scheduler after which a shed floor is no longer enforced. It is
-/// longer than [`crate::scheduler::FLOOR_TRUST`], for which the scheduler relies on it.
-pub const FLOOR_KEEP: Duration = Duration::from_secs(5);
+/// longer than [`crate::scheduler::THRESHOLD_CONFIRMATION_TTL`], for which the scheduler relies on it.
+pub const THRESHOLD_LEASE: Duration = Duration::from_secs(5);
 
 /// When callers are to come back whose requests were given up because the instance was dropped.
 const DROPPED_RETRY: Duration = Duration::from_secs(1);
@@ -55,14 +55,14 @@
     scheduler: Option<ids::InstanceId>,
     digest: u64,
     requests: usize,
-    floor: Option<Floor>,
+    shed_threshold: Option<ShedThreshold>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Floor {
+struct ShedThreshold {
     seq: u64,
-    keep: ids::TierLevel,
-    heard: Instant,
+    lowest_kept: ids::TierLevel,
+    received_at: Instant,
 }
 
 /// The requests held by one entry instance.
@@ -113,8 +113,8 @@
         out: &mut Vec<node::Action>,
     ) {
         let side = self.pools.entry(info.pool.clone()).or_default();
-        if let Some(floor) = side.floor.filter(|f| info.tier > f.keep) {
-            let retry_after = floor.heard + FLOOR_KEEP;
+        if let Some(threshold) = side.shed_threshold.filter(|t| info.tier > t.lowest_kept) {
+            let retry_after = threshold.received_at + THRESHOLD_LEASE;
             let wait = retry_after.saturating_duration_since(now);
             out.push(node::Action::refuse(info.id, message::RefusalReason::Shed, wait));
             return;
@@ -375,7 +375,7 @@
             return;
         }
         let former = std::mem::replace(&mut side.scheduler, scheduler);
-        side.floor = None;
+        side.shed_threshold = None;
         let nothing = message::Message::Snapshot {
             pool: pool.clone(),
             waiting: Vec::new(),
@@ -411,26 +411,28 @@
     }
 
     /// Raises, renews or lifts the shed floor of a pool, on the word of its current scheduler.
-    pub fn set_floor(
+    pub fn handle_shed_threshold(
         &mut self,
         now: Instant,
         from: &str,
         pool: &ids::PoolId,
         seq: u64,
-        keep: Option<ids::TierLevel>,
+        lowest_kept: Option<ids::TierLevel>,
         out: &mut Vec<node::Action>,
     ) {
         let Some(side) = self.pools.get_mut(pool) else { return };
         if side.scheduler.as_deref() != Some(from) {
             return;
         }
-        side.floor = keep.map(|keep| Floor { seq, keep, heard: now });
-        let Some(keep) = keep else { return };
-        let below =
-            |r: &Request| r.info.pool == *pool && r.info.tier > keep && r.state == State::Waiting;
+        side.shed_threshold =
+            lowest_kept.map(|lowest_kept| ShedThreshold { seq, lowest_kept, received_at: now });
+        let Some(lowest_kept) = lowest_kept else { return };
+        let below = |r: &Request| {
+            r.info.pool == *pool && r.info.tier > lowest_kept && r.state == State::Waiting
+        };
         for id in self.select(below) {
             self.drop_waiting(&id, out);
-            out.push(node::Action::refuse(id, message::RefusalReason::Shed, FLOOR_KEEP));
+            out.push(node::Action::refuse(id, message::RefusalReason::Shed, THRESHOLD_LEASE));
         }
     }
 
@@ -459,7 +461,8 @@
             self.enqueue_again(now, &id, out);
         }
         for side in self.pools.values_mut() {
-            side.floor = side.floor.filter(|f| now.duration_since(f.heard) < FLOOR_KEEP);
+            side.shed_threshold =
+                side.shed_threshold.filter(|t| now.duration_since(t.received_at) < THRESHOLD_LEASE);
         }
         let overdue = |r: &Request| r.state == State::Waiting && r.due <= now;
         for id in self.select(overdue) {
@@ -474,7 +477,7 @@
         mine.map(|(pool, s)| message::PoolDigest {
             pool: pool.clone(),
             digest: s.digest,
-            floor: s.floor.map_or(0, |f| f.seq),
+            threshold_seq: s.shed_threshold.map_or(0, |t| t.seq),
         })
         .collect()
     }
--- a/oxbowbend-core/src/message.rs
+++ b/oxbowbend-core/src/message.rs
@@ -116,7 +116,8 @@
     /// Order-independent digest of the requests held and their attempts and states.
     pub digest: u64,
     /// The latest shed floor that the entry enforces.
-    pub floor: u64,
+    #[serde(rename = "floor")]
+    pub threshold_seq: u64,
 }
 
 /// Why a request was refused before it ran.
@@ -285,13 +286,15 @@
         retry_after_ms: u64,
     },
     /// Scheduler to member: shed arrivals below the given tier; `None` lifts the floor.
-    Floor {
+    #[serde(rename = "Floor")]
+    ShedThreshold {
         /// The pool.
         pool: ids::PoolId,
         /// Number of the message.
         seq: u64,
         /// Lowest tier that is still kept.
-        keep: Option<ids::TierLevel>,
+        #[serde(rename = "keep")]
+        lowest_kept: Option<ids::TierLevel>,
     },
     /// Member to all: I should own these permits; may I?
     Claim {
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -378,8 +378,15 @@
                 let retry_after = Duration::from_millis(retry_after_ms);
                 self.entry.refused(&(request, attempt), reason, retry_after, &mut self.actions);
             }
-            message::Message::Floor { pool, seq, keep } => {
-                self.entry.set_floor(now, from, &pool, seq, keep, &mut self.actions);
+            message::Message::ShedThreshold { pool, seq, lowest_kept } => {
+                self.entry.handle_shed_threshold(
+                    now,
+                    from,
+                    &pool,
+                    seq,
+                    lowest_kept,
+                    &mut self.actions,
+                );
                 self.send_heartbeat(now, from);
             }
             message::Message::Claim { nonce, list, permits } => {
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -25,7 +25,7 @@
 /// Time without a word after which a grant is taken to be lost and its request is granted again.
 pub const ASK_AGAIN: Duration = Duration::from_secs(2);
 /// For how long after it was sent a shed floor may be relied on at an entry that echoes it.
-pub const FLOOR_TRUST: Duration = Duration::from_secs(2);
+pub const THRESHOLD_CONFIRMATION_TTL: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug, PartialEq)]
 enum State {
@@ -49,14 +49,14 @@
 #[derive(Clone, Debug, Default)]
 struct Mirror {
     digest: u64,
-    floor: u64,
+    threshold_seq: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Floor {
-    keep: ids::TierLevel,
-    sent: BTreeMap<u64, Instant>,
-    renewed: Instant,
+struct ShedThreshold {
+    lowest_kept: ids::TierLevel,
+    sent_at: BTreeMap<u64, Instant>,
+    renewed_at: Instant,
 }
 
 /// What a scheduler must know of the other instances.
@@ -92,8 +92,8 @@
     grant_seq: BTreeMap<ids::InstanceId, u64>,
     account_use: HashMap<ids::AccountId, AccountUse>,
     deadlines: BTreeSet<(Instant, ids::RequestId)>,
-    floor: Option<Floor>,
-    next_floor: u64,
+    shed_threshold: Option<ShedThreshold>,
+    last_threshold_seq: u64,
     unanswered: BTreeSet<(Instant, ids::RequestId)>,
     site_of: HashMap<ids::EndpointId, usize>,
     /// Sites with free permits, so that a decision looks at no others.
@@ -123,8 +123,8 @@
             grant_seq: BTreeMap::new(),
             account_use: HashMap::new(),
             deadlines: BTreeSet::new(),
-            floor: None,
-            next_floor: 0,
+            shed_threshold: None,
+            last_threshold_seq: 0,
             unanswered: BTreeSet::new(),
             site_of: HashMap::new(),
             open: BTreeSet::new(),
@@ -328,7 +328,7 @@
         reported: &message::PoolDigest,
     ) -> bool {
         let mirror = self.mirrors.entry(from.clone()).or_default();
-        mirror.floor = reported.floor;
+        mirror.threshold_seq = reported.threshold_seq;
         mirror.digest != reported.digest
     }
 
--- a/oxbowbend-core/src/scheduler/shed.rs
+++ b/oxbowbend-core/src/scheduler/shed.rs
@@ -2,16 +2,16 @@
 
 use std::time::{Duration, Instant};
 
-use super::{Directory, Floor, Mirror, Scheduler, FLOOR_TRUST};
+use super::{Directory, Mirror, Scheduler, ShedThreshold, THRESHOLD_CONFIRMATION_TTL};
 use crate::choose::Choose;
 use crate::ids;
 use crate::message;
 use crate::node;
 
 /// Time between two sendings of a shed floor that is in force.
-const FLOOR_RENEW: Duration = Duration::from_millis(500);
+const THRESHOLD_RENEW_INTERVAL: Duration = Duration::from_millis(500);
 /// Part of the queue bound under which a shed floor is lifted.
-const FLOOR_LIFT: f64 = 0.8;
+const THRESHOLD_LIFT_FRACTION: f64 = 0.8;
 
 impl<C: Choose> Scheduler<C> {
     /// Sheds what is too much: the lowest tier at once, a higher one only when every entry that
@@ -25,55 +25,60 @@
         while self.queue.len() > self.queue_bound {
             let Some(victim) = self.queue.victim().map(|i| (i.id.clone(), i.tier)) else { return };
             let (id, tier) = victim;
-            if !directory.is_lowest(tier) && !self.floor_holds(now, tier, directory, out) {
+            if !directory.is_lowest(tier) && !self.is_threshold_confirmed(now, tier, directory, out)
+            {
                 return;
             }
             self.refuse(now, &id, message::RefusalReason::Shed, out);
         }
-        let low = (self.queue_bound as f64 * FLOOR_LIFT) as usize;
-        if self.floor.is_some() && self.queue.len() <= low {
-            self.floor = None;
-            self.send_floor(None, directory, out);
+        let low = (self.queue_bound as f64 * THRESHOLD_LIFT_FRACTION) as usize;
+        if self.shed_threshold.is_some() && self.queue.len() <= low {
+            self.shed_threshold = None;
+            self.send_shed_threshold(None, directory, out);
         }
     }
 
-    fn floor_holds(
+    fn is_threshold_confirmed(
         &mut self,
         now: Instant,
         tier: ids::TierLevel,
         directory: &impl Directory,
         out: &mut Vec<node::Action>,
     ) -> bool {
-        let renew = self
-            .floor
-            .as_ref()
-            .is_none_or(|f| f.keep != tier || now.duration_since(f.renewed) >= FLOOR_RENEW);
+        let renew = self.shed_threshold.as_ref().is_none_or(|t| {
+            t.lowest_kept != tier || now.duration_since(t.renewed_at) >= THRESHOLD_RENEW_INTERVAL
+        });
         if renew {
-            let seq = self.send_floor(Some(tier), directory, out);
-            let former = self.floor.take().filter(|f| f.keep == tier);
-            let mut sent = former.map(|f| f.sent).unwrap_or_default();
-            sent.insert(seq, now);
-            self.floor = Some(Floor { keep: tier, sent, renewed: now });
+            let seq = self.send_shed_threshold(Some(tier), directory, out);
+            let former = self.shed_threshold.take().filter(|t| t.lowest_kept == tier);
+            let mut sent_at = former.map(|t| t.sent_at).unwrap_or_default();
+            sent_at.insert(seq, now);
+            self.shed_threshold =
+                Some(ShedThreshold { lowest_kept: tier, sent_at, renewed_at: now });
         }
-        let Some(floor) = &mut self.floor else { return false };
-        floor.sent.retain(|_, at| now.duration_since(*at) < FLOOR_TRUST);
+        let Some(threshold) = &mut self.shed_threshold else { return false };
+        threshold.sent_at.retain(|_, at| now.duration_since(*at) < THRESHOLD_CONFIRMATION_TTL);
         let entries = directory.entries(&self.pool);
         let mirrors = &self.mirrors;
-        let echoes =
-            |id| mirrors.get(id).is_some_and(|m: &Mirror| floor.sent.contains_key(&m.floor));
+        let echoes = |id| {
+            mirrors
+                .get(id)
+                .is_some_and(|m: &Mirror| threshold.sent_at.contains_key(&m.threshold_seq))
+        };
         entries.iter().all(echoes)
     }
 
-    fn send_floor(
+    fn send_shed_threshold(
         &mut self,
-        keep: Option<ids::TierLevel>,
+        lowest_kept: Option<ids::TierLevel>,
         directory: &impl Directory,
         out: &mut Vec<node::Action>,
     ) -> u64 {
-        self.next_floor += 1;
-        let seq = self.next_floor;
+        self.last_threshold_seq += 1;
+        let seq = self.last_threshold_seq;
         for entry in directory.entries(&self.pool) {
-            let message = message::Message::Floor { pool: self.pool.clone(), seq, keep };
+            let message =
+                message::Message::ShedThreshold { pool: self.pool.clone(), seq, lowest_kept };
             out.push(node::Action::send(&entry, message));
         }
         seq
--- a/oxbowbend-core/tests/fault_matrix.rs
+++ b/oxbowbend-core/tests/fault_matrix.rs
@@ -35,7 +35,7 @@
     ("not used", |e| matches!(e.message, Message::NotInUse { .. })),
     ("refuse", |e| matches!(e.message, Message::Refuse { .. })),
     ("withdraw", |e| matches!(e.message, Message::Withdraw { .. })),
-    ("floor", |e| matches!(e.message, Message::Floor { .. })),
+    ("floor", |e| matches!(e.message, Message::ShedThreshold { .. })),
     ("beat", |e| matches!(e.message, Message::Heartbeat { .. })),
     ("beat ack", |e| matches!(e.message, Message::HeartbeatAck { .. })),
     ("claim", |e| matches!(e.message, Message::Claim { .. })),
--- a/oxbowbend-standin/examples/capacity.rs
+++ b/oxbowbend-standin/examples/capacity.rs
@@ -193,7 +193,7 @@
     let digests = |n: usize| message::PoolDigest {
         pool: format!("p{n}").as_str().into(),
         digest: 0,
-        floor: 0,
+        threshold_seq: 0,
     };
     let message = message::Message::Heartbeat { seq: 1, pools: (0..pools).map(digests).collect() };
     let from: ids::InstanceId = "entry-001-0123abcd".into();
@@ -340,7 +340,7 @@
             hop(message::PermitKey::Endpoint("engine-12".into())),
         ],
     };
-    let digest = message::PoolDigest { pool: POOL.into(), digest: u64::MAX, floor: 0 };
+    let digest = message::PoolDigest { pool: POOL.into(), digest: u64::MAX, threshold_seq: 0 };
     let table: BTreeMap<&str, usize> = [
         ("enqueue, 16 blocks", bytes(&message::Message::Enqueue(record(1, 16)))),
         ("enqueue, no blocks", bytes(&message::Message::Enqueue(record(1, 0)))),
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -207,11 +207,13 @@
                     self.held.remove(&request_number(&request));
                     verdicts.push(Verdict::Refuse(request_number(&request)));
                 }
-                node::Action::Send { message: message::Message::Floor { seq, .. }, .. } => {
+                node::Action::Send {
+                    message: message::Message::ShedThreshold { seq, .. }, ..
+                } => {
                     let digest = oxbowbend_core::message::PoolDigest {
                         pool: POOL.into(),
                         digest: 0,
-                        floor: seq,
+                        threshold_seq: seq,
                     };
                     self.scheduler.handle_digest(&ENTRY.into(), &digest);
                 }
