--- a/oxbowbend-core/src/entry.rs
+++ b/oxbowbend-core/src/ingress.rs
@@ -68,21 +68,21 @@
 /// The requests held by one entry instance.
 ///
 /// ```
-/// assert!(oxbowbend_core::entry::Entry::new("a".into()).is_empty());
+/// assert!(oxbowbend_core::ingress::Ingress::new("a".into()).is_empty());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct Ingress {
     me: ids::InstanceId,
     requests: HashMap<ids::RequestId, Request>,
     pools: BTreeMap<ids::PoolId, PoolSide>,
     enqueue_later: BTreeSet<ids::RequestId>,
 }
 
-impl Entry {
+impl Ingress {
     /// Creates an entry that holds nothing.
-    pub fn new(me: ids::InstanceId) -> Entry {
+    pub fn new(me: ids::InstanceId) -> Ingress {
         let (requests, pools, enqueue_later) = Default::default();
-        Entry { me, requests, pools, enqueue_later }
+        Ingress { me, requests, pools, enqueue_later }
     }
 
     /// Number of requests held, waiting or running.
--- a/oxbowbend-core/src/lib.rs
+++ b/oxbowbend-core/src/lib.rs
@@ -7,7 +7,7 @@
 
 # Usage
 
-[`node::Node`] composes the parts that one instance runs: the [`entry`] that holds callers'
+[`node::Node`] composes the parts that one instance runs: the [`ingress`] that holds callers'
 requests, the [`scheduler`] of each pool this instance was chosen for, and the [`permits`] this
 instance owns. The daemon feeds it [`node::Event`]s and carries out the [`node::Action`]s.
 
@@ -29,9 +29,9 @@
 pub mod cache;
 pub mod cell;
 pub mod choose;
-pub mod entry;
 pub mod fingerprint;
 pub mod ids;
+pub mod ingress;
 pub mod ledger;
 pub mod membership;
 pub mod message;
--- a/oxbowbend-core/src/message.rs
+++ b/oxbowbend-core/src/message.rs
@@ -82,7 +82,8 @@
     /// Endpoint to dispatch to.
     pub endpoint: ids::EndpointId,
     /// Entry instance that holds the request.
-    pub entry: ids::InstanceId,
+    #[serde(rename = "entry")]
+    pub ingress: ids::InstanceId,
     /// Scheduler that decided.
     pub scheduler: ids::InstanceId,
     /// The scheduler's count of grants sent to the endpoint's owner, to date its offers.
--- a/oxbowbend-core/src/node/duties.rs
+++ b/oxbowbend-core/src/node/duties.rs
@@ -21,7 +21,7 @@
         }
         if !listed && self.listed_since.take().is_some() {
             self.permits.forget();
-            self.entry.dropped(&mut self.actions);
+            self.ingress.dropped(&mut self.actions);
         }
         self.members_changed(now);
     }
@@ -91,11 +91,11 @@
         let zone = self.zone.clone();
         for (id, pool) in topology.pools.iter().filter(|(_, p)| p.zones.contains(&zone)) {
             let scheduler = self.view.members.preferred(&pool.zones, id);
-            let former = self.entry.scheduler(id).cloned();
+            let former = self.ingress.scheduler(id).cloned();
             if former == scheduler {
                 continue;
             }
-            self.entry.set_scheduler(now, id, scheduler, &mut self.actions);
+            self.ingress.set_scheduler(now, id, scheduler, &mut self.actions);
             self.withdraw_offers(id, former);
             self.offer_pool(id);
         }
--- a/oxbowbend-core/src/node/heartbeats.rs
+++ b/oxbowbend-core/src/node/heartbeats.rs
@@ -17,7 +17,7 @@
         let mut offers: BTreeMap<ids::InstanceId, Vec<message::Offer>> = BTreeMap::new();
         for endpoint in changed {
             let Some(pool) = self.view.topology.pool_of(&endpoint).cloned() else { continue };
-            let Some(scheduler) = self.entry.scheduler(&pool).cloned() else { continue };
+            let Some(scheduler) = self.ingress.scheduler(&pool).cloned() else { continue };
             let offer = self.offer(&pool, endpoint, &scheduler);
             offers.entry(scheduler).or_default().push(offer);
         }
@@ -50,7 +50,7 @@
     }
 
     pub(super) fn offer_pool(&mut self, pool: &ids::PoolId) {
-        let Some(scheduler) = self.entry.scheduler(pool).cloned() else { return };
+        let Some(scheduler) = self.ingress.scheduler(pool).cloned() else { return };
         let offers = self.pool_offers(pool, &scheduler);
         if !offers.is_empty() {
             self.actions.push(Action::send(&scheduler, message::Message::Offer(offers)));
@@ -68,7 +68,7 @@
 
     pub(super) fn send_heartbeat(&mut self, now: Instant, to: &ids::InstanceId) {
         self.heartbeat_seq += 1;
-        let pools = self.entry.pool_digests(to);
+        let pools = self.ingress.pool_digests(to);
         self.actions
             .push(Action::send(to, message::Message::Heartbeat { seq: self.heartbeat_seq, pools }));
         if *to == self.me {
@@ -108,8 +108,8 @@
             self.retarget(now);
         }
         for pool in resync {
-            if self.entry.scheduler(pool) == Some(from) {
-                self.entry.send_snapshot(now, pool, &mut self.actions);
+            if self.ingress.scheduler(pool) == Some(from) {
+                self.ingress.send_snapshot(now, pool, &mut self.actions);
                 self.offer_pool(pool);
             }
         }
@@ -124,7 +124,7 @@
     pub(super) fn send_heartbeats(&mut self, now: Instant) {
         let topology = self.view.topology.clone();
         let mut due: BTreeSet<ids::InstanceId> =
-            topology.pools.keys().filter_map(|p| self.entry.scheduler(p).cloned()).collect();
+            topology.pools.keys().filter_map(|p| self.ingress.scheduler(p).cloned()).collect();
         due.retain(|id| self.is_heartbeat_due(now, id, HEARTBEAT_INTERVAL));
         let suspects: Vec<ids::InstanceId> = self.view.members.suspects().cloned().collect();
         due.extend(
@@ -153,7 +153,7 @@
     pub(super) fn repeat_offers(&mut self, scheduler: &ids::InstanceId) {
         let topology = self.view.topology.clone();
         for pool in topology.pools.keys() {
-            if self.entry.scheduler(pool) == Some(scheduler) {
+            if self.ingress.scheduler(pool) == Some(scheduler) {
                 self.offer_pool(pool);
             }
         }
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 
 use crate::choose;
-use crate::entry;
 use crate::ids;
+use crate::ingress;
 use crate::membership;
 use crate::message;
 use crate::permits;
@@ -171,7 +171,7 @@
         self.account_shares.get(account).map(Vec::as_slice)
     }
 
-    fn entries(&self, pool: &ids::PoolId) -> Vec<ids::InstanceId> {
+    fn ingress_instances(&self, pool: &ids::PoolId) -> Vec<ids::InstanceId> {
         let Some(pool) = self.topology.pools.get(pool) else { return Vec::new() };
         let members = &self.members.list().members;
         members
@@ -205,7 +205,7 @@
     zone: ids::ZoneId,
     view: View,
     permits: permits::Permits,
-    entry: entry::Entry,
+    ingress: ingress::Ingress,
     pools: BTreeMap<ids::PoolId, scheduler::Scheduler<choose::Predicted>>,
     peers: BTreeMap<ids::InstanceId, Peer>,
     local: VecDeque<message::Message>,
@@ -231,7 +231,7 @@
     pub fn new(me: ids::InstanceId, zone: ids::ZoneId, seed: u64) -> Node {
         let members = membership::Membership::new(me.clone());
         Node {
-            entry: entry::Entry::new(me.clone()),
+            ingress: ingress::Ingress::new(me.clone()),
             me,
             zone,
             view: View { members, topology: Arc::default(), account_shares: BTreeMap::new() },
@@ -271,7 +271,7 @@
             self.permits.forget();
             self.quarantined = true;
             // It may have been dropped from the list and entered again meanwhile.
-            self.entry.dropped(&mut self.actions);
+            self.ingress.dropped(&mut self.actions);
         }
     }
 
@@ -282,15 +282,15 @@
             Event::Topology(topology) => self.configure(now, topology),
             Event::Peer { from, message } => self.message(now, &from, message),
             Event::PeerDown(id) => self.peer_down(now, &id),
-            Event::Arrive(info) => self.entry.arrive(now, info, &mut self.actions),
+            Event::Arrive(info) => self.ingress.arrive(now, info, &mut self.actions),
             Event::Withdraw(request) => {
-                self.entry.withdraw(&request, &mut self.actions);
+                self.ingress.withdraw(&request, &mut self.actions);
             }
             Event::Finish { request, report } => {
-                self.entry.finish(&request, report, &mut self.actions);
+                self.ingress.finish(&request, report, &mut self.actions);
             }
             Event::Requeue { request, report } => {
-                self.entry.requeue(now, &request, report, &mut self.actions);
+                self.ingress.requeue(now, &request, report, &mut self.actions);
             }
             Event::EndpointLeaving(endpoint) => self.endpoint_leaving(now, endpoint, true),
             Event::Load { endpoint, running, requested_at } => {
@@ -368,7 +368,7 @@
                 self.permits.release(&(request, attempt), Some(&key));
             }
             message::Message::QueryUsage { uses } => {
-                self.entry.handle_usage_query(now, from, uses, &mut self.actions);
+                self.ingress.handle_usage_query(now, from, uses, &mut self.actions);
             }
             message::Message::NotInUse { uses } => {
                 uses.iter().for_each(|u| self.permits.handle_not_in_use(u))
@@ -376,10 +376,10 @@
             message::Message::InUse { grants } => self.permits.confirm_use(now, &grants),
             message::Message::Refuse { request, attempt, reason, retry_after_ms } => {
                 let retry_after = Duration::from_millis(retry_after_ms);
-                self.entry.refused(&(request, attempt), reason, retry_after, &mut self.actions);
+                self.ingress.refused(&(request, attempt), reason, retry_after, &mut self.actions);
             }
             message::Message::ShedThreshold { pool, seq, lowest_kept } => {
-                self.entry.handle_shed_threshold(
+                self.ingress.handle_shed_threshold(
                     now,
                     from,
                     &pool,
@@ -443,14 +443,14 @@
             *seen = (*seen).max(grant.seq);
         }
         // For an entry that is not listed nobody would ever notice that the permit is not used.
-        let listed = self.view.members.contains(&grant.entry);
+        let listed = self.view.members.contains(&grant.ingress);
         let reserved = listed.then(|| self.permits.reserve(now, &key, &grant)).flatten();
         let Some(index) = reserved else {
             self.deny(grant, key);
             return;
         };
         grant.hops[at].index = Some(index);
-        let next = grant.hops.get(at + 1).map_or(&grant.entry, |h| &h.owner).clone();
+        let next = grant.hops.get(at + 1).map_or(&grant.ingress, |h| &h.owner).clone();
         self.actions.push(Action::send(&next, message::Message::Grant(grant)));
     }
 
@@ -467,7 +467,7 @@
     fn grant_arrived(&mut self, grant: message::Grant) {
         let listed = grant.hops.iter().all(|h| self.view.members.contains(&h.owner));
         let valid = listed && !self.quarantined && self.may_dispatch(&grant.endpoint);
-        self.entry.granted(grant, valid, &mut self.actions);
+        self.ingress.granted(grant, valid, &mut self.actions);
     }
 
     /// Whether new work may be sent to an endpoint, by everything known here.
@@ -478,8 +478,8 @@
     }
 
     /// The requests held here.
-    pub fn entry(&self) -> &entry::Entry {
-        &self.entry
+    pub fn ingress(&self) -> &ingress::Ingress {
+        &self.ingress
     }
 
     /// The permits owned here.
--- a/oxbowbend-core/src/node/upkeep.rs
+++ b/oxbowbend-core/src/node/upkeep.rs
@@ -13,7 +13,7 @@
 
 impl Node {
     pub(super) fn tick(&mut self, now: Instant) {
-        self.entry.tick(now, &mut self.actions);
+        self.ingress.tick(now, &mut self.actions);
         self.fix_baseline(now);
         self.send_heartbeats(now);
         self.suspect_silent(now);
@@ -110,7 +110,7 @@
 
     /// Whether a stopping instance holds no request any more.
     pub fn is_drained(&self) -> bool {
-        self.draining && self.entry.is_empty()
+        self.draining && self.ingress.is_empty()
     }
 
     /// Whether every permit has been ceded to another instance, or no other is there to stay.
--- a/oxbowbend-core/src/permits/claims.rs
+++ b/oxbowbend-core/src/permits/claims.rs
@@ -143,7 +143,7 @@
             let vouched = claim.ceded.contains(permit);
             let new = fresh(permit) && !self.cleared.contains(permit);
             match claim.used.get(permit) {
-                Some((entry, u)) => self.take_used(now, entry, u),
+                Some((ingress, u)) => self.take_used(now, ingress, u),
                 None if vouched || new => self.take_free(permit),
                 None => self.insert(permit, Hold::Unproven { since: now }),
             }
@@ -157,10 +157,10 @@
         self.set_free(permit);
     }
 
-    fn take_used(&mut self, now: Instant, entry: &ids::InstanceId, u: &message::PermitUse) {
+    fn take_used(&mut self, now: Instant, ingress: &ids::InstanceId, u: &message::PermitUse) {
         let (request, attempt) = u.grant.clone();
-        let (entry, endpoint) = (entry.clone(), u.endpoint.clone());
-        let used = Use { request, attempt, entry, endpoint, query_at: now, orphaned: None };
+        let (ingress, endpoint) = (ingress.clone(), u.endpoint.clone());
+        let used = Use { request, attempt, ingress, endpoint, query_at: now, orphaned: None };
         self.insert(&u.permit, Hold::Used(used));
         self.by_request.entry(u.grant.clone()).or_default().push(u.permit.clone());
     }
--- a/oxbowbend-core/src/permits/mod.rs
+++ b/oxbowbend-core/src/permits/mod.rs
@@ -35,7 +35,7 @@
     /// The attempt granted.
     pub attempt: ids::Attempt,
     /// Entry instance of the request.
-    pub entry: ids::InstanceId,
+    pub ingress: ids::InstanceId,
     /// Endpoint at which it runs.
     pub endpoint: ids::EndpointId,
     query_at: Instant,
@@ -119,7 +119,7 @@
         let used = Use {
             request: grant.request.clone(),
             attempt: grant.attempt,
-            entry: grant.entry.clone(),
+            ingress: grant.ingress.clone(),
             endpoint: grant.endpoint.clone(),
             query_at: now + USAGE_QUERY_DELAY,
             orphaned: None,
@@ -217,7 +217,7 @@
                 let permit = message::Permit { key: key.clone(), index: *index };
                 let grant = (used.request.clone(), used.attempt);
                 let asked = message::PermitUse { permit, grant, endpoint: used.endpoint.clone() };
-                due.entry(used.entry.clone()).or_default().push(asked);
+                due.entry(used.ingress.clone()).or_default().push(asked);
             }
         }
         due
@@ -250,7 +250,7 @@
 
     /// Marks the grants of entry instances for which `listed` does not hold as orphaned.
     pub fn orphan(&mut self, now: Instant, listed: impl Fn(&str) -> bool) {
-        for used in self.uses_mut().filter(|u| u.orphaned.is_none() && !listed(&u.entry)) {
+        for used in self.uses_mut().filter(|u| u.orphaned.is_none() && !listed(&u.ingress)) {
             used.orphaned = Some(now);
         }
     }
--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -86,7 +86,7 @@
         self.unanswered.insert((now, id.clone()));
         let (request, attempt) = (id.clone(), known.info.attempt);
         let message = message::Message::Refuse { request, attempt, reason, retry_after_ms };
-        out.push(node::Action::send(&known.entry, message));
+        out.push(node::Action::send(&known.ingress, message));
     }
 
     /// Time after which the work that waits now should have been served.
@@ -225,7 +225,7 @@
             attempt: known.info.attempt,
             pool: self.pool.clone(),
             endpoint,
-            entry: known.entry.clone(),
+            ingress: known.ingress.clone(),
             scheduler: self.me.clone(),
             seq,
             hops,
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 
 use crate::choose::Choose;
-use crate::entry;
 use crate::ids;
+use crate::ingress;
 use crate::message;
 use crate::queue;
 use crate::topology;
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 struct Known {
     info: message::RequestInfo,
-    entry: ids::InstanceId,
+    ingress: ids::InstanceId,
     due: Instant,
     account_owner: Option<ids::InstanceId>,
     passed: u32,
@@ -64,7 +64,7 @@
     /// The owners of the account's permits with their numbers; `None` if it has no limit.
     fn account_owners(&self, account: &ids::AccountId) -> Option<&[(ids::InstanceId, u32)]>;
     /// Instances that may hold requests of the pool.
-    fn entries(&self, pool: &ids::PoolId) -> Vec<ids::InstanceId>;
+    fn ingress_instances(&self, pool: &ids::PoolId) -> Vec<ids::InstanceId>;
     /// Whether the lowest declared tier is `tier` or a higher one.
     fn is_lowest(&self, tier: ids::TierLevel) -> bool;
 }
@@ -192,15 +192,15 @@
         let due = now + Duration::from_millis(info.due_in_ms);
         self.queue.push(item(&info));
         self.deadlines.insert((due, id.clone()));
-        let entry = from.clone();
+        let ingress = from.clone();
         let known =
-            Known { info, entry, due, account_owner: None, passed: 0, state: State::Queued };
+            Known { info, ingress, due, account_owner: None, passed: 0, state: State::Queued };
         self.requests.insert(id, known);
     }
 
-    fn mirror(&mut self, entry: &ids::InstanceId, info: &message::RequestInfo, running: bool) {
-        let mirror = self.mirrors.entry(entry.clone()).or_default();
-        mirror.digest ^= entry::fingerprint(&info.id, info.attempt, running);
+    fn mirror(&mut self, ingress: &ids::InstanceId, info: &message::RequestInfo, running: bool) {
+        let mirror = self.mirrors.entry(ingress.clone()).or_default();
+        mirror.digest ^= ingress::fingerprint(&info.id, info.attempt, running);
     }
 
     /// Removes every trace of a request.
@@ -213,7 +213,7 @@
             self.account_use.entry(known.info.account.clone()).or_default().give_back(owner);
         }
         let running = matches!(known.state, State::Running { .. });
-        self.mirror(&known.entry, &known.info, running);
+        self.mirror(&known.ingress, &known.info, running);
         Some(known)
     }
 
@@ -259,8 +259,8 @@
         let State::Granted { site, at, .. } = known.state else { return };
         self.unanswered.remove(&(at, known.info.id.clone()));
         self.deadlines.remove(&(known.due, known.info.id.clone()));
-        self.mirror(&known.entry, &known.info, false);
-        self.mirror(&known.entry, &known.info, true);
+        self.mirror(&known.ingress, &known.info, false);
+        self.mirror(&known.ingress, &known.info, true);
         if let Some(k) = self.requests.get_mut(&grant_id.0) {
             k.state = State::Running { site };
         }
@@ -292,9 +292,9 @@
         waiting: Vec<message::RequestInfo>,
         running: Vec<(message::RequestInfo, ids::EndpointId)>,
     ) {
-        let of_entry = |k: &&Known| k.entry == *from;
+        let of_ingress = |k: &&Known| k.ingress == *from;
         let mut former: Vec<ids::RequestId> =
-            self.requests.values().filter(of_entry).map(|k| k.info.id.clone()).collect();
+            self.requests.values().filter(of_ingress).map(|k| k.info.id.clone()).collect();
         former.sort();
         former.iter().for_each(|id| {
             self.forget(id);
@@ -315,10 +315,10 @@
         let Some(site) = self.site_of.get(at).copied() else { return };
         self.sites[site].running += 1;
         self.sites[site].cache.insert(&info.prefix);
-        let (id, entry) = (info.id.clone(), from.clone());
+        let (id, ingress) = (info.id.clone(), from.clone());
         let state = State::Running { site };
         self.requests
-            .insert(id, Known { info, entry, due: now, account_owner: None, passed: 0, state });
+            .insert(id, Known { info, ingress, due: now, account_owner: None, passed: 0, state });
     }
 
     /// Compares an entry's digest with the mirror; says whether a report is needed.
@@ -334,7 +334,7 @@
 
     /// Drops what belongs to instances that are gone.
     pub fn retain_members(&mut self, listed: impl Fn(&str) -> bool) {
-        let gone = |k: &&Known| !listed(&k.entry);
+        let gone = |k: &&Known| !listed(&k.ingress);
         let mut lost: Vec<ids::RequestId> =
             self.requests.values().filter(gone).map(|k| k.info.id.clone()).collect();
         lost.sort();
--- a/oxbowbend-core/src/scheduler/shed.rs
+++ b/oxbowbend-core/src/scheduler/shed.rs
@@ -58,14 +58,14 @@
         }
         let Some(threshold) = &mut self.shed_threshold else { return false };
         threshold.sent_at.retain(|_, at| now.duration_since(*at) < THRESHOLD_CONFIRMATION_TTL);
-        let entries = directory.entries(&self.pool);
+        let ingress_instances = directory.ingress_instances(&self.pool);
         let mirrors = &self.mirrors;
         let echoes = |id| {
             mirrors
                 .get(id)
                 .is_some_and(|m: &Mirror| threshold.sent_at.contains_key(&m.threshold_seq))
         };
-        entries.iter().all(echoes)
+        ingress_instances.iter().all(echoes)
     }
 
     fn send_shed_threshold(
@@ -76,10 +76,10 @@
     ) -> u64 {
         self.last_threshold_seq += 1;
         let seq = self.last_threshold_seq;
-        for entry in directory.entries(&self.pool) {
+        for ingress in directory.ingress_instances(&self.pool) {
             let message =
                 message::Message::ShedThreshold { pool: self.pool.clone(), seq, lowest_kept };
-            out.push(node::Action::send(&entry, message));
+            out.push(node::Action::send(&ingress, message));
         }
         seq
     }
--- a/oxbowbend-core/tests/fault_matrix.rs
+++ b/oxbowbend-core/tests/fault_matrix.rs
@@ -190,9 +190,9 @@
 
 fn load(world: &mut World, name: &str) {
     for n in 0..18 {
-        let entry = ["a", "b", "c"][n % 3];
-        if world.is_up(entry) {
-            world.arrive(entry, record(&format!("{name}{n}"), 2 - (n / 6) as u8));
+        let ingress = ["a", "b", "c"][n % 3];
+        if world.is_up(ingress) {
+            world.arrive(ingress, record(&format!("{name}{n}"), 2 - (n / 6) as u8));
         }
     }
 }
--- a/oxbowbend-core/tests/harness/mod.rs
+++ b/oxbowbend-core/tests/harness/mod.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     pub endpoint: String,
-    pub entry: InstanceId,
+    pub ingress: InstanceId,
     pub account: String,
     pub ends: Instant,
     pub over: bool,
@@ -178,8 +178,8 @@
         }
         place.alive = false;
         self.queue.retain(|e| e.from != *id && e.to != *id);
-        for (request, (entry, _)) in &self.records {
-            if entry == id && self.fates[request] == Fate::Open {
+        for (request, (ingress, _)) in &self.records {
+            if ingress == id && self.fates[request] == Fate::Open {
                 self.fates.insert(request.clone(), Fate::Lost);
             }
         }
@@ -191,9 +191,9 @@
             return;
         }
         self.list.version += 1;
-        for (request, (entry, record)) in &self.records {
+        for (request, (ingress, record)) in &self.records {
             let waits = self.fates[request] == Fate::Open && !self.runs.contains_key(request);
-            if entry == id && waits && record.tier > 0 {
+            if ingress == id && waits && record.tier > 0 {
                 self.written_off.insert(request.clone());
             }
         }
@@ -246,12 +246,12 @@
         self.settle();
     }
 
-    pub fn arrive(&mut self, entry: &str, record: RequestInfo) {
-        let entry: InstanceId = entry.into();
+    pub fn arrive(&mut self, ingress: &str, record: RequestInfo) {
+        let ingress: InstanceId = ingress.into();
         let id = record.id.clone();
-        self.records.insert(id.clone(), (entry.clone(), record.clone()));
+        self.records.insert(id.clone(), (ingress.clone(), record.clone()));
         self.fates.insert(id, Fate::Open);
-        self.feed(&entry, Event::Arrive(record));
+        self.feed(&ingress, Event::Arrive(record));
     }
 
     /// Feeds an event to a node and carries out what it decides.
@@ -301,7 +301,7 @@
         }
     }
 
-    fn start_run(&mut self, entry: InstanceId, grant: Grant) {
+    fn start_run(&mut self, ingress: InstanceId, grant: Grant) {
         let (request, endpoint) = (grant.request.clone(), grant.endpoint.to_string());
         if self.runs.contains_key(&request) {
             self.broken.push(format!("{request} was dispatched twice"));
@@ -314,7 +314,7 @@
         }
         let account = self.records[&request].1.account.to_string();
         let ends = self.now + self.run_time;
-        let run = Run { endpoint: endpoint.clone(), entry, account, ends, over: false };
+        let run = Run { endpoint: endpoint.clone(), ingress, account, ends, over: false };
         self.runs.insert(request, run);
         self.check_limits();
     }
@@ -348,12 +348,12 @@
 
     /// Nothing of a lower tier may wait at any instance that lives.
     fn check_shed(&mut self, request: &str, tier: u8) {
-        let lower = self.records.iter().find(|(id, (entry, r))| {
+        let lower = self.records.iter().find(|(id, (ingress, r))| {
             let open = self.fates[*id] == Fate::Open && !self.runs.contains_key(*id);
-            let held = self.places[entry].node.entry().attempt(id).is_some();
+            let held = self.places[ingress].node.ingress().attempt(id).is_some();
             // An instance that the list has dropped counts as dead.
-            let listed = self.list.members.contains_key(entry);
-            open && held && listed && self.places[entry].alive && r.tier > tier
+            let listed = self.list.members.contains_key(ingress);
+            open && held && listed && self.places[ingress].alive && r.tier > tier
         });
         if let Some((id, (_, r))) = lower {
             let found =
@@ -362,7 +362,7 @@
         }
     }
 
-    fn finish(&mut self, entry: &InstanceId, request: &RequestId) {
+    fn finish(&mut self, ingress: &InstanceId, request: &RequestId) {
         self.fates.insert(request.clone(), Fate::Done);
         let report = RunReport {
             outcome: RunOutcome::Complete,
@@ -372,7 +372,7 @@
             cached_tokens: 0,
             output_tokens: 10,
         };
-        self.feed(entry, Event::Finish { request: request.clone(), report });
+        self.feed(ingress, Event::Finish { request: request.clone(), report });
     }
 
     /// Delivers messages until none is on its way.
@@ -458,24 +458,24 @@
             .runs
             .iter()
             .filter(|(_, r)| !r.over && r.ends <= now)
-            .map(|(id, r)| (id.clone(), r.entry.clone()))
+            .map(|(id, r)| (id.clone(), r.ingress.clone()))
             .collect();
-        for (request, entry) in due {
+        for (request, ingress) in due {
             if let Some(run) = self.runs.get_mut(&request) {
                 run.over = true;
             }
-            let place = self.places.get_mut(&entry).expect("entries stay known");
+            let place = self.places.get_mut(&ingress).expect("entries stay known");
             if place.frozen {
                 place.finished_while_frozen.push(request);
             } else if place.alive {
-                self.finish(&entry, &request);
+                self.finish(&ingress, &request);
             }
         }
     }
 
     /// The instance that schedules the pool, by the word of `of`.
     pub fn scheduler(&self, of: &str) -> InstanceId {
-        self.node(of).entry().scheduler(POOL).cloned().expect("a scheduler is known")
+        self.node(of).ingress().scheduler(POOL).cloned().expect("a scheduler is known")
     }
 
     pub fn count(&self, fate: &Fate) -> usize {
--- a/oxbowbend-core/tests/nodes.rs
+++ b/oxbowbend-core/tests/nodes.rs
@@ -147,8 +147,8 @@
     let mut world = World::new(&THREE, topology(&[("e1", 1)], None));
     world.run_time = Duration::from_secs(20);
     let owner = owner(&world);
-    let entry = world.ids().into_iter().find(|id| *id != owner).expect("there are three");
-    world.arrive(&entry, record("long", 0));
+    let ingress = world.ids().into_iter().find(|id| *id != owner).expect("there are three");
+    world.arrive(&ingress, record("long", 0));
     assert!(world.runs.contains_key("long"));
     world.kill(&owner);
     world.unlist(&owner);
--- a/oxbowbend-core/tests/permit_exploration.rs
+++ b/oxbowbend-core/tests/permit_exploration.rs
@@ -65,7 +65,7 @@
 
     fn scheduler(&self) -> InstanceId {
         let node = self.nodes.values().next().expect("there are nodes");
-        node.entry().scheduler(harness::POOL).expect("there is a scheduler").clone()
+        node.ingress().scheduler(harness::POOL).expect("there is a scheduler").clone()
     }
 
     fn settled(start: Instant, endpoint: &str, losses: u8, steps: u8) -> State {
@@ -205,12 +205,12 @@
                 s.list.version += 1;
             });
         }
-        for (request, entry) in &self.running {
+        for (request, ingress) in &self.running {
             push(&|s| {
                 s.running.remove(request);
                 s.ended.insert(request.clone());
                 let report = RunReport::default();
-                s.feed(entry, Event::Finish { request: request.clone(), report });
+                s.feed(ingress, Event::Finish { request: request.clone(), report });
             });
         }
         if self.steps > 0 {
--- a/oxbowbend-daemon/src/hub.rs
+++ b/oxbowbend-daemon/src/hub.rs
@@ -166,7 +166,7 @@
     /// Takes the request out of the queue; `false` means that it has been granted meanwhile.
     pub(crate) fn withdraw(&self) -> bool {
         self.hub.feed(node::Event::Withdraw(self.id.clone()));
-        self.hub.node().entry().attempt(&self.id).is_none()
+        self.hub.node().ingress().attempt(&self.id).is_none()
     }
 
     /// Ends the run.
--- a/oxbowbend-daemon/src/operators.rs
+++ b/oxbowbend-daemon/src/operators.rs
@@ -325,7 +325,7 @@
             .iter()
             .map(|(id, pool)| {
                 let slots: u32 = pool.endpoints.values().map(|e| e.slots).sum();
-                let scheduler = node.entry().scheduler(id);
+                let scheduler = node.ingress().scheduler(id);
                 let here = node.scheduler(id).map_or(0, |s| s.waiting());
                 let endpoints = pool.endpoints.len();
                 let status = json!({
@@ -335,7 +335,7 @@
                 (id.to_string(), status)
             })
             .collect();
-        let held = node.entry().len();
+        let held = node.ingress().len();
         let unproven = node.permits().unproven();
         let owned = node.permits().owned();
         problem::json(
--- a/oxbowbend-standin/examples/capacity.rs
+++ b/oxbowbend-standin/examples/capacity.rs
@@ -332,7 +332,7 @@
         attempt: 1,
         pool: POOL.into(),
         endpoint: "engine-12".into(),
-        entry: entry.clone(),
+        ingress: entry.clone(),
         scheduler: entry.clone(),
         seq: 12_345,
         hops: vec![
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -127,7 +127,7 @@
         None
     }
 
-    fn entries(&self, _: &ids::PoolId) -> Vec<ids::InstanceId> {
+    fn ingress_instances(&self, _: &ids::PoolId) -> Vec<ids::InstanceId> {
         vec![ENTRY.into()]
     }
 
