--- a/oxbowbend-core/src/ingress.rs
+++ b/oxbowbend-core/src/ingress.rs
@@ -51,7 +51,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct PoolSide {
+struct PoolState {
     scheduler: Option<ids::InstanceId>,
     digest: u64,
     requests: usize,
@@ -74,7 +74,7 @@
 pub struct Ingress {
     me: ids::InstanceId,
     requests: HashMap<ids::RequestId, Request>,
-    pools: BTreeMap<ids::PoolId, PoolSide>,
+    pools: BTreeMap<ids::PoolId, PoolState>,
     enqueue_later: BTreeSet<ids::RequestId>,
 }
 
@@ -112,8 +112,8 @@
         info: message::RequestInfo,
         out: &mut Vec<node::Action>,
     ) {
-        let side = self.pools.entry(info.pool.clone()).or_default();
-        if let Some(threshold) = side.shed_threshold.filter(|t| info.tier > t.lowest_kept) {
+        let pool_state = self.pools.entry(info.pool.clone()).or_default();
+        if let Some(threshold) = pool_state.shed_threshold.filter(|t| info.tier > t.lowest_kept) {
             let retry_after = threshold.received_at + THRESHOLD_LEASE;
             let wait = retry_after.saturating_duration_since(now);
             out.push(node::Action::refuse(info.id, message::RefusalReason::Shed, wait));
@@ -121,9 +121,9 @@
         }
         let due = now + Duration::from_millis(info.due_in_ms);
         let request = Request { info, due, state: State::Waiting };
-        side.digest ^= request.fingerprint();
-        side.requests += 1;
-        send_to(&side.scheduler, message::Message::Enqueue(request.info.clone()), out);
+        pool_state.digest ^= request.fingerprint();
+        pool_state.requests += 1;
+        send_to(&pool_state.scheduler, message::Message::Enqueue(request.info.clone()), out);
         self.requests.insert(request.info.id.clone(), request);
     }
 
@@ -146,9 +146,9 @@
 
     fn take(&mut self, id: &str) -> Option<Request> {
         let request = self.requests.remove(id)?;
-        if let Some(side) = self.pools.get_mut(&request.info.pool) {
-            side.digest ^= request.fingerprint();
-            side.requests -= 1;
+        if let Some(pool_state) = self.pools.get_mut(&request.info.pool) {
+            pool_state.digest ^= request.fingerprint();
+            pool_state.requests -= 1;
         }
         Some(request)
     }
@@ -158,8 +158,8 @@
         let before = request.fingerprint();
         change(request);
         let after = request.fingerprint();
-        if let Some(side) = self.pools.get_mut(&request.info.pool) {
-            side.digest ^= before ^ after;
+        if let Some(pool_state) = self.pools.get_mut(&request.info.pool) {
+            pool_state.digest ^= before ^ after;
         }
     }
 
@@ -187,8 +187,8 @@
         self.change(&grant.request, |r| r.state = State::Running(grant.clone()));
         let (pool, request) = (grant.pool.clone(), grant.request.clone());
         let accepted = message::Message::Accepted { pool, request, attempt: grant.attempt };
-        if let Some(side) = self.pools.get(&grant.pool) {
-            send_to(&side.scheduler, accepted, out);
+        if let Some(pool_state) = self.pools.get(&grant.pool) {
+            send_to(&pool_state.scheduler, accepted, out);
         }
         self.confirm_use(&grant, out);
         out.push(node::Action::Dispatch(grant));
@@ -237,8 +237,8 @@
     fn enqueue_again(&self, now: Instant, id: &str, out: &mut Vec<node::Action>) {
         let waiting = |r: &&Request| r.state == State::Waiting;
         let Some(request) = self.requests.get(id).filter(waiting) else { return };
-        let Some(side) = self.pools.get(&request.info.pool) else { return };
-        send_to(&side.scheduler, message::Message::Enqueue(request.info_at(now)), out);
+        let Some(pool_state) = self.pools.get(&request.info.pool) else { return };
+        send_to(&pool_state.scheduler, message::Message::Enqueue(request.info_at(now)), out);
     }
 
     /// Ends a run and gives its permits back.
@@ -282,8 +282,8 @@
         }
         let (pool, request) = (grant.pool.clone(), grant.request.clone());
         let done = message::Message::Done { pool, request, attempt: grant.attempt, report };
-        if let Some(side) = self.pools.get(&grant.pool) {
-            send_to(&side.scheduler, done, out);
+        if let Some(pool_state) = self.pools.get(&grant.pool) {
+            send_to(&pool_state.scheduler, done, out);
         }
     }
 
@@ -352,7 +352,7 @@
     }
 
     /// Which of the claimed permits run requests of this entry.
-    pub fn users_of(&self, permits: &[message::Permit]) -> Vec<message::PermitUse> {
+    pub fn uses_of(&self, permits: &[message::Permit]) -> Vec<message::PermitUse> {
         let wanted: HashSet<&message::Permit> = permits.iter().collect();
         let running = self.requests.values().filter_map(|r| match &r.state {
             State::Running(grant) => Some(grant),
@@ -370,12 +370,12 @@
         scheduler: Option<ids::InstanceId>,
         out: &mut Vec<node::Action>,
     ) {
-        let side = self.pools.entry(pool.clone()).or_default();
-        if side.scheduler == scheduler {
+        let pool_state = self.pools.entry(pool.clone()).or_default();
+        if pool_state.scheduler == scheduler {
             return;
         }
-        let former = std::mem::replace(&mut side.scheduler, scheduler);
-        side.shed_threshold = None;
+        let former = std::mem::replace(&mut pool_state.scheduler, scheduler);
+        pool_state.shed_threshold = None;
         let nothing = message::Message::Snapshot {
             pool: pool.clone(),
             waiting: Vec::new(),
@@ -392,7 +392,7 @@
 
     /// Sends everything held in a pool to its scheduler.
     pub fn send_snapshot(&self, now: Instant, pool: &ids::PoolId, out: &mut Vec<node::Action>) {
-        let Some(side) = self.pools.get(pool) else { return };
+        let Some(pool_state) = self.pools.get(pool) else { return };
         let mut waiting = Vec::new();
         let mut running = Vec::new();
         for request in self.requests.values().filter(|r| r.info.pool == *pool) {
@@ -404,7 +404,7 @@
         waiting.sort_by(|a, b| a.id.cmp(&b.id));
         running.sort_by(|a, b| a.0.id.cmp(&b.0.id));
         send_to(
-            &side.scheduler,
+            &pool_state.scheduler,
             message::Message::Snapshot { pool: pool.clone(), waiting, running },
             out,
         );
@@ -420,11 +420,11 @@
         lowest_kept: Option<ids::TierLevel>,
         out: &mut Vec<node::Action>,
     ) {
-        let Some(side) = self.pools.get_mut(pool) else { return };
-        if side.scheduler.as_deref() != Some(from) {
+        let Some(pool_state) = self.pools.get_mut(pool) else { return };
+        if pool_state.scheduler.as_deref() != Some(from) {
             return;
         }
-        side.shed_threshold =
+        pool_state.shed_threshold =
             lowest_kept.map(|lowest_kept| ShedThreshold { seq, lowest_kept, received_at: now });
         let Some(lowest_kept) = lowest_kept else { return };
         let below = |r: &Request| {
@@ -460,9 +460,10 @@
         for id in std::mem::take(&mut self.enqueue_later) {
             self.enqueue_again(now, &id, out);
         }
-        for side in self.pools.values_mut() {
-            side.shed_threshold =
-                side.shed_threshold.filter(|t| now.duration_since(t.received_at) < THRESHOLD_LEASE);
+        for pool_state in self.pools.values_mut() {
+            pool_state.shed_threshold = pool_state
+                .shed_threshold
+                .filter(|t| now.duration_since(t.received_at) < THRESHOLD_LEASE);
         }
         let overdue = |r: &Request| r.state == State::Waiting && r.due <= now;
         for id in self.select(overdue) {
--- a/oxbowbend-core/src/node/claims.rs
+++ b/oxbowbend-core/src/node/claims.rs
@@ -40,14 +40,14 @@
         }
         let desired = &self.desired;
         let (held, ceded) = self.permits.answer_claim(permits, |p| desired.contains(p));
-        let used = self.ingress.users_of(permits);
+        let used = self.ingress.uses_of(permits);
         let reply = message::Message::ClaimReply { nonce, held, ceded, used };
         self.actions.push(Action::send(from, reply));
     }
 
     pub(super) fn settle_claim(&mut self, now: Instant) {
         let claimed: Vec<message::Permit> = self.permits.claimed().cloned().collect();
-        let own = self.ingress.users_of(&claimed);
+        let own = self.ingress.uses_of(&claimed);
         self.permits.note_own_uses(&self.me, &own);
         let baseline = &self.baseline;
         let fresh = |p: &message::Permit| baseline.get(&p.key).is_none_or(|n| p.index >= *n);
