--- a/oxbowbend-core/src/ingress.rs
+++ b/oxbowbend-core/src/ingress.rs
@@ -40,13 +40,13 @@
         message::RequestInfo { due_in_ms, ..self.info.clone() }
     }
 
-    fn fingerprint(&self) -> u64 {
-        fingerprint(&self.info.id, self.info.attempt, self.state != State::Waiting)
+    fn digest(&self) -> u64 {
+        request_digest(&self.info.id, self.info.attempt, self.state != State::Waiting)
     }
 }
 
 /// Digest of one request's standing; digests of a set are combined by exclusive or.
-pub fn fingerprint(id: &str, attempt: ids::Attempt, running: bool) -> u64 {
+pub fn request_digest(id: &str, attempt: ids::Attempt, running: bool) -> u64 {
     xxh3::xxh3_64_with_seed(id.as_bytes(), u64::from(attempt) << 1 | u64::from(running))
 }
 
@@ -121,7 +121,7 @@
         }
         let due = now + Duration::from_millis(info.due_in_ms);
         let request = Request { info, due, state: State::Waiting };
-        pool_state.digest ^= request.fingerprint();
+        pool_state.digest ^= request.digest();
         pool_state.requests += 1;
         send_to(&pool_state.scheduler, message::Message::Enqueue(request.info.clone()), out);
         self.requests.insert(request.info.id.clone(), request);
@@ -147,7 +147,7 @@
     fn take(&mut self, id: &str) -> Option<Request> {
         let request = self.requests.remove(id)?;
         if let Some(pool_state) = self.pools.get_mut(&request.info.pool) {
-            pool_state.digest ^= request.fingerprint();
+            pool_state.digest ^= request.digest();
             pool_state.requests -= 1;
         }
         Some(request)
@@ -155,9 +155,9 @@
 
     fn change(&mut self, id: &str, change: impl FnOnce(&mut Request)) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        let before = request.fingerprint();
+        let before = request.digest();
         change(request);
-        let after = request.fingerprint();
+        let after = request.digest();
         if let Some(pool_state) = self.pools.get_mut(&request.info.pool) {
             pool_state.digest ^= before ^ after;
         }
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -200,7 +200,7 @@
 
     fn mirror(&mut self, ingress: &ids::InstanceId, info: &message::RequestInfo, running: bool) {
         let mirror = self.mirrors.entry(ingress.clone()).or_default();
-        mirror.digest ^= ingress::fingerprint(&info.id, info.attempt, running);
+        mirror.digest ^= ingress::request_digest(&info.id, info.attempt, running);
     }
 
     /// Removes every trace of a request.
