--- a/oxbowbend-core/src/ingress.rs
+++ b/oxbowbend-core/src/ingress.rs
@@ -19,7 +19,7 @@
 pub const THRESHOLD_LEASE: Duration = Duration::from_secs(5);
 
 /// When callers are to come back whose requests were given up because the instance was dropped.
-const DROPPED_RETRY: Duration = Duration::from_secs(1);
+const DELISTED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Debug, PartialEq)]
 enum State {
@@ -30,13 +30,13 @@
 #[derive(Clone, Debug)]
 struct Request {
     info: message::RequestInfo,
-    due: Instant,
+    deadline: Instant,
     state: State,
 }
 
 impl Request {
     fn info_at(&self, now: Instant) -> message::RequestInfo {
-        let due_in_ms = self.due.saturating_duration_since(now).as_millis() as u64;
+        let due_in_ms = self.deadline.saturating_duration_since(now).as_millis() as u64;
         message::RequestInfo { due_in_ms, ..self.info.clone() }
     }
 
@@ -75,14 +75,14 @@
     me: ids::InstanceId,
     requests: HashMap<ids::RequestId, Request>,
     pools: BTreeMap<ids::PoolId, PoolState>,
-    enqueue_later: BTreeSet<ids::RequestId>,
+    resubmit_at_tick: BTreeSet<ids::RequestId>,
 }
 
 impl Ingress {
     /// Creates an entry that holds nothing.
     pub fn new(me: ids::InstanceId) -> Ingress {
-        let (requests, pools, enqueue_later) = Default::default();
-        Ingress { me, requests, pools, enqueue_later }
+        let (requests, pools, resubmit_at_tick) = Default::default();
+        Ingress { me, requests, pools, resubmit_at_tick }
     }
 
     /// Number of requests held, waiting or running.
@@ -119,8 +119,8 @@
             out.push(node::Action::refuse(info.id, message::RefusalReason::Shed, wait));
             return;
         }
-        let due = now + Duration::from_millis(info.due_in_ms);
-        let request = Request { info, due, state: State::Waiting };
+        let deadline = now + Duration::from_millis(info.due_in_ms);
+        let request = Request { info, deadline, state: State::Waiting };
         pool_state.digest ^= request.digest();
         pool_state.requests += 1;
         send_to(&pool_state.scheduler, message::Message::Enqueue(request.info.clone()), out);
@@ -136,7 +136,7 @@
     }
 
     fn drop_waiting(&mut self, id: &str, out: &mut Vec<node::Action>) -> Option<Request> {
-        let request = self.take(id)?;
+        let request = self.remove(id)?;
         let info = &request.info;
         let (pool, attempt) = (info.pool.clone(), info.attempt);
         let message = message::Message::Withdraw { pool, request: info.id.clone(), attempt };
@@ -144,7 +144,7 @@
         Some(request)
     }
 
-    fn take(&mut self, id: &str) -> Option<Request> {
+    fn remove(&mut self, id: &str) -> Option<Request> {
         let request = self.requests.remove(id)?;
         if let Some(pool_state) = self.pools.get_mut(&request.info.pool) {
             pool_state.digest ^= request.digest();
@@ -153,10 +153,10 @@
         Some(request)
     }
 
-    fn change(&mut self, id: &str, change: impl FnOnce(&mut Request)) {
+    fn update(&mut self, id: &str, update: impl FnOnce(&mut Request)) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let before = request.digest();
-        change(request);
+        update(request);
         let after = request.digest();
         if let Some(pool_state) = self.pools.get_mut(&request.info.pool) {
             pool_state.digest ^= before ^ after;
@@ -168,33 +168,38 @@
     ///
     /// A grant that is not valid is refused, and the request asks for another one at the next
     /// tick, not at once: what makes it invalid, such as an outdated list, would still be there.
-    pub fn granted(&mut self, grant: message::Grant, valid: bool, out: &mut Vec<node::Action>) {
+    pub fn handle_grant(
+        &mut self,
+        grant: message::Grant,
+        valid: bool,
+        out: &mut Vec<node::Action>,
+    ) {
         let state = self.requests.get(&grant.request);
         let current = state.filter(|r| r.info.attempt == grant.attempt);
         match current.map(|r| &r.state) {
-            Some(State::Running(accepted)) if *accepted == grant => self.confirm_use(&grant, out),
+            Some(State::Running(accepted)) if *accepted == grant => self.send_in_use(&grant, out),
             Some(State::Waiting) if valid => self.accept(grant, out),
             Some(State::Waiting) => {
-                self.change(&grant.request, |r| r.info.attempt += 1);
-                self.enqueue_later.insert(grant.request.clone());
-                self.give_back(&grant, out);
+                self.update(&grant.request, |r| r.info.attempt += 1);
+                self.resubmit_at_tick.insert(grant.request.clone());
+                self.release_unused(&grant, out);
             }
-            _ => self.give_back(&grant, out),
+            _ => self.release_unused(&grant, out),
         }
     }
 
     fn accept(&mut self, grant: message::Grant, out: &mut Vec<node::Action>) {
-        self.change(&grant.request, |r| r.state = State::Running(grant.clone()));
+        self.update(&grant.request, |r| r.state = State::Running(grant.clone()));
         let (pool, request) = (grant.pool.clone(), grant.request.clone());
         let accepted = message::Message::Accepted { pool, request, attempt: grant.attempt };
         if let Some(pool_state) = self.pools.get(&grant.pool) {
             send_to(&pool_state.scheduler, accepted, out);
         }
-        self.confirm_use(&grant, out);
+        self.send_in_use(&grant, out);
         out.push(node::Action::Dispatch(grant));
     }
 
-    fn confirm_use(&self, grant: &message::Grant, out: &mut Vec<node::Action>) {
+    fn send_in_use(&self, grant: &message::Grant, out: &mut Vec<node::Action>) {
         let grants = vec![(grant.request.clone(), grant.attempt)];
         for hop in &grant.hops {
             out.push(node::Action::send(
@@ -206,7 +211,7 @@
 
     /// Tells the owners of a grant that it is not used. A grant of the attempt that runs may name
     /// the same owner again, so each permit is named by its key and only others' are given back.
-    fn give_back(&self, grant: &message::Grant, out: &mut Vec<node::Action>) {
+    fn release_unused(&self, grant: &message::Grant, out: &mut Vec<node::Action>) {
         let running = self.requests.get(&grant.request).and_then(|r| match &r.state {
             State::Running(g) if g.attempt == grant.attempt => Some(g),
             _ => None,
@@ -222,19 +227,24 @@
     }
 
     /// Makes every grant of an attempt void and asks for a new one.
-    pub fn void(&mut self, now: Instant, grant_id: &message::GrantId, out: &mut Vec<node::Action>) {
+    pub fn invalidate(
+        &mut self,
+        now: Instant,
+        grant_id: &message::GrantId,
+        out: &mut Vec<node::Action>,
+    ) {
         let (id, attempt) = grant_id;
         let waiting = self
             .requests
             .get(id)
             .is_some_and(|r| r.state == State::Waiting && r.info.attempt == *attempt);
         if waiting {
-            self.change(id, |r| r.info.attempt += 1);
-            self.enqueue_again(now, id, out);
+            self.update(id, |r| r.info.attempt += 1);
+            self.resubmit(now, id, out);
         }
     }
 
-    fn enqueue_again(&self, now: Instant, id: &str, out: &mut Vec<node::Action>) {
+    fn resubmit(&self, now: Instant, id: &str, out: &mut Vec<node::Action>) {
         let waiting = |r: &&Request| r.state == State::Waiting;
         let Some(request) = self.requests.get(id).filter(waiting) else { return };
         let Some(pool_state) = self.pools.get(&request.info.pool) else { return };
@@ -246,7 +256,7 @@
         if !matches!(self.requests.get(id), Some(r) if r.state != State::Waiting) {
             return;
         }
-        let Some(request) = self.take(id) else { return };
+        let Some(request) = self.remove(id) else { return };
         let State::Running(grant) = request.state else { return };
         self.end_run(&grant, report, out);
     }
@@ -264,11 +274,11 @@
             return;
         };
         self.end_run(&grant, report, out);
-        self.change(id, |r| {
+        self.update(id, |r| {
             r.state = State::Waiting;
             r.info.attempt += 1;
         });
-        self.enqueue_again(now, id, out);
+        self.resubmit(now, id, out);
     }
 
     fn end_run(
@@ -288,7 +298,7 @@
     }
 
     /// Carries out a scheduler's refusal, unless the request has moved on.
-    pub fn refused(
+    pub fn handle_refusal(
         &mut self,
         grant_id: &message::GrantId,
         reason: message::RefusalReason,
@@ -318,10 +328,10 @@
         let mut used = Vec::new();
         let mut unused = Vec::new();
         for u in uses {
-            if self.note_owner(&u, from) {
+            if self.update_owner(&u, from) {
                 used.push(u.grant);
             } else {
-                self.void(now, &u.grant, out);
+                self.invalidate(now, &u.grant, out);
                 unused.push(u);
             }
         }
@@ -334,15 +344,16 @@
     }
 
     /// Whether the permit is used as told; if so, `owner` is noted as its owner.
-    fn note_owner(&mut self, u: &message::PermitUse, owner: &ids::InstanceId) -> bool {
+    fn update_owner(&mut self, u: &message::PermitUse, owner: &ids::InstanceId) -> bool {
         let (id, attempt) = &u.grant;
         let Some(request) = self.requests.get_mut(id) else { return false };
         let State::Running(grant) = &mut request.state else { return false };
         if grant.attempt != *attempt {
             return false;
         }
-        let same = |h: &&mut message::Hop| h.key == u.permit.key && h.index == Some(u.permit.index);
-        match grant.hops.iter_mut().find(same) {
+        let is_same_permit =
+            |h: &&mut message::Hop| h.key == u.permit.key && h.index == Some(u.permit.index);
+        match grant.hops.iter_mut().find(is_same_permit) {
             Some(hop) => {
                 hop.owner = owner.clone();
                 true
@@ -376,12 +387,12 @@
         }
         let former = std::mem::replace(&mut pool_state.scheduler, scheduler);
         pool_state.shed_threshold = None;
-        let nothing = message::Message::Snapshot {
+        let empty = message::Message::Snapshot {
             pool: pool.clone(),
             waiting: Vec::new(),
             running: Vec::new(),
         };
-        send_to(&former, nothing, out);
+        send_to(&former, empty, out);
         self.send_snapshot(now, pool, out);
     }
 
@@ -427,10 +438,10 @@
         pool_state.shed_threshold =
             lowest_kept.map(|lowest_kept| ShedThreshold { seq, lowest_kept, received_at: now });
         let Some(lowest_kept) = lowest_kept else { return };
-        let below = |r: &Request| {
+        let is_shed = |r: &Request| {
             r.info.pool == *pool && r.info.tier > lowest_kept && r.state == State::Waiting
         };
-        for id in self.select(below) {
+        for id in self.matching_ids(is_shed) {
             self.drop_waiting(&id, out);
             out.push(node::Action::refuse(id, message::RefusalReason::Shed, THRESHOLD_LEASE));
         }
@@ -439,16 +450,20 @@
     /// The platform's list has dropped this instance, so others took what waits here for lost and
     /// may have shed higher tiers since. All but the highest tier is given up, as it would have
     /// been had the instance died.
-    pub fn dropped(&mut self, out: &mut Vec<node::Action>) {
-        let below = |r: &Request| r.info.tier > 0 && r.state == State::Waiting;
-        for id in self.select(below) {
+    pub fn handle_delisted(&mut self, out: &mut Vec<node::Action>) {
+        let is_shed = |r: &Request| r.info.tier > 0 && r.state == State::Waiting;
+        for id in self.matching_ids(is_shed) {
             self.drop_waiting(&id, out);
-            out.push(node::Action::refuse(id, message::RefusalReason::Unavailable, DROPPED_RETRY));
+            out.push(node::Action::refuse(
+                id,
+                message::RefusalReason::Unavailable,
+                DELISTED_RETRY_AFTER,
+            ));
         }
     }
 
     /// Ids of the requests that match, in a fixed order.
-    fn select(&self, matches: impl Fn(&Request) -> bool) -> Vec<ids::RequestId> {
+    fn matching_ids(&self, matches: impl Fn(&Request) -> bool) -> Vec<ids::RequestId> {
         let matching = self.requests.values().filter(|r| matches(r));
         let mut ids: Vec<ids::RequestId> = matching.map(|r| r.info.id.clone()).collect();
         ids.sort();
@@ -457,16 +472,16 @@
 
     /// Drops floors that the scheduler no longer renews and gives up on overdue requests.
     pub fn tick(&mut self, now: Instant, out: &mut Vec<node::Action>) {
-        for id in std::mem::take(&mut self.enqueue_later) {
-            self.enqueue_again(now, &id, out);
+        for id in std::mem::take(&mut self.resubmit_at_tick) {
+            self.resubmit(now, &id, out);
         }
         for pool_state in self.pools.values_mut() {
             pool_state.shed_threshold = pool_state
                 .shed_threshold
                 .filter(|t| now.duration_since(t.received_at) < THRESHOLD_LEASE);
         }
-        let overdue = |r: &Request| r.state == State::Waiting && r.due <= now;
-        for id in self.select(overdue) {
+        let overdue = |r: &Request| r.state == State::Waiting && r.deadline <= now;
+        for id in self.matching_ids(overdue) {
             self.drop_waiting(&id, out);
             out.push(node::Action::refuse(id, message::RefusalReason::Deadline, Duration::ZERO));
         }
@@ -474,13 +489,15 @@
 
     /// Digests of the pools that `scheduler` schedules for this entry.
     pub fn pool_digests(&self, scheduler: &str) -> Vec<message::PoolDigest> {
-        let mine = self.pools.iter().filter(|(_, s)| s.scheduler.as_deref() == Some(scheduler));
-        mine.map(|(pool, s)| message::PoolDigest {
-            pool: pool.clone(),
-            digest: s.digest,
-            threshold_seq: s.shed_threshold.map_or(0, |t| t.seq),
-        })
-        .collect()
+        let scheduled =
+            self.pools.iter().filter(|(_, s)| s.scheduler.as_deref() == Some(scheduler));
+        scheduled
+            .map(|(pool, s)| message::PoolDigest {
+                pool: pool.clone(),
+                digest: s.digest,
+                threshold_seq: s.shed_threshold.map_or(0, |t| t.seq),
+            })
+            .collect()
     }
 
     /// This instance.
--- a/oxbowbend-core/src/node/duties.rs
+++ b/oxbowbend-core/src/node/duties.rs
@@ -21,7 +21,7 @@
         }
         if !listed && self.listed_since.take().is_some() {
             self.permits.forget();
-            self.ingress.dropped(&mut self.actions);
+            self.ingress.handle_delisted(&mut self.actions);
         }
         self.members_changed(now);
     }
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -271,7 +271,7 @@
             self.permits.forget();
             self.quarantined = true;
             // It may have been dropped from the list and entered again meanwhile.
-            self.ingress.dropped(&mut self.actions);
+            self.ingress.handle_delisted(&mut self.actions);
         }
     }
 
@@ -376,7 +376,12 @@
             message::Message::InUse { grants } => self.permits.confirm_use(now, &grants),
             message::Message::Refuse { request, attempt, reason, retry_after_ms } => {
                 let retry_after = Duration::from_millis(retry_after_ms);
-                self.ingress.refused(&(request, attempt), reason, retry_after, &mut self.actions);
+                self.ingress.handle_refusal(
+                    &(request, attempt),
+                    reason,
+                    retry_after,
+                    &mut self.actions,
+                );
             }
             message::Message::ShedThreshold { pool, seq, lowest_kept } => {
                 self.ingress.handle_shed_threshold(
@@ -467,7 +472,7 @@
     fn grant_arrived(&mut self, grant: message::Grant) {
         let listed = grant.hops.iter().all(|h| self.view.members.contains(&h.owner));
         let valid = listed && !self.quarantined && self.may_dispatch(&grant.endpoint);
-        self.ingress.granted(grant, valid, &mut self.actions);
+        self.ingress.handle_grant(grant, valid, &mut self.actions);
     }
 
     /// Whether new work may be sent to an endpoint, by everything known here.
