--- a/oxbowbend-core/src/queue.rs
+++ b/oxbowbend-core/src/queue.rs
@@ -16,7 +16,7 @@
 
 /// What the queue needs to know of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Item {
+pub struct QueuedRequest {
     /// The request.
     pub id: ids::RequestId,
     /// Its account.
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Flow {
-    items: BTreeMap<u64, Item>,
+    requests: BTreeMap<u64, QueuedRequest>,
     virtual_time: u64,
 }
 
@@ -48,13 +48,13 @@
 /// Waiting requests in the order in which they should be served.
 ///
 /// ```
-/// use oxbowbend_core::queue::{Item, Queue};
-/// let item = |id: &str, tier| Item {
+/// use oxbowbend_core::queue::{QueuedRequest, Queue};
+/// let request = |id: &str, tier| QueuedRequest {
 ///     id: id.into(), account: "a".into(), tier, weight: 1, work: 10,
 /// };
 /// let mut q = Queue::default();
-/// q.push(item("low", 2));
-/// q.push(item("high", 0));
+/// q.push(request("low", 2));
+/// q.push(request("high", 0));
 /// assert_eq!(&*q.next(|_| true).unwrap().id, "high");
 /// assert_eq!(&*q.victim().unwrap().id, "low");
 /// ```
@@ -82,34 +82,38 @@
     }
 
     /// Adds a request; one that is already here is left as it is.
-    pub fn push(&mut self, item: Item) {
-        if self.index.contains_key(&item.id) {
+    pub fn push(&mut self, request: QueuedRequest) {
+        if self.index.contains_key(&request.id) {
             return;
         }
         let seq = self.next_seq;
         self.next_seq += 1;
-        self.index.insert(item.id.clone(), (item.tier, item.account.clone(), seq));
-        self.tiers.entry(item.tier).or_default().push(seq, item);
+        self.index.insert(request.id.clone(), (request.tier, request.account.clone(), seq));
+        self.tiers.entry(request.tier).or_default().push(seq, request);
     }
 
     /// Removes a request wherever it stands.
-    pub fn remove(&mut self, id: &str) -> Option<Item> {
+    pub fn remove(&mut self, id: &str) -> Option<QueuedRequest> {
         let (level, account, seq) = self.index.remove(id)?;
         let tier = self.tiers.get_mut(&level)?;
-        let item = tier.remove(&account, seq);
+        let request = tier.remove(&account, seq);
         if tier.flows.is_empty() && tier.by_size.is_empty() {
             tier.virtual_time = 0;
         }
-        item
+        request
     }
 
     /// The request to serve next among the accounts for which `eligible` holds.
-    pub fn next(&self, eligible: impl Fn(&Item) -> bool) -> Option<&Item> {
+    pub fn next(&self, eligible: impl Fn(&QueuedRequest) -> bool) -> Option<&QueuedRequest> {
         self.tiers.values().find_map(|t| t.next(&eligible))
     }
 
     /// The request to serve next within one tier.
-    pub fn next_in(&self, tier: ids::TierLevel, eligible: impl Fn(&Item) -> bool) -> Option<&Item> {
+    pub fn next_in(
+        &self,
+        tier: ids::TierLevel,
+        eligible: impl Fn(&QueuedRequest) -> bool,
+    ) -> Option<&QueuedRequest> {
         self.tiers.get(&tier)?.next(&eligible)
     }
 
@@ -119,9 +123,9 @@
         tier: ids::TierLevel,
         account: &str,
         most: usize,
-    ) -> impl Iterator<Item = &Item> {
+    ) -> impl Iterator<Item = &QueuedRequest> {
         let flow = self.tiers.get(&tier).and_then(|t| t.flows.get(account));
-        flow.into_iter().flat_map(|f| f.items.values()).take(most)
+        flow.into_iter().flat_map(|f| f.requests.values()).take(most)
     }
 
     /// Tiers that have requests waiting, the highest first.
@@ -130,21 +134,21 @@
     }
 
     /// Takes a request out to be served and charges its account.
-    pub fn serve(&mut self, id: &str) -> Option<Item> {
+    pub fn serve(&mut self, id: &str) -> Option<QueuedRequest> {
         let (level, account, _) = self.index.get(id)?.clone();
-        let item = self.remove(id)?;
+        let request = self.remove(id)?;
         if let Some(tier) = self.tiers.get_mut(&level) {
-            tier.charge(&account, &item);
+            tier.charge(&account, &request);
         }
-        Some(item)
+        Some(request)
     }
 
     /// The request to shed first: of the lowest tier, among the largest the newest.
-    pub fn victim(&self) -> Option<&Item> {
+    pub fn victim(&self) -> Option<&QueuedRequest> {
         let tier = self.tiers.values().rev().find(|t| !t.by_size.is_empty())?;
         let (_, _, id) = tier.by_size.iter().next_back()?;
         let (_, account, seq) = self.index.get(id)?;
-        tier.flows.get(account)?.items.get(seq)
+        tier.flows.get(account)?.requests.get(seq)
     }
 
     /// Work waiting in `tier` and every higher one, in tokens.
@@ -154,50 +158,50 @@
 }
 
 impl Tier {
-    fn push(&mut self, seq: u64, item: Item) {
-        self.work += item.work;
-        self.by_size.insert((size_class(item.work), seq, item.id.clone()));
+    fn push(&mut self, seq: u64, request: QueuedRequest) {
+        self.work += request.work;
+        self.by_size.insert((size_class(request.work), seq, request.id.clone()));
         let floor = self.virtual_time;
-        let flow = self.flows.entry(item.account.clone()).or_default();
-        if flow.items.is_empty() {
+        let flow = self.flows.entry(request.account.clone()).or_default();
+        if flow.requests.is_empty() {
             flow.virtual_time = flow.virtual_time.max(floor);
-            self.ready.insert((flow.virtual_time, item.account.clone()));
+            self.ready.insert((flow.virtual_time, request.account.clone()));
         }
-        flow.items.insert(seq, item);
+        flow.requests.insert(seq, request);
     }
 
-    fn remove(&mut self, account: &ids::AccountId, seq: u64) -> Option<Item> {
+    fn remove(&mut self, account: &ids::AccountId, seq: u64) -> Option<QueuedRequest> {
         let flow = self.flows.get_mut(account)?;
-        let item = flow.items.remove(&seq)?;
-        self.work -= item.work;
-        self.by_size.remove(&(size_class(item.work), seq, item.id.clone()));
-        if flow.items.is_empty() {
+        let request = flow.requests.remove(&seq)?;
+        self.work -= request.work;
+        self.by_size.remove(&(size_class(request.work), seq, request.id.clone()));
+        if flow.requests.is_empty() {
             self.ready.remove(&(flow.virtual_time, account.clone()));
             if flow.virtual_time <= self.virtual_time {
                 self.flows.remove(account);
             }
         }
-        Some(item)
+        Some(request)
     }
 
-    fn next(&self, eligible: &impl Fn(&Item) -> bool) -> Option<&Item> {
+    fn next(&self, eligible: &impl Fn(&QueuedRequest) -> bool) -> Option<&QueuedRequest> {
         self.ready
             .iter()
-            .filter_map(|(_, account)| self.flows.get(account)?.items.values().next())
-            .find(|item| eligible(item))
+            .filter_map(|(_, account)| self.flows.get(account)?.requests.values().next())
+            .find(|request| eligible(request))
     }
 
     /// Advances the account's virtual time. The account may have left `flows` when its last
     /// request was taken out, and is then put back to remember what it owes.
-    fn charge(&mut self, account: &ids::AccountId, item: &Item) {
+    fn charge(&mut self, account: &ids::AccountId, request: &QueuedRequest) {
         let floor = self.virtual_time;
         let flow = self.flows.entry(account.clone()).or_default();
-        let waiting = !flow.items.is_empty();
+        let waiting = !flow.requests.is_empty();
         let start = flow.virtual_time.max(floor);
         if waiting {
             self.ready.remove(&(flow.virtual_time, account.clone()));
         }
-        flow.virtual_time = start + item.work * VIRTUAL_SCALE / u64::from(item.weight.max(1));
+        flow.virtual_time = start + request.work * VIRTUAL_SCALE / u64::from(request.weight.max(1));
         if waiting {
             self.ready.insert((flow.virtual_time, account.clone()));
         }
@@ -213,7 +217,7 @@
             return;
         }
         let now = self.virtual_time;
-        self.flows.retain(|_, f| !f.items.is_empty() || f.virtual_time > now);
+        self.flows.retain(|_, f| !f.requests.is_empty() || f.virtual_time > now);
         self.sweep_at = 2 * self.flows.len();
     }
 }
--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -129,7 +129,7 @@
                 return false;
             }
             let accounts = &self.account_use;
-            let eligible = |i: &queue::Item| {
+            let eligible = |i: &queue::QueuedRequest| {
                 let paused = accounts.get(&i.account).and_then(|a| a.paused_until);
                 paused.is_none_or(|until| until <= now)
             };
@@ -149,7 +149,11 @@
 
     /// When only a few endpoints are free, it is worth more to send them what they have cached than
     /// to keep to the order of arrival within the account. Whose turn it is stays as it was.
-    fn cached_pair(&mut self, now: Instant, head: &queue::Item) -> Option<(ids::RequestId, usize)> {
+    fn cached_pair(
+        &mut self,
+        now: Instant,
+        head: &queue::QueuedRequest,
+    ) -> Option<(ids::RequestId, usize)> {
         if self.requests.get(&head.id)?.passed >= MAX_PASSED {
             return None;
         }
@@ -159,12 +163,12 @@
             return None;
         }
         let mut best: Option<(u32, &ids::RequestId, usize)> = None;
-        for item in self.queue.first_of(head.tier, &head.account, LOOK_AHEAD) {
-            let Some(known) = self.requests.get(&item.id) else { continue };
+        for queued in self.queue.first_of(head.tier, &head.account, LOOK_AHEAD) {
+            let Some(known) = self.requests.get(&queued.id) else { continue };
             for (index, site) in &free {
                 let cached = site.cache.cached_tokens(&known.info.prefix);
                 if cached > best.as_ref().map_or(0, |b| b.0) {
-                    best = Some((cached, &item.id, *index));
+                    best = Some((cached, &queued.id, *index));
                 }
             }
         }
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -190,7 +190,7 @@
         }
         self.mirror(from, &info, false);
         let due = now + Duration::from_millis(info.due_in_ms);
-        self.queue.push(item(&info));
+        self.queue.push(queued_request(&info));
         self.deadlines.insert((due, id.clone()));
         let ingress = from.clone();
         let known =
@@ -400,7 +400,7 @@
         if let Some(owner) = &known.account_owner {
             self.account_use.entry(known.info.account.clone()).or_default().take_back(owner);
         }
-        self.queue.push(item(&known.info));
+        self.queue.push(queued_request(&known.info));
         self.deadlines.insert((known.due.max(now), id.clone()));
         if let Some(k) = self.requests.get_mut(id) {
             k.state = State::Queued;
@@ -416,8 +416,8 @@
     }
 }
 
-fn item(info: &message::RequestInfo) -> queue::Item {
-    queue::Item {
+fn queued_request(info: &message::RequestInfo) -> queue::QueuedRequest {
+    queue::QueuedRequest {
         id: info.id.clone(),
         account: info.account.clone(),
         tier: info.tier,
--- a/oxbowbend-core/tests/properties.rs
+++ b/oxbowbend-core/tests/properties.rs
@@ -7,12 +7,12 @@
 use oxbowbend_core::cache::{PrefixCache, BLOCK_TOKENS};
 use oxbowbend_core::membership::pick;
 use oxbowbend_core::message::{RunOutcome, RunReport};
-use oxbowbend_core::queue::{Item, Queue};
+use oxbowbend_core::queue::{Queue, QueuedRequest};
 use oxbowbend_core::speed::Speed;
 use quickcheck::{quickcheck, TestResult};
 
-fn item(n: usize, account: u8, tier: u8, work: u16) -> Item {
-    Item {
+fn item(n: usize, account: u8, tier: u8, work: u16) -> QueuedRequest {
+    QueuedRequest {
         id: format!("r{n}").as_str().into(),
         account: format!("a{}", account % 5).as_str().into(),
         tier: tier % 3,
