--- a/oxbowbend-core/src/queue.rs
+++ b/oxbowbend-core/src/queue.rs
@@ -36,13 +36,13 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Tier {
+struct TierQueue {
     flows: HashMap<ids::AccountId, Flow>,
     ready: BTreeSet<(u64, ids::AccountId)>,
-    by_size: BTreeSet<(u32, u64, ids::RequestId)>,
+    by_size_class: BTreeSet<(u32, u64, ids::RequestId)>,
     virtual_time: u64,
     work: u64,
-    sweep_at: usize,
+    next_sweep_len: usize,
 }
 
 /// Waiting requests in the order in which they should be served.
@@ -55,12 +55,12 @@
 /// let mut q = Queue::default();
 /// q.push(request("low", 2));
 /// q.push(request("high", 0));
-/// assert_eq!(&*q.next(|_| true).unwrap().id, "high");
+/// assert_eq!(&*q.peek(|_| true).unwrap().id, "high");
 /// assert_eq!(&*q.victim().unwrap().id, "low");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    tiers: BTreeMap<ids::TierLevel, Tier>,
+    tiers: BTreeMap<ids::TierLevel, TierQueue>,
     index: HashMap<ids::RequestId, (ids::TierLevel, ids::AccountId, u64)>,
     next_seq: u64,
 }
@@ -94,50 +94,50 @@
 
     /// Removes a request wherever it stands.
     pub fn remove(&mut self, id: &str) -> Option<QueuedRequest> {
-        let (level, account, seq) = self.index.remove(id)?;
-        let tier = self.tiers.get_mut(&level)?;
+        let (tier_level, account, seq) = self.index.remove(id)?;
+        let tier = self.tiers.get_mut(&tier_level)?;
         let request = tier.remove(&account, seq);
-        if tier.flows.is_empty() && tier.by_size.is_empty() {
+        if tier.flows.is_empty() && tier.by_size_class.is_empty() {
             tier.virtual_time = 0;
         }
         request
     }
 
     /// The request to serve next among the accounts for which `eligible` holds.
-    pub fn next(&self, eligible: impl Fn(&QueuedRequest) -> bool) -> Option<&QueuedRequest> {
-        self.tiers.values().find_map(|t| t.next(&eligible))
+    pub fn peek(&self, eligible: impl Fn(&QueuedRequest) -> bool) -> Option<&QueuedRequest> {
+        self.tiers.values().find_map(|t| t.peek(&eligible))
     }
 
     /// The request to serve next within one tier.
-    pub fn next_in(
+    pub fn peek_tier(
         &self,
         tier: ids::TierLevel,
         eligible: impl Fn(&QueuedRequest) -> bool,
     ) -> Option<&QueuedRequest> {
-        self.tiers.get(&tier)?.next(&eligible)
+        self.tiers.get(&tier)?.peek(&eligible)
     }
 
-    /// The first `most` requests of an account in a tier, in order of arrival.
-    pub fn first_of(
+    /// The first `limit` requests of an account in a tier, in order of arrival.
+    pub fn oldest_of_account(
         &self,
         tier: ids::TierLevel,
         account: &str,
-        most: usize,
+        limit: usize,
     ) -> impl Iterator<Item = &QueuedRequest> {
         let flow = self.tiers.get(&tier).and_then(|t| t.flows.get(account));
-        flow.into_iter().flat_map(|f| f.requests.values()).take(most)
+        flow.into_iter().flat_map(|f| f.requests.values()).take(limit)
     }
 
     /// Tiers that have requests waiting, the highest first.
-    pub fn levels(&self) -> Vec<ids::TierLevel> {
-        self.tiers.iter().filter(|(_, t)| !t.by_size.is_empty()).map(|(l, _)| *l).collect()
+    pub fn waiting_tiers(&self) -> Vec<ids::TierLevel> {
+        self.tiers.iter().filter(|(_, t)| !t.by_size_class.is_empty()).map(|(l, _)| *l).collect()
     }
 
     /// Takes a request out to be served and charges its account.
     pub fn serve(&mut self, id: &str) -> Option<QueuedRequest> {
-        let (level, account, _) = self.index.get(id)?.clone();
+        let (tier_level, account, _) = self.index.get(id)?.clone();
         let request = self.remove(id)?;
-        if let Some(tier) = self.tiers.get_mut(&level) {
+        if let Some(tier) = self.tiers.get_mut(&tier_level) {
             tier.charge(&account, &request);
         }
         Some(request)
@@ -145,26 +145,26 @@
 
     /// The request to shed first: of the lowest tier, among the largest the newest.
     pub fn victim(&self) -> Option<&QueuedRequest> {
-        let tier = self.tiers.values().rev().find(|t| !t.by_size.is_empty())?;
-        let (_, _, id) = tier.by_size.iter().next_back()?;
+        let tier = self.tiers.values().rev().find(|t| !t.by_size_class.is_empty())?;
+        let (_, _, id) = tier.by_size_class.iter().next_back()?;
         let (_, account, seq) = self.index.get(id)?;
         tier.flows.get(account)?.requests.get(seq)
     }
 
     /// Work waiting in `tier` and every higher one, in tokens.
-    pub fn work_down_to(&self, tier: ids::TierLevel) -> u64 {
+    pub fn work_at_or_above(&self, tier: ids::TierLevel) -> u64 {
         self.tiers.range(..=tier).map(|(_, t)| t.work).sum()
     }
 }
 
-impl Tier {
+impl TierQueue {
     fn push(&mut self, seq: u64, request: QueuedRequest) {
         self.work += request.work;
-        self.by_size.insert((size_class(request.work), seq, request.id.clone()));
-        let floor = self.virtual_time;
+        self.by_size_class.insert((size_class(request.work), seq, request.id.clone()));
+        let tier_time = self.virtual_time;
         let flow = self.flows.entry(request.account.clone()).or_default();
         if flow.requests.is_empty() {
-            flow.virtual_time = flow.virtual_time.max(floor);
+            flow.virtual_time = flow.virtual_time.max(tier_time);
             self.ready.insert((flow.virtual_time, request.account.clone()));
         }
         flow.requests.insert(seq, request);
@@ -174,7 +174,7 @@
         let flow = self.flows.get_mut(account)?;
         let request = flow.requests.remove(&seq)?;
         self.work -= request.work;
-        self.by_size.remove(&(size_class(request.work), seq, request.id.clone()));
+        self.by_size_class.remove(&(size_class(request.work), seq, request.id.clone()));
         if flow.requests.is_empty() {
             self.ready.remove(&(flow.virtual_time, account.clone()));
             if flow.virtual_time <= self.virtual_time {
@@ -184,7 +184,7 @@
         Some(request)
     }
 
-    fn next(&self, eligible: &impl Fn(&QueuedRequest) -> bool) -> Option<&QueuedRequest> {
+    fn peek(&self, eligible: &impl Fn(&QueuedRequest) -> bool) -> Option<&QueuedRequest> {
         self.ready
             .iter()
             .filter_map(|(_, account)| self.flows.get(account)?.requests.values().next())
@@ -194,10 +194,10 @@
     /// Advances the account's virtual time. The account may have left `flows` when its last
     /// request was taken out, and is then put back to remember what it owes.
     fn charge(&mut self, account: &ids::AccountId, request: &QueuedRequest) {
-        let floor = self.virtual_time;
+        let tier_time = self.virtual_time;
         let flow = self.flows.entry(account.clone()).or_default();
         let waiting = !flow.requests.is_empty();
-        let start = flow.virtual_time.max(floor);
+        let start = flow.virtual_time.max(tier_time);
         if waiting {
             self.ready.remove(&(flow.virtual_time, account.clone()));
         }
@@ -206,19 +206,19 @@
             self.ready.insert((flow.virtual_time, account.clone()));
         }
         self.virtual_time = start;
-        self.forget_settled();
+        self.remove_idle_flows();
     }
 
     /// Drops idle accounts that owe nothing any more. The next sweep waits until the number of
     /// accounts has doubled, so that the cost per served request stays constant on average.
-    fn forget_settled(&mut self) {
-        const SMALLEST_SWEEP: usize = 64;
-        if self.flows.len() < self.sweep_at.max(SMALLEST_SWEEP) {
+    fn remove_idle_flows(&mut self) {
+        const MIN_SWEEP_LEN: usize = 64;
+        if self.flows.len() < self.next_sweep_len.max(MIN_SWEEP_LEN) {
             return;
         }
         let now = self.virtual_time;
         self.flows.retain(|_, f| !f.requests.is_empty() || f.virtual_time > now);
-        self.sweep_at = 2 * self.flows.len();
+        self.next_sweep_len = 2 * self.flows.len();
     }
 }
 
--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -94,7 +94,7 @@
         let rate =
             |s: &site::Site| f64::from(s.endpoint.slots) / s.speed.predict_seconds(0, 1).max(1e-9);
         let rate: f64 = self.sites.iter().filter(|s| !s.endpoint.leaving).map(rate).sum();
-        let seconds = self.queue.work_down_to(ids::TierLevel::MAX) as f64 / rate.max(1e-9);
+        let seconds = self.queue.work_at_or_above(ids::TierLevel::MAX) as f64 / rate.max(1e-9);
         let longest = MAX_RETRY_AFTER.as_secs_f64();
         Duration::from_secs_f64(seconds.min(longest)).max(MIN_RETRY_AFTER)
     }
@@ -124,7 +124,7 @@
         if free == 0 {
             return false;
         }
-        for level in self.queue.levels() {
+        for level in self.queue.waiting_tiers() {
             if free <= kept_from(level, self.total_slots) {
                 return false;
             }
@@ -133,7 +133,7 @@
                 let paused = accounts.get(&i.account).and_then(|a| a.paused_until);
                 paused.is_none_or(|until| until <= now)
             };
-            let Some(head) = self.queue.next_in(level, eligible).cloned() else { continue };
+            let Some(head) = self.queue.peek_tier(level, eligible).cloned() else { continue };
             let (id, site) = match self.cached_pair(now, &head) {
                 Some(pair) => pair,
                 None => match self.choose_site(now, &head.id) {
@@ -163,7 +163,7 @@
             return None;
         }
         let mut best: Option<(u32, &ids::RequestId, usize)> = None;
-        for queued in self.queue.first_of(head.tier, &head.account, LOOK_AHEAD) {
+        for queued in self.queue.oldest_of_account(head.tier, &head.account, LOOK_AHEAD) {
             let Some(known) = self.requests.get(&queued.id) else { continue };
             for (index, site) in &free {
                 let cached = site.cache.cached_tokens(&known.info.prefix);
--- a/oxbowbend-core/tests/properties.rs
+++ b/oxbowbend-core/tests/properties.rs
@@ -34,7 +34,7 @@
     fn the_queue_serves_all_by_tier(input: Vec<(u8, u8, u16)>) -> bool {
         let mut queue = fill(&input);
         let mut served = Vec::new();
-        while let Some(next) = queue.next(|_| true).cloned() {
+        while let Some(next) = queue.peek(|_| true).cloned() {
             served.push(next.tier);
             queue.serve(&next.id);
         }
@@ -46,13 +46,13 @@
         let mut queue = fill(&input);
         let mut last = u8::MAX;
         while let Some(victim) = queue.victim().cloned() {
-            if victim.tier > last || queue.levels().last() != Some(&victim.tier) {
+            if victim.tier > last || queue.waiting_tiers().last() != Some(&victim.tier) {
                 return false;
             }
             last = victim.tier;
             queue.remove(&victim.id);
         }
-        queue.is_empty() && queue.work_down_to(u8::MAX) == 0
+        queue.is_empty() && queue.work_at_or_above(u8::MAX) == 0
     }
 
     /// Two accounts with work waiting are served equal work, up to one request of each.
@@ -66,7 +66,7 @@
         let mut served: BTreeMap<String, u64> = BTreeMap::new();
         let mut left = [one.len(), two.len()];
         while left.iter().all(|n| *n > 0) {
-            let next = queue.next(|_| true).cloned().expect("both wait");
+            let next = queue.peek(|_| true).cloned().expect("both wait");
             queue.serve(&next.id);
             *served.entry(next.account.to_string()).or_default() += next.work;
             left[usize::from(&*next.account == "a1")] -= 1;
