--- a/oxbowbend-core/src/scheduler/account.rs
+++ b/oxbowbend-core/src/scheduler/account.rs
@@ -6,42 +6,42 @@
 use crate::ids;
 
 /// Time for which an account is passed over after an owner denied it a permit.
-const ACCOUNT_PAUSE: Duration = Duration::from_millis(50);
+const ACCOUNT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// What this scheduler's own grants use of an account's permits, and what was denied.
 #[derive(Clone, Debug, Default)]
-pub(super) struct AccountUse {
+pub(super) struct AccountUsage {
     pub(super) in_use: BTreeMap<ids::InstanceId, u32>,
-    pub(super) full: BTreeSet<ids::InstanceId>,
-    pub(super) paused_until: Option<Instant>,
+    pub(super) exhausted: BTreeSet<ids::InstanceId>,
+    pub(super) backoff_until: Option<Instant>,
 }
 
-impl AccountUse {
-    pub(super) fn pause(&mut self, now: Instant) {
-        self.paused_until = Some(now + ACCOUNT_PAUSE);
-        self.full.clear();
+impl AccountUsage {
+    pub(super) fn back_off(&mut self, now: Instant) {
+        self.backoff_until = Some(now + ACCOUNT_BACKOFF);
+        self.exhausted.clear();
     }
 
     /// A grant came to nothing.
-    pub(super) fn take_back(&mut self, owner: &ids::InstanceId) {
+    pub(super) fn undo_grant(&mut self, owner: &ids::InstanceId) {
         if let Some(n) = self.in_use.get_mut(owner) {
             *n = n.saturating_sub(1);
         }
     }
 
     /// A run has ended, which makes room.
-    pub(super) fn give_back(&mut self, owner: &ids::InstanceId) {
-        self.take_back(owner);
-        self.full.remove(owner);
-        self.paused_until = None;
+    pub(super) fn release(&mut self, owner: &ids::InstanceId) {
+        self.undo_grant(owner);
+        self.exhausted.remove(owner);
+        self.backoff_until = None;
     }
 
     /// The owner that should have the most permits left.
-    pub(super) fn best_owner(&self, shares: &[(ids::InstanceId, u32)]) -> Option<ids::InstanceId> {
+    pub(super) fn pick_owner(&self, shares: &[(ids::InstanceId, u32)]) -> Option<ids::InstanceId> {
         let left = |(owner, n): &(ids::InstanceId, u32)| {
             n.saturating_sub(self.in_use.get(owner).copied().unwrap_or(0))
         };
-        let open = shares.iter().filter(|s| !self.full.contains(&s.0) && left(s) > 0);
-        open.max_by_key(|s| left(s)).map(|(owner, _)| owner.clone())
+        let candidates = shares.iter().filter(|s| !self.exhausted.contains(&s.0) && left(s) > 0);
+        candidates.max_by_key(|s| left(s)).map(|(owner, _)| owner.clone())
     }
 }
--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -26,7 +26,7 @@
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// Every permit of an account is in use.
-struct AccountFull;
+struct AccountExhausted;
 
 impl<C: Choose> Scheduler<C> {
     /// Decides everything that can be decided now.
@@ -128,10 +128,10 @@
             if free <= kept_from(level, self.total_slots) {
                 return false;
             }
-            let accounts = &self.account_use;
+            let accounts = &self.account_usage;
             let eligible = |i: &queue::QueuedRequest| {
-                let paused = accounts.get(&i.account).and_then(|a| a.paused_until);
-                paused.is_none_or(|until| until <= now)
+                let backoff_until = accounts.get(&i.account).and_then(|a| a.backoff_until);
+                backoff_until.is_none_or(|until| until <= now)
             };
             let Some(head) = self.queue.peek_tier(level, eligible).cloned() else { continue };
             let (id, site) = match self.cached_pair(now, &head) {
@@ -204,7 +204,7 @@
         directory: &impl Directory,
         out: &mut Vec<node::Action>,
     ) {
-        let Some(owner) = self.sites[site].best_owner(&self.me) else { return };
+        let Some(owner) = self.sites[site].pick_owner(&self.me) else { return };
         let Some(known) = self.requests.get(id).cloned() else { return };
         let account = &known.info.account;
         let Ok(account_hop) = self.account_hop(now, account, directory) else { return };
@@ -250,14 +250,14 @@
         now: Instant,
         account: &ids::AccountId,
         directory: &impl Directory,
-    ) -> Result<Option<message::Hop>, AccountFull> {
+    ) -> Result<Option<message::Hop>, AccountExhausted> {
         let Some(shares) = directory.account_owners(account) else { return Ok(None) };
-        let used = self.account_use.entry(account.clone()).or_default();
-        let Some(owner) = used.best_owner(shares) else {
-            used.pause(now);
-            return Err(AccountFull);
+        let usage = self.account_usage.entry(account.clone()).or_default();
+        let Some(owner) = usage.pick_owner(shares) else {
+            usage.back_off(now);
+            return Err(AccountExhausted);
         };
-        *used.in_use.entry(owner.clone()).or_default() += 1;
+        *usage.in_use.entry(owner.clone()).or_default() += 1;
         Ok(Some(message::Hop {
             owner,
             key: message::PermitKey::Account(account.clone()),
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -19,7 +19,7 @@
 use crate::message;
 use crate::queue;
 use crate::topology;
-use account::AccountUse;
+use account::AccountUsage;
 use site::{Offered, Site};
 
 /// Time without a word after which a grant is taken to be lost and its request is granted again.
@@ -90,7 +90,7 @@
     sites: Vec<Site>,
     mirrors: BTreeMap<ids::InstanceId, Mirror>,
     grant_seq: BTreeMap<ids::InstanceId, u64>,
-    account_use: HashMap<ids::AccountId, AccountUse>,
+    account_usage: HashMap<ids::AccountId, AccountUsage>,
     deadlines: BTreeSet<(Instant, ids::RequestId)>,
     shed_threshold: Option<ShedThreshold>,
     last_threshold_seq: u64,
@@ -121,7 +121,7 @@
             sites: Vec::new(),
             mirrors: BTreeMap::new(),
             grant_seq: BTreeMap::new(),
-            account_use: HashMap::new(),
+            account_usage: HashMap::new(),
             deadlines: BTreeSet::new(),
             shed_threshold: None,
             last_threshold_seq: 0,
@@ -210,7 +210,7 @@
         self.deadlines.remove(&(known.due, known.info.id.clone()));
         self.leave_state(&known);
         if let Some(owner) = &known.account_owner {
-            self.account_use.entry(known.info.account.clone()).or_default().give_back(owner);
+            self.account_usage.entry(known.info.account.clone()).or_default().release(owner);
         }
         let running = matches!(known.state, State::Running { .. });
         self.mirror(&known.ingress, &known.info, running);
@@ -388,8 +388,8 @@
     fn account_denied(&mut self, grant: &message::Grant, account: &ids::AccountId) {
         let hop = grant.hops.iter().find(|h| matches!(h.key, message::PermitKey::Account(_)));
         let Some(hop) = hop else { return };
-        let used = self.account_use.entry(account.clone()).or_default();
-        used.full.insert(hop.owner.clone());
+        let usage = self.account_usage.entry(account.clone()).or_default();
+        usage.exhausted.insert(hop.owner.clone());
     }
 
     /// Puts a request whose grant came to nothing back into the queue. The account's pause is left
@@ -398,7 +398,7 @@
         let Some(known) = self.requests.get(id).cloned() else { return };
         self.leave_state(&known);
         if let Some(owner) = &known.account_owner {
-            self.account_use.entry(known.info.account.clone()).or_default().take_back(owner);
+            self.account_usage.entry(known.info.account.clone()).or_default().undo_grant(owner);
         }
         self.queue.push(queued_request(&known.info));
         self.deadlines.insert((known.due.max(now), id.clone()));
--- a/oxbowbend-core/src/scheduler/site.rs
+++ b/oxbowbend-core/src/scheduler/site.rs
@@ -66,7 +66,7 @@
     }
 
     /// This instance if it has a permit free, which saves a hop, or else the owner with the most.
-    pub(super) fn best_owner(&self, me: &ids::InstanceId) -> Option<ids::InstanceId> {
+    pub(super) fn pick_owner(&self, me: &ids::InstanceId) -> Option<ids::InstanceId> {
         let rank = |(owner, o): &(&ids::InstanceId, &Offered)| (*owner == me, o.available());
         let free = self.offers.iter().filter(|(_, o)| o.available() > 0);
         free.max_by_key(rank).map(|(owner, _)| owner.clone())
