--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::site;
+use super::endpoint;
 use super::{Directory, Scheduler, State, ASK_AGAIN};
 use crate::choose::{self, Choose};
 use crate::ids;
@@ -13,7 +13,7 @@
 /// Requests of an account among which the one is chosen whose prompt a free endpoint has cached.
 const LOOK_AHEAD: usize = 32;
 /// Free endpoints up to which that choice is made; with more, the first request finds its own.
-const FEW_SITES: usize = 24;
+const MAX_CACHE_CANDIDATES: usize = 24;
 /// Times that a request may be passed over for the sake of a cached prompt.
 const MAX_PASSED: u32 = 64;
 /// Part of a pool's slots that is kept free of each lower tier, per level.
@@ -65,8 +65,8 @@
                 return best;
             }
         }
-        let usable = self.sites.iter().filter(|s| s.usable(now));
-        let seconds = usable.map(|s| s.speed.predict_seconds(0, 1));
+        let usable = self.endpoints.iter().filter(|e| e.is_usable(now));
+        let seconds = usable.map(|e| e.speed.predict_seconds(0, 1));
         let best = seconds.fold(f64::INFINITY, f64::min);
         self.fastest = Some((now, best));
         best
@@ -91,9 +91,10 @@
 
     /// Time after which the work that waits now should have been served.
     fn retry_after(&self) -> Duration {
-        let rate =
-            |s: &site::Site| f64::from(s.endpoint.slots) / s.speed.predict_seconds(0, 1).max(1e-9);
-        let rate: f64 = self.sites.iter().filter(|s| !s.endpoint.leaving).map(rate).sum();
+        let rate = |e: &endpoint::EndpointState| {
+            f64::from(e.config.slots) / e.speed.predict_seconds(0, 1).max(1e-9)
+        };
+        let rate: f64 = self.endpoints.iter().filter(|e| !e.config.leaving).map(rate).sum();
         let seconds = self.queue.work_at_or_above(ids::TierLevel::MAX) as f64 / rate.max(1e-9);
         let longest = MAX_RETRY_AFTER.as_secs_f64();
         Duration::from_secs_f64(seconds.min(longest)).max(MIN_RETRY_AFTER)
@@ -120,7 +121,7 @@
         directory: &impl Directory,
         out: &mut Vec<node::Action>,
     ) -> bool {
-        let free: u32 = self.open_sites(now).map(|(_, s)| s.free).sum();
+        let free: u32 = self.available_endpoints(now).map(|(_, e)| e.free).sum();
         if free == 0 {
             return false;
         }
@@ -134,14 +135,14 @@
                 backoff_until.is_none_or(|until| until <= now)
             };
             let Some(head) = self.queue.peek_tier(level, eligible).cloned() else { continue };
-            let (id, site) = match self.cached_pair(now, &head) {
+            let (id, index) = match self.cached_pair(now, &head) {
                 Some(pair) => pair,
-                None => match self.choose_site(now, &head.id) {
-                    Some(site) => (head.id, site),
+                None => match self.choose_endpoint(now, &head.id) {
+                    Some(index) => (head.id, index),
                     None => return false,
                 },
             };
-            self.grant(now, &id, site, directory, out);
+            self.grant(now, &id, index, directory, out);
             return true;
         }
         false
@@ -157,39 +158,40 @@
         if self.requests.get(&head.id)?.passed >= MAX_PASSED {
             return None;
         }
-        let free = self.open_sites(now).filter(|(_, s)| !s.speed.avoid(now));
-        let free: Vec<(usize, &site::Site)> = free.take(FEW_SITES + 1).collect();
-        if free.len() > FEW_SITES {
+        let free = self.available_endpoints(now).filter(|(_, e)| !e.speed.avoid(now));
+        let free: Vec<(usize, &endpoint::EndpointState)> =
+            free.take(MAX_CACHE_CANDIDATES + 1).collect();
+        if free.len() > MAX_CACHE_CANDIDATES {
             return None;
         }
         let mut best: Option<(u32, &ids::RequestId, usize)> = None;
         for queued in self.queue.oldest_of_account(head.tier, &head.account, LOOK_AHEAD) {
             let Some(known) = self.requests.get(&queued.id) else { continue };
-            for (index, site) in &free {
-                let cached = site.cache.cached_tokens(&known.info.prefix);
+            for (index, endpoint) in &free {
+                let cached = endpoint.cache.cached_tokens(&known.info.prefix);
                 if cached > best.as_ref().map_or(0, |b| b.0) {
                     best = Some((cached, &queued.id, *index));
                 }
             }
         }
-        let (_, id, site) = best?;
+        let (_, id, index) = best?;
         let id = id.clone();
         if id != head.id {
             self.requests.get_mut(&head.id)?.passed += 1;
         }
-        Some((id, site))
+        Some((id, index))
     }
 
-    fn choose_site(&mut self, now: Instant, id: &ids::RequestId) -> Option<usize> {
+    fn choose_endpoint(&mut self, now: Instant, id: &ids::RequestId) -> Option<usize> {
         let info = &self.requests.get(id)?.info;
         let candidates: Vec<choose::Candidate> = self
-            .open_sites(now)
-            .map(|(index, s)| choose::Candidate {
+            .available_endpoints(now)
+            .map(|(index, e)| choose::Candidate {
                 index,
-                seconds: s.cost(info, self.prefill_bias),
-                outstanding: s.running,
-                reported: s.reported,
-                avoid: s.speed.avoid(now),
+                seconds: e.predicted_cost(info, self.prefill_bias),
+                outstanding: e.running,
+                reported: e.reported,
+                avoid: e.speed.avoid(now),
             })
             .collect();
         let chosen = self.choose.choose(&candidates)?;
@@ -200,11 +202,11 @@
         &mut self,
         now: Instant,
         id: &ids::RequestId,
-        site: usize,
+        index: usize,
         directory: &impl Directory,
         out: &mut Vec<node::Action>,
     ) {
-        let Some(owner) = self.sites[site].pick_owner(&self.me) else { return };
+        let Some(owner) = self.endpoints[index].pick_owner(&self.me) else { return };
         let Some(known) = self.requests.get(id).cloned() else { return };
         let account = &known.info.account;
         let Ok(account_hop) = self.account_hop(now, account, directory) else { return };
@@ -212,13 +214,13 @@
         let seq = self.grant_seq.entry(owner.clone()).or_default();
         *seq += 1;
         let seq = *seq;
-        let target = &mut self.sites[site];
+        let target = &mut self.endpoints[index];
         target.running += 1;
         target.cache.insert(&known.info.prefix);
         target.speed.probe();
         target.offers.entry(owner.clone()).or_default().in_flight.insert(seq);
-        self.recount(site);
-        let target = &self.sites[site];
+        self.update_free(index);
+        let target = &self.endpoints[index];
         let key = message::PermitKey::Endpoint(target.id.clone());
         let endpoint = target.id.clone();
         let account_owner = account_hop.as_ref().map(|h| h.owner.clone());
@@ -239,7 +241,7 @@
         self.unanswered.insert((now, id.clone()));
         if let Some(k) = self.requests.get_mut(id) {
             k.account_owner = account_owner;
-            k.state = State::Granted { site, owner, seq, at: now };
+            k.state = State::Granted { index, owner, seq, at: now };
         }
     }
 
--- a/oxbowbend-core/src/scheduler/site.rs
+++ b/oxbowbend-core/src/scheduler/endpoint.rs
@@ -11,13 +11,13 @@
 use crate::topology;
 
 #[derive(Clone, Debug, Default)]
-pub(super) struct Offered {
+pub(super) struct OwnerOffer {
     pub(super) free: u32,
     pub(super) last_seq: u64,
     pub(super) in_flight: BTreeSet<u64>,
 }
 
-impl Offered {
+impl OwnerOffer {
     pub(super) fn available(&self) -> u32 {
         let in_flight = self.in_flight.range(self.last_seq + 1..).count() as u32;
         self.free.saturating_sub(in_flight)
@@ -25,26 +25,26 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Site {
+pub(super) struct EndpointState {
     pub(super) id: ids::EndpointId,
-    pub(super) endpoint: topology::Endpoint,
-    pub(super) offers: BTreeMap<ids::InstanceId, Offered>,
+    pub(super) config: topology::Endpoint,
+    pub(super) offers: BTreeMap<ids::InstanceId, OwnerOffer>,
     pub(super) speed: speed::Speed,
     pub(super) cache: cache::PrefixCache,
     pub(super) breaker: budget::Breaker,
     pub(super) running: u32,
     pub(super) reported: u32,
-    /// Free permits, kept up to date by [`Scheduler::recount`].
+    /// Free permits, kept up to date by [`Scheduler::update_free`].
     pub(super) free: u32,
 }
 
-impl Site {
-    pub(super) fn new(id: ids::EndpointId, endpoint: topology::Endpoint) -> Site {
-        Site {
+impl EndpointState {
+    pub(super) fn new(id: ids::EndpointId, config: topology::Endpoint) -> EndpointState {
+        EndpointState {
             id,
-            speed: speed::Speed::new(endpoint.prefill_rate, endpoint.decode_rate),
-            cache: cache::PrefixCache::new(endpoint.cache_tokens),
-            endpoint,
+            speed: speed::Speed::new(config.prefill_rate, config.decode_rate),
+            cache: cache::PrefixCache::new(config.cache_tokens),
+            config,
             offers: BTreeMap::new(),
             breaker: budget::Breaker::default(),
             running: 0,
@@ -53,12 +53,12 @@
         }
     }
 
-    pub(super) fn usable(&self, now: Instant) -> bool {
-        !self.endpoint.leaving && self.breaker.allows(now)
+    pub(super) fn is_usable(&self, now: Instant) -> bool {
+        !self.config.leaving && self.breaker.allows(now)
     }
 
     /// Predicted seconds, with prefill weighed as the pool's settings say.
-    pub(super) fn cost(&self, info: &message::RequestInfo, prefill_bias: f64) -> f64 {
+    pub(super) fn predicted_cost(&self, info: &message::RequestInfo, prefill_bias: f64) -> f64 {
         let cached = self.cache.cached_tokens(&info.prefix).min(info.prompt_tokens);
         let fresh = info.prompt_tokens - cached;
         let seconds = self.speed.predict_seconds(fresh, info.output_tokens);
@@ -67,7 +67,7 @@
 
     /// This instance if it has a permit free, which saves a hop, or else the owner with the most.
     pub(super) fn pick_owner(&self, me: &ids::InstanceId) -> Option<ids::InstanceId> {
-        let rank = |(owner, o): &(&ids::InstanceId, &Offered)| (*owner == me, o.available());
+        let rank = |(owner, o): &(&ids::InstanceId, &OwnerOffer)| (*owner == me, o.available());
         let free = self.offers.iter().filter(|(_, o)| o.available() > 0);
         free.max_by_key(rank).map(|(owner, _)| owner.clone())
     }
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -7,8 +7,8 @@
 
 mod account;
 mod decide;
+mod endpoint;
 mod shed;
-mod site;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
 use crate::queue;
 use crate::topology;
 use account::AccountUsage;
-use site::{Offered, Site};
+use endpoint::{EndpointState, OwnerOffer};
 
 /// Time without a word after which a grant is taken to be lost and its request is granted again.
 pub const ASK_AGAIN: Duration = Duration::from_secs(2);
@@ -30,8 +30,8 @@
 #[derive(Clone, Debug, PartialEq)]
 enum State {
     Queued,
-    Granted { site: usize, owner: ids::InstanceId, seq: u64, at: Instant },
-    Running { site: usize },
+    Granted { index: usize, owner: ids::InstanceId, seq: u64, at: Instant },
+    Running { index: usize },
     Refused { reason: message::RefusalReason, retry_after_ms: u64, at: Instant },
 }
 
@@ -87,7 +87,7 @@
     choose: C,
     requests: HashMap<ids::RequestId, Known>,
     queue: queue::Queue,
-    sites: Vec<Site>,
+    endpoints: Vec<EndpointState>,
     mirrors: BTreeMap<ids::InstanceId, Mirror>,
     grant_seq: BTreeMap<ids::InstanceId, u64>,
     account_usage: HashMap<ids::AccountId, AccountUsage>,
@@ -95,9 +95,9 @@
     shed_threshold: Option<ShedThreshold>,
     last_threshold_seq: u64,
     unanswered: BTreeSet<(Instant, ids::RequestId)>,
-    site_of: HashMap<ids::EndpointId, usize>,
+    endpoint_index: HashMap<ids::EndpointId, usize>,
     /// Sites with free permits, so that a decision looks at no others.
-    open: BTreeSet<usize>,
+    available: BTreeSet<usize>,
     total_slots: u32,
     fastest: Option<(Instant, f64)>,
 }
@@ -118,7 +118,7 @@
             choose,
             requests: HashMap::new(),
             queue: queue::Queue::default(),
-            sites: Vec::new(),
+            endpoints: Vec::new(),
             mirrors: BTreeMap::new(),
             grant_seq: BTreeMap::new(),
             account_usage: HashMap::new(),
@@ -126,8 +126,8 @@
             shed_threshold: None,
             last_threshold_seq: 0,
             unanswered: BTreeSet::new(),
-            site_of: HashMap::new(),
-            open: BTreeSet::new(),
+            endpoint_index: HashMap::new(),
+            available: BTreeSet::new(),
             total_slots: 0,
             fastest: None,
         };
@@ -140,38 +140,38 @@
     pub fn configure(&mut self, config: &topology::Pool) {
         self.queue_bound = config.queue_bound;
         self.prefill_bias = config.prefill_bias;
-        for site in &mut self.sites {
-            match config.endpoints.get(&site.id) {
-                Some(endpoint) => site.endpoint = endpoint.clone(),
-                None => site.endpoint.leaving = true,
+        for endpoint in &mut self.endpoints {
+            match config.endpoints.get(&endpoint.id) {
+                Some(endpoint_config) => endpoint.config = endpoint_config.clone(),
+                None => endpoint.config.leaving = true,
             }
         }
-        for (id, endpoint) in &config.endpoints {
-            if !self.site_of.contains_key(id) {
-                self.site_of.insert(id.clone(), self.sites.len());
-                self.sites.push(Site::new(id.clone(), endpoint.clone()));
+        for (id, endpoint_config) in &config.endpoints {
+            if !self.endpoint_index.contains_key(id) {
+                self.endpoint_index.insert(id.clone(), self.endpoints.len());
+                self.endpoints.push(EndpointState::new(id.clone(), endpoint_config.clone()));
             }
         }
-        let staying = self.sites.iter().filter(|s| !s.endpoint.leaving);
-        self.total_slots = staying.map(|s| s.endpoint.slots).sum();
+        let staying = self.endpoints.iter().filter(|e| !e.config.leaving);
+        self.total_slots = staying.map(|e| e.config.slots).sum();
         self.fastest = None;
     }
 
     /// Brings a site's number of free permits up to date after its offers have changed.
-    fn recount(&mut self, at: usize) {
-        let site = &mut self.sites[at];
-        site.free = site.offers.values().map(Offered::available).sum();
-        if site.free > 0 {
-            self.open.insert(at);
+    fn update_free(&mut self, index: usize) {
+        let endpoint = &mut self.endpoints[index];
+        endpoint.free = endpoint.offers.values().map(OwnerOffer::available).sum();
+        if endpoint.free > 0 {
+            self.available.insert(index);
         } else {
-            self.open.remove(&at);
+            self.available.remove(&index);
         }
     }
 
     /// Sites that may be granted now.
-    fn open_sites(&self, now: Instant) -> impl Iterator<Item = (usize, &Site)> {
-        let open = self.open.iter().map(|at| (*at, &self.sites[*at]));
-        open.filter(move |(_, s)| s.usable(now))
+    fn available_endpoints(&self, now: Instant) -> impl Iterator<Item = (usize, &EndpointState)> {
+        let available = self.available.iter().map(|index| (*index, &self.endpoints[*index]));
+        available.filter(move |(_, e)| e.is_usable(now))
     }
 
     /// Number of requests that wait here.
@@ -219,12 +219,12 @@
 
     fn leave_state(&mut self, known: &Known) {
         match &known.state {
-            State::Granted { site, owner, seq, at } => {
+            State::Granted { index, owner, seq, at } => {
                 self.unanswered.remove(&(*at, known.info.id.clone()));
-                self.remove_in_flight(*site, owner, *seq);
-                self.sites[*site].running -= 1;
+                self.remove_in_flight(*index, owner, *seq);
+                self.endpoints[*index].running -= 1;
             }
-            State::Running { site } => self.sites[*site].running -= 1,
+            State::Running { index } => self.endpoints[*index].running -= 1,
             State::Refused { at, .. } => {
                 self.unanswered.remove(&(*at, known.info.id.clone()));
             }
@@ -232,11 +232,11 @@
         }
     }
 
-    fn remove_in_flight(&mut self, site: usize, owner: &ids::InstanceId, seq: u64) {
-        if let Some(offered) = self.sites[site].offers.get_mut(owner) {
-            offered.in_flight.remove(&seq);
+    fn remove_in_flight(&mut self, index: usize, owner: &ids::InstanceId, seq: u64) {
+        if let Some(owner_offer) = self.endpoints[index].offers.get_mut(owner) {
+            owner_offer.in_flight.remove(&seq);
         }
-        self.recount(site);
+        self.update_free(index);
     }
 
     /// The entry gives a waiting request up.
@@ -256,13 +256,13 @@
             return;
         }
         let Some(known) = self.requests.get(&grant_id.0).cloned() else { return };
-        let State::Granted { site, at, .. } = known.state else { return };
+        let State::Granted { index, at, .. } = known.state else { return };
         self.unanswered.remove(&(at, known.info.id.clone()));
         self.deadlines.remove(&(known.due, known.info.id.clone()));
         self.mirror(&known.ingress, &known.info, false);
         self.mirror(&known.ingress, &known.info, true);
         if let Some(k) = self.requests.get_mut(&grant_id.0) {
-            k.state = State::Running { site };
+            k.state = State::Running { index };
         }
     }
 
@@ -272,14 +272,14 @@
             return;
         }
         let Some(known) = self.forget(&grant_id.0) else { return };
-        let State::Running { site } = known.state else { return };
-        let site = &mut self.sites[site];
+        let State::Running { index } = known.state else { return };
+        let endpoint = &mut self.endpoints[index];
         match report.outcome {
             message::RunOutcome::Complete => {
-                site.breaker.succeeded();
-                site.speed.learn(now, report);
+                endpoint.breaker.succeeded();
+                endpoint.speed.learn(now, report);
             }
-            message::RunOutcome::Failed => site.breaker.failed(now),
+            message::RunOutcome::Failed => endpoint.breaker.failed(now),
             message::RunOutcome::Cancelled => {}
         }
     }
@@ -301,7 +301,9 @@
         });
         self.mirrors.remove(from);
         waiting.into_iter().for_each(|info| self.enqueue(now, from, info));
-        running.into_iter().for_each(|(info, at)| self.learn_running(now, from, info, &at));
+        running
+            .into_iter()
+            .for_each(|(info, endpoint)| self.learn_running(now, from, info, &endpoint));
     }
 
     fn learn_running(
@@ -309,14 +311,14 @@
         now: Instant,
         from: &ids::InstanceId,
         info: message::RequestInfo,
-        at: &ids::EndpointId,
+        endpoint: &ids::EndpointId,
     ) {
         self.mirror(from, &info, true);
-        let Some(site) = self.site_of.get(at).copied() else { return };
-        self.sites[site].running += 1;
-        self.sites[site].cache.insert(&info.prefix);
+        let Some(index) = self.endpoint_index.get(endpoint).copied() else { return };
+        self.endpoints[index].running += 1;
+        self.endpoints[index].cache.insert(&info.prefix);
         let (id, ingress) = (info.id.clone(), from.clone());
-        let state = State::Running { site };
+        let state = State::Running { index };
         self.requests
             .insert(id, Known { info, ingress, due: now, account_owner: None, passed: 0, state });
     }
@@ -343,23 +345,23 @@
         });
         self.mirrors.retain(|id, _| listed(id));
         self.grant_seq.retain(|id, _| listed(id));
-        self.sites.iter_mut().for_each(|s| s.offers.retain(|id, _| listed(id)));
-        (0..self.sites.len()).for_each(|at| self.recount(at));
+        self.endpoints.iter_mut().for_each(|e| e.offers.retain(|id, _| listed(id)));
+        (0..self.endpoints.len()).for_each(|index| self.update_free(index));
     }
 
     /// An owner tells how many permits it has free.
     pub fn offer(&mut self, from: &ids::InstanceId, offer: &message::Offer) {
-        let Some(at) = self.site_of.get(&offer.endpoint).copied() else { return };
-        let site = &mut self.sites[at];
+        let Some(index) = self.endpoint_index.get(&offer.endpoint).copied() else { return };
+        let endpoint = &mut self.endpoints[index];
         if offer.owned == 0 {
-            site.offers.remove(from);
+            endpoint.offers.remove(from);
         } else {
-            let offered = site.offers.entry(from.clone()).or_default();
-            offered.free = offer.free;
-            offered.last_seq = offered.last_seq.max(offer.last_seq);
-            offered.in_flight = offered.in_flight.split_off(&(offered.last_seq + 1));
+            let owner_offer = endpoint.offers.entry(from.clone()).or_default();
+            owner_offer.free = offer.free;
+            owner_offer.last_seq = owner_offer.last_seq.max(offer.last_seq);
+            owner_offer.in_flight = owner_offer.in_flight.split_off(&(owner_offer.last_seq + 1));
         }
-        self.recount(at);
+        self.update_free(index);
     }
 
     /// An owner had no permit to give; the request goes back into the queue.
@@ -369,16 +371,16 @@
             return;
         }
         let Some(known) = self.requests.get(&grant.request) else { return };
-        let State::Granted { site, owner, seq, .. } = known.state.clone() else { return };
+        let State::Granted { index, owner, seq, .. } = known.state.clone() else { return };
         if seq != grant.seq {
             return;
         }
         match key {
             message::PermitKey::Endpoint(_) => {
-                if let Some(offered) = self.sites[site].offers.get_mut(&owner) {
-                    offered.free = 0;
+                if let Some(owner_offer) = self.endpoints[index].offers.get_mut(&owner) {
+                    owner_offer.free = 0;
                 }
-                self.recount(site);
+                self.update_free(index);
             }
             message::PermitKey::Account(account) => self.account_denied(grant, account),
         }
@@ -410,8 +412,8 @@
 
     /// An endpoint's report of its load, for requests that are not ours.
     pub fn load(&mut self, endpoint: &ids::EndpointId, running: u32) {
-        if let Some(at) = self.site_of.get(endpoint) {
-            self.sites[*at].reported = running;
+        if let Some(index) = self.endpoint_index.get(endpoint) {
+            self.endpoints[*index].reported = running;
         }
     }
 }
