--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -15,7 +15,7 @@
 /// Free endpoints up to which that choice is made; with more, the first request finds its own.
 const MAX_CACHE_CANDIDATES: usize = 24;
 /// Times that a request may be passed over for the sake of a cached prompt.
-const MAX_PASSED: u32 = 64;
+const MAX_SKIPS: u32 = 64;
 /// Part of a pool's slots that is kept free of each lower tier, per level.
 const KEEP_PER_LEVEL: f64 = 0.04;
 /// Time between two looks at which endpoint is the fastest.
@@ -45,14 +45,14 @@
         if !best.is_finite() {
             return;
         }
-        while let Some((due, id)) = self.deadlines.first().cloned() {
-            let Some(known) = self.requests.get(&id) else { break };
-            let least = best * f64::from(known.info.output_tokens);
-            if now + Duration::from_secs_f64(least.min(86_400.0)) < due {
+        while let Some((deadline, id)) = self.deadlines.first().cloned() {
+            let Some(tracked) = self.requests.get(&id) else { break };
+            let least = best * f64::from(tracked.info.output_tokens);
+            if now + Duration::from_secs_f64(least.min(86_400.0)) < deadline {
                 break;
             }
             self.deadlines.pop_first();
-            if known.state == State::Queued {
+            if tracked.state == State::Queued {
                 self.refuse(now, &id, message::RefusalReason::Deadline, out);
             }
         }
@@ -81,12 +81,12 @@
     ) {
         let retry_after_ms = self.retry_after().as_millis() as u64;
         self.queue.remove(id);
-        let Some(known) = self.requests.get_mut(id) else { return };
-        known.state = State::Refused { reason, retry_after_ms, at: now };
+        let Some(tracked) = self.requests.get_mut(id) else { return };
+        tracked.state = State::Refused { reason, retry_after_ms, at: now };
         self.unanswered.insert((now, id.clone()));
-        let (request, attempt) = (id.clone(), known.info.attempt);
+        let (request, attempt) = (id.clone(), tracked.info.attempt);
         let message = message::Message::Refuse { request, attempt, reason, retry_after_ms };
-        out.push(node::Action::send(&known.ingress, message));
+        out.push(node::Action::send(&tracked.ingress, message));
     }
 
     /// Time after which the work that waits now should have been served.
@@ -107,7 +107,7 @@
                 break;
             }
             self.unanswered.pop_first();
-            match self.requests.get(&id).map(|k| k.state.clone()) {
+            match self.requests.get(&id).map(|r| r.state.clone()) {
                 Some(State::Refused { reason, .. }) => self.refuse(now, &id, reason, out),
                 Some(State::Granted { .. }) => self.put_back(now, &id),
                 _ => {}
@@ -155,7 +155,7 @@
         now: Instant,
         head: &queue::QueuedRequest,
     ) -> Option<(ids::RequestId, usize)> {
-        if self.requests.get(&head.id)?.passed >= MAX_PASSED {
+        if self.requests.get(&head.id)?.times_skipped >= MAX_SKIPS {
             return None;
         }
         let free = self.available_endpoints(now).filter(|(_, e)| !e.speed.avoid(now));
@@ -166,9 +166,9 @@
         }
         let mut best: Option<(u32, &ids::RequestId, usize)> = None;
         for queued in self.queue.oldest_of_account(head.tier, &head.account, LOOK_AHEAD) {
-            let Some(known) = self.requests.get(&queued.id) else { continue };
+            let Some(tracked) = self.requests.get(&queued.id) else { continue };
             for (index, endpoint) in &free {
-                let cached = endpoint.cache.cached_tokens(&known.info.prefix);
+                let cached = endpoint.cache.cached_tokens(&tracked.info.prefix);
                 if cached > best.as_ref().map_or(0, |b| b.0) {
                     best = Some((cached, &queued.id, *index));
                 }
@@ -177,7 +177,7 @@
         let (_, id, index) = best?;
         let id = id.clone();
         if id != head.id {
-            self.requests.get_mut(&head.id)?.passed += 1;
+            self.requests.get_mut(&head.id)?.times_skipped += 1;
         }
         Some((id, index))
     }
@@ -207,8 +207,8 @@
         out: &mut Vec<node::Action>,
     ) {
         let Some(owner) = self.endpoints[index].pick_owner(&self.me) else { return };
-        let Some(known) = self.requests.get(id).cloned() else { return };
-        let account = &known.info.account;
+        let Some(tracked) = self.requests.get(id).cloned() else { return };
+        let account = &tracked.info.account;
         let Ok(account_hop) = self.account_hop(now, account, directory) else { return };
         self.queue.serve(id);
         let seq = self.grant_seq.entry(owner.clone()).or_default();
@@ -216,7 +216,7 @@
         let seq = *seq;
         let target = &mut self.endpoints[index];
         target.running += 1;
-        target.cache.insert(&known.info.prefix);
+        target.cache.insert(&tracked.info.prefix);
         target.speed.probe();
         target.offers.entry(owner.clone()).or_default().in_flight.insert(seq);
         self.update_free(index);
@@ -228,10 +228,10 @@
         hops.push(message::Hop { owner: owner.clone(), key, index: None });
         let grant = message::Grant {
             request: id.clone(),
-            attempt: known.info.attempt,
+            attempt: tracked.info.attempt,
             pool: self.pool.clone(),
             endpoint,
-            ingress: known.ingress.clone(),
+            ingress: tracked.ingress.clone(),
             scheduler: self.me.clone(),
             seq,
             hops,
@@ -239,9 +239,9 @@
         let first = grant.hops[0].owner.clone();
         out.push(node::Action::send(&first, message::Message::Grant(grant)));
         self.unanswered.insert((now, id.clone()));
-        if let Some(k) = self.requests.get_mut(id) {
-            k.account_owner = account_owner;
-            k.state = State::Granted { index, owner, seq, at: now };
+        if let Some(tracked) = self.requests.get_mut(id) {
+            tracked.account_owner = account_owner;
+            tracked.state = State::Granted { index, owner, seq, at: now };
         }
     }
 
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -36,12 +36,12 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct TrackedRequest {
     info: message::RequestInfo,
     ingress: ids::InstanceId,
-    due: Instant,
+    deadline: Instant,
     account_owner: Option<ids::InstanceId>,
-    passed: u32,
+    times_skipped: u32,
     state: State,
 }
 
@@ -85,7 +85,7 @@
     queue_bound: usize,
     prefill_bias: f64,
     choose: C,
-    requests: HashMap<ids::RequestId, Known>,
+    requests: HashMap<ids::RequestId, TrackedRequest>,
     queue: queue::Queue,
     endpoints: Vec<EndpointState>,
     mirrors: BTreeMap<ids::InstanceId, Mirror>,
@@ -182,20 +182,26 @@
     /// Takes in a waiting request.
     pub fn enqueue(&mut self, now: Instant, from: &ids::InstanceId, info: message::RequestInfo) {
         let id = info.id.clone();
-        if let Some(known) = self.requests.get(&id) {
-            if known.info.attempt >= info.attempt {
+        if let Some(tracked) = self.requests.get(&id) {
+            if tracked.info.attempt >= info.attempt {
                 return;
             }
             self.forget(&id);
         }
         self.mirror(from, &info, false);
-        let due = now + Duration::from_millis(info.due_in_ms);
+        let deadline = now + Duration::from_millis(info.due_in_ms);
         self.queue.push(queued_request(&info));
-        self.deadlines.insert((due, id.clone()));
+        self.deadlines.insert((deadline, id.clone()));
         let ingress = from.clone();
-        let known =
-            Known { info, ingress, due, account_owner: None, passed: 0, state: State::Queued };
-        self.requests.insert(id, known);
+        let tracked = TrackedRequest {
+            info,
+            ingress,
+            deadline,
+            account_owner: None,
+            times_skipped: 0,
+            state: State::Queued,
+        };
+        self.requests.insert(id, tracked);
     }
 
     fn mirror(&mut self, ingress: &ids::InstanceId, info: &message::RequestInfo, running: bool) {
@@ -204,29 +210,29 @@
     }
 
     /// Removes every trace of a request.
-    fn forget(&mut self, id: &str) -> Option<Known> {
-        let known = self.requests.remove(id)?;
+    fn forget(&mut self, id: &str) -> Option<TrackedRequest> {
+        let tracked = self.requests.remove(id)?;
         self.queue.remove(id);
-        self.deadlines.remove(&(known.due, known.info.id.clone()));
-        self.leave_state(&known);
-        if let Some(owner) = &known.account_owner {
-            self.account_usage.entry(known.info.account.clone()).or_default().release(owner);
+        self.deadlines.remove(&(tracked.deadline, tracked.info.id.clone()));
+        self.leave_state(&tracked);
+        if let Some(owner) = &tracked.account_owner {
+            self.account_usage.entry(tracked.info.account.clone()).or_default().release(owner);
         }
-        let running = matches!(known.state, State::Running { .. });
-        self.mirror(&known.ingress, &known.info, running);
-        Some(known)
+        let running = matches!(tracked.state, State::Running { .. });
+        self.mirror(&tracked.ingress, &tracked.info, running);
+        Some(tracked)
     }
 
-    fn leave_state(&mut self, known: &Known) {
-        match &known.state {
+    fn leave_state(&mut self, tracked: &TrackedRequest) {
+        match &tracked.state {
             State::Granted { index, owner, seq, at } => {
-                self.unanswered.remove(&(*at, known.info.id.clone()));
+                self.unanswered.remove(&(*at, tracked.info.id.clone()));
                 self.remove_in_flight(*index, owner, *seq);
                 self.endpoints[*index].running -= 1;
             }
             State::Running { index } => self.endpoints[*index].running -= 1,
             State::Refused { at, .. } => {
-                self.unanswered.remove(&(*at, known.info.id.clone()));
+                self.unanswered.remove(&(*at, tracked.info.id.clone()));
             }
             State::Queued => {}
         }
@@ -247,7 +253,7 @@
     }
 
     fn is_current(&self, (id, attempt): &message::GrantId) -> bool {
-        self.requests.get(id).is_some_and(|k| k.info.attempt == *attempt)
+        self.requests.get(id).is_some_and(|r| r.info.attempt == *attempt)
     }
 
     /// The entry has accepted a grant.
@@ -255,14 +261,14 @@
         if !self.is_current(grant_id) {
             return;
         }
-        let Some(known) = self.requests.get(&grant_id.0).cloned() else { return };
-        let State::Granted { index, at, .. } = known.state else { return };
-        self.unanswered.remove(&(at, known.info.id.clone()));
-        self.deadlines.remove(&(known.due, known.info.id.clone()));
-        self.mirror(&known.ingress, &known.info, false);
-        self.mirror(&known.ingress, &known.info, true);
-        if let Some(k) = self.requests.get_mut(&grant_id.0) {
-            k.state = State::Running { index };
+        let Some(tracked) = self.requests.get(&grant_id.0).cloned() else { return };
+        let State::Granted { index, at, .. } = tracked.state else { return };
+        self.unanswered.remove(&(at, tracked.info.id.clone()));
+        self.deadlines.remove(&(tracked.deadline, tracked.info.id.clone()));
+        self.mirror(&tracked.ingress, &tracked.info, false);
+        self.mirror(&tracked.ingress, &tracked.info, true);
+        if let Some(tracked) = self.requests.get_mut(&grant_id.0) {
+            tracked.state = State::Running { index };
         }
     }
 
@@ -271,8 +277,8 @@
         if !self.is_current(grant_id) {
             return;
         }
-        let Some(known) = self.forget(&grant_id.0) else { return };
-        let State::Running { index } = known.state else { return };
+        let Some(tracked) = self.forget(&grant_id.0) else { return };
+        let State::Running { index } = tracked.state else { return };
         let endpoint = &mut self.endpoints[index];
         match report.outcome {
             message::RunOutcome::Complete => {
@@ -292,9 +298,9 @@
         waiting: Vec<message::RequestInfo>,
         running: Vec<(message::RequestInfo, ids::EndpointId)>,
     ) {
-        let of_ingress = |k: &&Known| k.ingress == *from;
+        let of_ingress = |r: &&TrackedRequest| r.ingress == *from;
         let mut former: Vec<ids::RequestId> =
-            self.requests.values().filter(of_ingress).map(|k| k.info.id.clone()).collect();
+            self.requests.values().filter(of_ingress).map(|r| r.info.id.clone()).collect();
         former.sort();
         former.iter().for_each(|id| {
             self.forget(id);
@@ -319,8 +325,17 @@
         self.endpoints[index].cache.insert(&info.prefix);
         let (id, ingress) = (info.id.clone(), from.clone());
         let state = State::Running { index };
-        self.requests
-            .insert(id, Known { info, ingress, due: now, account_owner: None, passed: 0, state });
+        self.requests.insert(
+            id,
+            TrackedRequest {
+                info,
+                ingress,
+                deadline: now,
+                account_owner: None,
+                times_skipped: 0,
+                state,
+            },
+        );
     }
 
     /// Compares an entry's digest with the mirror; says whether a report is needed.
@@ -336,9 +351,9 @@
 
     /// Drops what belongs to instances that are gone.
     pub fn retain_members(&mut self, listed: impl Fn(&str) -> bool) {
-        let gone = |k: &&Known| !listed(&k.ingress);
+        let gone = |r: &&TrackedRequest| !listed(&r.ingress);
         let mut lost: Vec<ids::RequestId> =
-            self.requests.values().filter(gone).map(|k| k.info.id.clone()).collect();
+            self.requests.values().filter(gone).map(|r| r.info.id.clone()).collect();
         lost.sort();
         lost.iter().for_each(|id| {
             self.forget(id);
@@ -370,8 +385,8 @@
         if !self.is_current(&grant_id) {
             return;
         }
-        let Some(known) = self.requests.get(&grant.request) else { return };
-        let State::Granted { index, owner, seq, .. } = known.state.clone() else { return };
+        let Some(tracked) = self.requests.get(&grant.request) else { return };
+        let State::Granted { index, owner, seq, .. } = tracked.state.clone() else { return };
         if seq != grant.seq {
             return;
         }
@@ -397,16 +412,16 @@
     /// Puts a request whose grant came to nothing back into the queue. The account's pause is left
     /// as it is: only the end of a run makes room.
     fn put_back(&mut self, now: Instant, id: &ids::RequestId) {
-        let Some(known) = self.requests.get(id).cloned() else { return };
-        self.leave_state(&known);
-        if let Some(owner) = &known.account_owner {
-            self.account_usage.entry(known.info.account.clone()).or_default().undo_grant(owner);
+        let Some(tracked) = self.requests.get(id).cloned() else { return };
+        self.leave_state(&tracked);
+        if let Some(owner) = &tracked.account_owner {
+            self.account_usage.entry(tracked.info.account.clone()).or_default().undo_grant(owner);
         }
-        self.queue.push(queued_request(&known.info));
-        self.deadlines.insert((known.due.max(now), id.clone()));
-        if let Some(k) = self.requests.get_mut(id) {
-            k.state = State::Queued;
-            k.account_owner = None;
+        self.queue.push(queued_request(&tracked.info));
+        self.deadlines.insert((tracked.deadline.max(now), id.clone()));
+        if let Some(tracked) = self.requests.get_mut(id) {
+            tracked.state = State::Queued;
+            tracked.account_owner = None;
         }
     }
 
