--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -47,7 +47,7 @@
 
 /// What an entry has said it holds, as a digest over its messages only.
 #[derive(Clone, Debug, Default)]
-struct Mirror {
+struct IngressState {
     digest: u64,
     threshold_seq: u64,
 }
@@ -88,7 +88,7 @@
     requests: HashMap<ids::RequestId, TrackedRequest>,
     queue: queue::Queue,
     endpoints: Vec<EndpointState>,
-    mirrors: BTreeMap<ids::InstanceId, Mirror>,
+    ingress_states: BTreeMap<ids::InstanceId, IngressState>,
     grant_seq: BTreeMap<ids::InstanceId, u64>,
     account_usage: HashMap<ids::AccountId, AccountUsage>,
     deadlines: BTreeSet<(Instant, ids::RequestId)>,
@@ -119,7 +119,7 @@
             requests: HashMap::new(),
             queue: queue::Queue::default(),
             endpoints: Vec::new(),
-            mirrors: BTreeMap::new(),
+            ingress_states: BTreeMap::new(),
             grant_seq: BTreeMap::new(),
             account_usage: HashMap::new(),
             deadlines: BTreeSet::new(),
@@ -188,7 +188,7 @@
             }
             self.forget(&id);
         }
-        self.mirror(from, &info, false);
+        self.toggle_digest(from, &info, false);
         let deadline = now + Duration::from_millis(info.due_in_ms);
         self.queue.push(queued_request(&info));
         self.deadlines.insert((deadline, id.clone()));
@@ -204,9 +204,14 @@
         self.requests.insert(id, tracked);
     }
 
-    fn mirror(&mut self, ingress: &ids::InstanceId, info: &message::RequestInfo, running: bool) {
-        let mirror = self.mirrors.entry(ingress.clone()).or_default();
-        mirror.digest ^= ingress::request_digest(&info.id, info.attempt, running);
+    fn toggle_digest(
+        &mut self,
+        ingress: &ids::InstanceId,
+        info: &message::RequestInfo,
+        running: bool,
+    ) {
+        let ingress_state = self.ingress_states.entry(ingress.clone()).or_default();
+        ingress_state.digest ^= ingress::request_digest(&info.id, info.attempt, running);
     }
 
     /// Removes every trace of a request.
@@ -219,7 +224,7 @@
             self.account_usage.entry(tracked.info.account.clone()).or_default().release(owner);
         }
         let running = matches!(tracked.state, State::Running { .. });
-        self.mirror(&tracked.ingress, &tracked.info, running);
+        self.toggle_digest(&tracked.ingress, &tracked.info, running);
         Some(tracked)
     }
 
@@ -265,8 +270,8 @@
         let State::Granted { index, at, .. } = tracked.state else { return };
         self.unanswered.remove(&(at, tracked.info.id.clone()));
         self.deadlines.remove(&(tracked.deadline, tracked.info.id.clone()));
-        self.mirror(&tracked.ingress, &tracked.info, false);
-        self.mirror(&tracked.ingress, &tracked.info, true);
+        self.toggle_digest(&tracked.ingress, &tracked.info, false);
+        self.toggle_digest(&tracked.ingress, &tracked.info, true);
         if let Some(tracked) = self.requests.get_mut(&grant_id.0) {
             tracked.state = State::Running { index };
         }
@@ -305,7 +310,7 @@
         former.iter().for_each(|id| {
             self.forget(id);
         });
-        self.mirrors.remove(from);
+        self.ingress_states.remove(from);
         waiting.into_iter().for_each(|info| self.enqueue(now, from, info));
         running
             .into_iter()
@@ -319,7 +324,7 @@
         info: message::RequestInfo,
         endpoint: &ids::EndpointId,
     ) {
-        self.mirror(from, &info, true);
+        self.toggle_digest(from, &info, true);
         let Some(index) = self.endpoint_index.get(endpoint).copied() else { return };
         self.endpoints[index].running += 1;
         self.endpoints[index].cache.insert(&info.prefix);
@@ -344,9 +349,9 @@
         from: &ids::InstanceId,
         reported: &message::PoolDigest,
     ) -> bool {
-        let mirror = self.mirrors.entry(from.clone()).or_default();
-        mirror.threshold_seq = reported.threshold_seq;
-        mirror.digest != reported.digest
+        let ingress_state = self.ingress_states.entry(from.clone()).or_default();
+        ingress_state.threshold_seq = reported.threshold_seq;
+        ingress_state.digest != reported.digest
     }
 
     /// Drops what belongs to instances that are gone.
@@ -358,7 +363,7 @@
         lost.iter().for_each(|id| {
             self.forget(id);
         });
-        self.mirrors.retain(|id, _| listed(id));
+        self.ingress_states.retain(|id, _| listed(id));
         self.grant_seq.retain(|id, _| listed(id));
         self.endpoints.iter_mut().for_each(|e| e.offers.retain(|id, _| listed(id)));
         (0..self.endpoints.len()).for_each(|index| self.update_free(index));
--- a/oxbowbend-core/src/scheduler/shed.rs
+++ b/oxbowbend-core/src/scheduler/shed.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{Directory, Mirror, Scheduler, ShedThreshold, THRESHOLD_CONFIRMATION_TTL};
+use super::{Directory, IngressState, Scheduler, ShedThreshold, THRESHOLD_CONFIRMATION_TTL};
 use crate::choose::Choose;
 use crate::ids;
 use crate::message;
@@ -59,11 +59,11 @@
         let Some(threshold) = &mut self.shed_threshold else { return false };
         threshold.sent_at.retain(|_, at| now.duration_since(*at) < THRESHOLD_CONFIRMATION_TTL);
         let ingress_instances = directory.ingress_instances(&self.pool);
-        let mirrors = &self.mirrors;
+        let ingress_states = &self.ingress_states;
         let echoes = |id| {
-            mirrors
+            ingress_states
                 .get(id)
-                .is_some_and(|m: &Mirror| threshold.sent_at.contains_key(&m.threshold_seq))
+                .is_some_and(|s: &IngressState| threshold.sent_at.contains_key(&s.threshold_seq))
         };
         ingress_instances.iter().all(echoes)
     }
