--- a/oxbowbend-core/src/node/heartbeats.rs
+++ b/oxbowbend-core/src/node/heartbeats.rs
@@ -87,7 +87,7 @@
         let mut resync = Vec::new();
         for digest in pools {
             let mut differs = false;
-            self.schedule(&digest.pool, |s| differs = s.handle_digest(from, &digest));
+            self.with_scheduler(&digest.pool, |s| differs = s.handle_digest(from, &digest));
             if differs {
                 resync.push(digest.pool);
             }
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -181,7 +181,7 @@
             .collect()
     }
 
-    fn is_lowest(&self, tier: ids::TierLevel) -> bool {
+    fn is_lowest_tier(&self, tier: ids::TierLevel) -> bool {
         tier >= self.topology.lowest_tier
     }
 }
@@ -311,7 +311,7 @@
                 self.message(now, &me, message);
             } else if let Some(pool) = self.dirty.pop_first() {
                 if let Some(scheduler) = self.pools.get_mut(&pool) {
-                    scheduler.pump(now, &self.view, &mut self.actions);
+                    scheduler.schedule(now, &self.view, &mut self.actions);
                 }
             } else if !self.offer_changes() {
                 return;
@@ -337,27 +337,27 @@
     fn message(&mut self, now: Instant, from: &ids::InstanceId, message: message::Message) {
         match message {
             message::Message::Enqueue(r) => {
-                self.schedule(&r.pool.clone(), |s| s.enqueue(now, from, r))
+                self.with_scheduler(&r.pool.clone(), |s| s.enqueue(now, from, r))
             }
             message::Message::Withdraw { pool, request, attempt } => {
-                self.schedule(&pool, |s| s.withdraw(&(request, attempt)));
+                self.with_scheduler(&pool, |s| s.handle_withdraw(&(request, attempt)));
             }
             message::Message::Accepted { pool, request, attempt } => {
-                self.schedule(&pool, |s| s.handle_accepted(&(request, attempt)));
+                self.with_scheduler(&pool, |s| s.handle_accepted(&(request, attempt)));
             }
             message::Message::Done { pool, request, attempt, report } => {
-                self.schedule(&pool, |s| s.done(now, &(request, attempt), &report));
+                self.with_scheduler(&pool, |s| s.handle_done(now, &(request, attempt), &report));
             }
             message::Message::Snapshot { pool, waiting, running } => {
-                self.schedule(&pool, |s| s.handle_snapshot(now, from, waiting, running));
+                self.with_scheduler(&pool, |s| s.handle_snapshot(now, from, waiting, running));
             }
             message::Message::Offer(offers) => {
                 for offer in offers {
-                    self.schedule(&offer.pool, |s| s.offer(from, &offer));
+                    self.with_scheduler(&offer.pool, |s| s.handle_offer(from, &offer));
                 }
             }
             message::Message::Denied { grant, key } => {
-                self.schedule(&grant.pool, |s| s.denied(now, &grant, &key));
+                self.with_scheduler(&grant.pool, |s| s.handle_denied(now, &grant, &key));
             }
             message::Message::Heartbeat { seq, pools } => self.handle_heartbeat(from, seq, pools),
             message::Message::HeartbeatAck { resync, .. } => {
@@ -413,10 +413,10 @@
     }
 
     /// Lets the scheduler of `pool` take something in; it decides afterwards.
-    fn schedule(
+    fn with_scheduler(
         &mut self,
         pool: &ids::PoolId,
-        with: impl FnOnce(&mut scheduler::Scheduler<choose::Predicted>),
+        update: impl FnOnce(&mut scheduler::Scheduler<choose::Predicted>),
     ) {
         if !self.view.topology.pools.contains_key(pool) {
             return;
@@ -428,7 +428,7 @@
             self.pools.insert(pool.clone(), new);
         }
         if let Some(scheduler) = self.pools.get_mut(pool) {
-            with(scheduler);
+            update(scheduler);
         }
         self.dirty.insert(pool.clone());
     }
--- a/oxbowbend-core/src/node/upkeep.rs
+++ b/oxbowbend-core/src/node/upkeep.rs
@@ -83,7 +83,7 @@
         }
         if let Some(pool) = self.view.topology.pool_of(endpoint) {
             if let Some(scheduler) = self.pools.get_mut(pool) {
-                scheduler.load(endpoint, running);
+                scheduler.handle_load(endpoint, running);
             }
         }
     }
--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::endpoint;
-use super::{Directory, Scheduler, State, ASK_AGAIN};
+use super::{Directory, Scheduler, State, REPLY_TIMEOUT};
 use crate::choose::{self, Choose};
 use crate::ids;
 use crate::message;
@@ -11,15 +11,15 @@
 use crate::queue;
 
 /// Requests of an account among which the one is chosen whose prompt a free endpoint has cached.
-const LOOK_AHEAD: usize = 32;
+const CACHE_LOOKAHEAD: usize = 32;
 /// Free endpoints up to which that choice is made; with more, the first request finds its own.
 const MAX_CACHE_CANDIDATES: usize = 24;
 /// Times that a request may be passed over for the sake of a cached prompt.
 const MAX_SKIPS: u32 = 64;
 /// Part of a pool's slots that is kept free of each lower tier, per level.
-const KEEP_PER_LEVEL: f64 = 0.04;
+const RESERVED_PER_TIER: f64 = 0.04;
 /// Time between two looks at which endpoint is the fastest.
-const LOOK_UP_FASTEST: Duration = Duration::from_millis(100);
+const FASTEST_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 /// Shortest time after which a refused caller is told to come back.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Longest time after which a refused caller is told to come back.
@@ -30,18 +30,23 @@
 
 impl<C: Choose> Scheduler<C> {
     /// Decides everything that can be decided now.
-    pub fn pump(&mut self, now: Instant, directory: &impl Directory, out: &mut Vec<node::Action>) {
-        self.give_up_late(now, out);
-        self.ask_again(now, out);
+    pub fn schedule(
+        &mut self,
+        now: Instant,
+        directory: &impl Directory,
+        out: &mut Vec<node::Action>,
+    ) {
+        self.refuse_infeasible(now, out);
+        self.retry_unanswered(now, out);
         while self.grant_next(now, directory, out) {}
-        self.bound_queue(now, directory, out);
+        self.shed_excess(now, directory, out);
     }
 
-    fn give_up_late(&mut self, now: Instant, out: &mut Vec<node::Action>) {
+    fn refuse_infeasible(&mut self, now: Instant, out: &mut Vec<node::Action>) {
         if self.deadlines.is_empty() {
             return;
         }
-        let best = self.fastest(now);
+        let best = self.fastest_token_time(now);
         if !best.is_finite() {
             return;
         }
@@ -59,16 +64,16 @@
     }
 
     /// Seconds that an output token takes at the fastest endpoint; looked up once in a while.
-    fn fastest(&mut self, now: Instant) -> f64 {
-        if let Some((at, best)) = self.fastest {
-            if now.saturating_duration_since(at) < LOOK_UP_FASTEST {
+    fn fastest_token_time(&mut self, now: Instant) -> f64 {
+        if let Some((at, best)) = self.cached_fastest {
+            if now.saturating_duration_since(at) < FASTEST_REFRESH_INTERVAL {
                 return best;
             }
         }
         let usable = self.endpoints.iter().filter(|e| e.is_usable(now));
         let seconds = usable.map(|e| e.speed.predict_seconds(0, 1));
         let best = seconds.fold(f64::INFINITY, f64::min);
-        self.fastest = Some((now, best));
+        self.cached_fastest = Some((now, best));
         best
     }
 
@@ -101,15 +106,15 @@
     }
 
     /// A grant or refusal that nobody has answered may be lost.
-    fn ask_again(&mut self, now: Instant, out: &mut Vec<node::Action>) {
+    fn retry_unanswered(&mut self, now: Instant, out: &mut Vec<node::Action>) {
         while let Some((at, id)) = self.unanswered.first().cloned() {
-            if now.saturating_duration_since(at) < ASK_AGAIN {
+            if now.saturating_duration_since(at) < REPLY_TIMEOUT {
                 break;
             }
             self.unanswered.pop_first();
             match self.requests.get(&id).map(|r| r.state.clone()) {
                 Some(State::Refused { reason, .. }) => self.refuse(now, &id, reason, out),
-                Some(State::Granted { .. }) => self.put_back(now, &id),
+                Some(State::Granted { .. }) => self.requeue(now, &id),
                 _ => {}
             }
         }
@@ -126,7 +131,7 @@
             return false;
         }
         for level in self.queue.waiting_tiers() {
-            if free <= kept_from(level, self.total_slots) {
+            if free <= reserved_slots(level, self.total_slots) {
                 return false;
             }
             let accounts = &self.account_usage;
@@ -135,7 +140,7 @@
                 backoff_until.is_none_or(|until| until <= now)
             };
             let Some(head) = self.queue.peek_tier(level, eligible).cloned() else { continue };
-            let (id, index) = match self.cached_pair(now, &head) {
+            let (id, index) = match self.find_cached(now, &head) {
                 Some(pair) => pair,
                 None => match self.choose_endpoint(now, &head.id) {
                     Some(index) => (head.id, index),
@@ -150,7 +155,7 @@
 
     /// When only a few endpoints are free, it is worth more to send them what they have cached than
     /// to keep to the order of arrival within the account. Whose turn it is stays as it was.
-    fn cached_pair(
+    fn find_cached(
         &mut self,
         now: Instant,
         head: &queue::QueuedRequest,
@@ -165,7 +170,7 @@
             return None;
         }
         let mut best: Option<(u32, &ids::RequestId, usize)> = None;
-        for queued in self.queue.oldest_of_account(head.tier, &head.account, LOOK_AHEAD) {
+        for queued in self.queue.oldest_of_account(head.tier, &head.account, CACHE_LOOKAHEAD) {
             let Some(tracked) = self.requests.get(&queued.id) else { continue };
             for (index, endpoint) in &free {
                 let cached = endpoint.cache.cached_tokens(&tracked.info.prefix);
@@ -269,6 +274,6 @@
 }
 
 /// Slots that stay free of a tier, so that one long request of it does not hold up higher ones.
-fn kept_from(level: ids::TierLevel, total: u32) -> u32 {
-    (f64::from(total) * KEEP_PER_LEVEL * f64::from(level)) as u32
+fn reserved_slots(level: ids::TierLevel, total: u32) -> u32 {
+    (f64::from(total) * RESERVED_PER_TIER * f64::from(level)) as u32
 }
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -23,7 +23,7 @@
 use endpoint::{EndpointState, OwnerOffer};
 
 /// Time without a word after which a grant is taken to be lost and its request is granted again.
-pub const ASK_AGAIN: Duration = Duration::from_secs(2);
+pub const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 /// For how long after it was sent a shed floor may be relied on at an entry that echoes it.
 pub const THRESHOLD_CONFIRMATION_TTL: Duration = Duration::from_secs(2);
 
@@ -66,7 +66,7 @@
     /// Instances that may hold requests of the pool.
     fn ingress_instances(&self, pool: &ids::PoolId) -> Vec<ids::InstanceId>;
     /// Whether the lowest declared tier is `tier` or a higher one.
-    fn is_lowest(&self, tier: ids::TierLevel) -> bool;
+    fn is_lowest_tier(&self, tier: ids::TierLevel) -> bool;
 }
 
 /// The scheduler of one pool.
@@ -99,7 +99,7 @@
     /// Sites with free permits, so that a decision looks at no others.
     available: BTreeSet<usize>,
     total_slots: u32,
-    fastest: Option<(Instant, f64)>,
+    cached_fastest: Option<(Instant, f64)>,
 }
 
 impl<C: Choose> Scheduler<C> {
@@ -129,7 +129,7 @@
             endpoint_index: HashMap::new(),
             available: BTreeSet::new(),
             total_slots: 0,
-            fastest: None,
+            cached_fastest: None,
         };
         scheduler.configure(config);
         scheduler
@@ -154,7 +154,7 @@
         }
         let staying = self.endpoints.iter().filter(|e| !e.config.leaving);
         self.total_slots = staying.map(|e| e.config.slots).sum();
-        self.fastest = None;
+        self.cached_fastest = None;
     }
 
     /// Brings a site's number of free permits up to date after its offers have changed.
@@ -186,7 +186,7 @@
             if tracked.info.attempt >= info.attempt {
                 return;
             }
-            self.forget(&id);
+            self.remove(&id);
         }
         self.toggle_digest(from, &info, false);
         let deadline = now + Duration::from_millis(info.due_in_ms);
@@ -215,11 +215,11 @@
     }
 
     /// Removes every trace of a request.
-    fn forget(&mut self, id: &str) -> Option<TrackedRequest> {
+    fn remove(&mut self, id: &str) -> Option<TrackedRequest> {
         let tracked = self.requests.remove(id)?;
         self.queue.remove(id);
         self.deadlines.remove(&(tracked.deadline, tracked.info.id.clone()));
-        self.leave_state(&tracked);
+        self.clear_state(&tracked);
         if let Some(owner) = &tracked.account_owner {
             self.account_usage.entry(tracked.info.account.clone()).or_default().release(owner);
         }
@@ -228,7 +228,7 @@
         Some(tracked)
     }
 
-    fn leave_state(&mut self, tracked: &TrackedRequest) {
+    fn clear_state(&mut self, tracked: &TrackedRequest) {
         match &tracked.state {
             State::Granted { index, owner, seq, at } => {
                 self.unanswered.remove(&(*at, tracked.info.id.clone()));
@@ -251,9 +251,9 @@
     }
 
     /// The entry gives a waiting request up.
-    pub fn withdraw(&mut self, grant_id: &message::GrantId) {
+    pub fn handle_withdraw(&mut self, grant_id: &message::GrantId) {
         if self.is_current(grant_id) {
-            self.forget(&grant_id.0);
+            self.remove(&grant_id.0);
         }
     }
 
@@ -278,11 +278,16 @@
     }
 
     /// A run has ended; the endpoint's speed is learned from it.
-    pub fn done(&mut self, now: Instant, grant_id: &message::GrantId, report: &message::RunReport) {
+    pub fn handle_done(
+        &mut self,
+        now: Instant,
+        grant_id: &message::GrantId,
+        report: &message::RunReport,
+    ) {
         if !self.is_current(grant_id) {
             return;
         }
-        let Some(tracked) = self.forget(&grant_id.0) else { return };
+        let Some(tracked) = self.remove(&grant_id.0) else { return };
         let State::Running { index } = tracked.state else { return };
         let endpoint = &mut self.endpoints[index];
         match report.outcome {
@@ -308,16 +313,16 @@
             self.requests.values().filter(of_ingress).map(|r| r.info.id.clone()).collect();
         former.sort();
         former.iter().for_each(|id| {
-            self.forget(id);
+            self.remove(id);
         });
         self.ingress_states.remove(from);
         waiting.into_iter().for_each(|info| self.enqueue(now, from, info));
         running
             .into_iter()
-            .for_each(|(info, endpoint)| self.learn_running(now, from, info, &endpoint));
+            .for_each(|(info, endpoint)| self.track_running(now, from, info, &endpoint));
     }
 
-    fn learn_running(
+    fn track_running(
         &mut self,
         now: Instant,
         from: &ids::InstanceId,
@@ -361,7 +366,7 @@
             self.requests.values().filter(gone).map(|r| r.info.id.clone()).collect();
         lost.sort();
         lost.iter().for_each(|id| {
-            self.forget(id);
+            self.remove(id);
         });
         self.ingress_states.retain(|id, _| listed(id));
         self.grant_seq.retain(|id, _| listed(id));
@@ -370,7 +375,7 @@
     }
 
     /// An owner tells how many permits it has free.
-    pub fn offer(&mut self, from: &ids::InstanceId, offer: &message::Offer) {
+    pub fn handle_offer(&mut self, from: &ids::InstanceId, offer: &message::Offer) {
         let Some(index) = self.endpoint_index.get(&offer.endpoint).copied() else { return };
         let endpoint = &mut self.endpoints[index];
         if offer.owned == 0 {
@@ -385,7 +390,12 @@
     }
 
     /// An owner had no permit to give; the request goes back into the queue.
-    pub fn denied(&mut self, now: Instant, grant: &message::Grant, key: &message::PermitKey) {
+    pub fn handle_denied(
+        &mut self,
+        now: Instant,
+        grant: &message::Grant,
+        key: &message::PermitKey,
+    ) {
         let grant_id = (grant.request.clone(), grant.attempt);
         if !self.is_current(&grant_id) {
             return;
@@ -402,12 +412,12 @@
                 }
                 self.update_free(index);
             }
-            message::PermitKey::Account(account) => self.account_denied(grant, account),
+            message::PermitKey::Account(account) => self.mark_exhausted(grant, account),
         }
-        self.put_back(now, &grant.request);
+        self.requeue(now, &grant.request);
     }
 
-    fn account_denied(&mut self, grant: &message::Grant, account: &ids::AccountId) {
+    fn mark_exhausted(&mut self, grant: &message::Grant, account: &ids::AccountId) {
         let hop = grant.hops.iter().find(|h| matches!(h.key, message::PermitKey::Account(_)));
         let Some(hop) = hop else { return };
         let usage = self.account_usage.entry(account.clone()).or_default();
@@ -416,9 +426,9 @@
 
     /// Puts a request whose grant came to nothing back into the queue. The account's pause is left
     /// as it is: only the end of a run makes room.
-    fn put_back(&mut self, now: Instant, id: &ids::RequestId) {
+    fn requeue(&mut self, now: Instant, id: &ids::RequestId) {
         let Some(tracked) = self.requests.get(id).cloned() else { return };
-        self.leave_state(&tracked);
+        self.clear_state(&tracked);
         if let Some(owner) = &tracked.account_owner {
             self.account_usage.entry(tracked.info.account.clone()).or_default().undo_grant(owner);
         }
@@ -431,7 +441,7 @@
     }
 
     /// An endpoint's report of its load, for requests that are not ours.
-    pub fn load(&mut self, endpoint: &ids::EndpointId, running: u32) {
+    pub fn handle_load(&mut self, endpoint: &ids::EndpointId, running: u32) {
         if let Some(index) = self.endpoint_index.get(endpoint) {
             self.endpoints[*index].reported = running;
         }
--- a/oxbowbend-core/src/scheduler/shed.rs
+++ b/oxbowbend-core/src/scheduler/shed.rs
@@ -16,7 +16,7 @@
 impl<C: Choose> Scheduler<C> {
     /// Sheds what is too much: the lowest tier at once, a higher one only when every entry that
     /// may keep requests of the pool has promised to keep none of a lower tier.
-    pub(super) fn bound_queue(
+    pub(super) fn shed_excess(
         &mut self,
         now: Instant,
         directory: &impl Directory,
@@ -25,7 +25,8 @@
         while self.queue.len() > self.queue_bound {
             let Some(victim) = self.queue.victim().map(|i| (i.id.clone(), i.tier)) else { return };
             let (id, tier) = victim;
-            if !directory.is_lowest(tier) && !self.is_threshold_confirmed(now, tier, directory, out)
+            if !directory.is_lowest_tier(tier)
+                && !self.is_threshold_confirmed(now, tier, directory, out)
             {
                 return;
             }
@@ -60,12 +61,12 @@
         threshold.sent_at.retain(|_, at| now.duration_since(*at) < THRESHOLD_CONFIRMATION_TTL);
         let ingress_instances = directory.ingress_instances(&self.pool);
         let ingress_states = &self.ingress_states;
-        let echoes = |id| {
+        let is_confirmed = |id| {
             ingress_states
                 .get(id)
                 .is_some_and(|s: &IngressState| threshold.sent_at.contains_key(&s.threshold_seq))
         };
-        ingress_instances.iter().all(echoes)
+        ingress_instances.iter().all(is_confirmed)
     }
 
     fn send_shed_threshold(
--- a/oxbowbend-standin/examples/capacity.rs
+++ b/oxbowbend-standin/examples/capacity.rs
@@ -97,7 +97,7 @@
         |s: &mut scheduler::Scheduler<choose::Predicted>, n: usize, free: u32, seen: u64| {
             let endpoint = format!("engine-{}", n % endpoints);
             let endpoint = endpoint.as_str().into();
-            s.offer(
+            s.handle_offer(
                 &entry,
                 &message::Offer { pool: POOL.into(), endpoint, free, owned: 4, last_seq: seen },
             );
@@ -111,7 +111,7 @@
     for (n, record) in records.into_iter().enumerate() {
         s.enqueue(now, &entry, record);
         offer(&mut s, n, 1, seen);
-        s.pump(now, &policy::Alone, &mut out);
+        s.schedule(now, &policy::Alone, &mut out);
         for action in out.drain(..) {
             if let node::Action::Send { message: message::Message::Grant(grant), .. } = &action {
                 seen = seen.max(grant.seq);
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -131,7 +131,7 @@
         vec![ENTRY.into()]
     }
 
-    fn is_lowest(&self, tier: ids::TierLevel) -> bool {
+    fn is_lowest_tier(&self, tier: ids::TierLevel) -> bool {
         tier >= 2
     }
 }
@@ -178,12 +178,12 @@
             owned,
             last_seq: self.last_seq,
         };
-        self.scheduler.offer(&ENTRY.into(), &offer);
+        self.scheduler.handle_offer(&ENTRY.into(), &offer);
     }
 
     fn decide(&mut self, now: Instant) -> Vec<Verdict> {
         let mut actions = Vec::new();
-        self.scheduler.pump(now, &Alone, &mut actions);
+        self.scheduler.schedule(now, &Alone, &mut actions);
         let mut verdicts = Vec::new();
         for action in actions {
             match action {
@@ -203,7 +203,7 @@
                     message: message::Message::Refuse { request, attempt, .. },
                     ..
                 } => {
-                    self.scheduler.withdraw(&(request.clone(), attempt));
+                    self.scheduler.handle_withdraw(&(request.clone(), attempt));
                     self.held.remove(&request_number(&request));
                     verdicts.push(Verdict::Refuse(request_number(&request)));
                 }
@@ -249,7 +249,7 @@
         if !up {
             return Vec::new();
         }
-        self.scheduler.done(now, &(request_name(request).as_str().into(), 1), report);
+        self.scheduler.handle_done(now, &(request_name(request).as_str().into(), 1), report);
         self.offer(engine);
         self.decide(now)
     }
@@ -260,7 +260,7 @@
 
     fn loads(&mut self, loads: &[u32]) {
         for (engine, load) in loads.iter().enumerate() {
-            self.scheduler.load(&engine_name(engine).as_str().into(), *load);
+            self.scheduler.handle_load(&engine_name(engine).as_str().into(), *load);
         }
     }
 
