--- a/oxbowbend-core/src/permits/claims.rs
+++ b/oxbowbend-core/src/permits/claims.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Instant;
 
-use super::{Hold, PendingClaim, Permits, Use};
+use super::{PendingClaim, PermitState, Permits, Reservation};
 use crate::ids;
 use crate::message;
 
@@ -32,7 +32,7 @@
             permits: missing,
             unanswered: others,
             ceded: HashSet::new(),
-            used: HashMap::new(),
+            uses: HashMap::new(),
         });
         Some((self.next_nonce, permits))
     }
@@ -47,9 +47,9 @@
         let mut held = Vec::new();
         let mut ceded = Vec::new();
         for permit in permits {
-            let hold = self.shares.get(&permit.key).and_then(|s| s.holds.get(&permit.index));
-            match hold.cloned() {
-                Some(Hold::Free) if !mine(permit) => {
+            let state = self.sets.get(&permit.key).and_then(|s| s.states.get(&permit.index));
+            match state.cloned() {
+                Some(PermitState::Free) if !mine(permit) => {
                     self.cede(permit);
                     ceded.push(permit.clone());
                 }
@@ -82,11 +82,11 @@
 
     fn cede(&mut self, permit: &message::Permit) {
         self.cleared.insert(permit.clone());
-        if let Some(share) = self.shares.get_mut(&permit.key) {
-            share.holds.remove(&permit.index);
-            share.free.remove(&permit.index);
-            if share.holds.is_empty() {
-                self.shares.remove(&permit.key);
+        if let Some(set) = self.sets.get_mut(&permit.key) {
+            set.states.remove(&permit.index);
+            set.free.remove(&permit.index);
+            if set.states.is_empty() {
+                self.sets.remove(&permit.key);
             }
         }
         self.note_change(&permit.key);
@@ -99,7 +99,7 @@
         nonce: u64,
         held: &[message::Permit],
         ceded: &[message::Permit],
-        used: &[message::PermitUse],
+        uses: &[message::PermitUse],
     ) {
         let Some(claim) = self.claim.as_mut().filter(|c| c.nonce == nonce) else { return };
         claim.unanswered.remove(from);
@@ -107,8 +107,8 @@
             claim.permits.remove(p);
         });
         claim.ceded.extend(ceded.iter().cloned());
-        for u in used {
-            claim.used.insert(u.permit.clone(), (from.clone(), u.clone()));
+        for u in uses {
+            claim.uses.insert(u.permit.clone(), (from.clone(), u.clone()));
         }
     }
 
@@ -118,10 +118,10 @@
     }
 
     /// Takes in which of the claimed permits this instance's own requests use.
-    pub fn note_own_uses(&mut self, me: &ids::InstanceId, used: &[message::PermitUse]) {
+    pub fn note_own_uses(&mut self, me: &ids::InstanceId, uses: &[message::PermitUse]) {
         let Some(claim) = &mut self.claim else { return };
-        for u in used {
-            claim.used.insert(u.permit.clone(), (me.clone(), u.clone()));
+        for u in uses {
+            claim.uses.insert(u.permit.clone(), (me.clone(), u.clone()));
         }
     }
 
@@ -142,10 +142,10 @@
         for permit in &claim.permits {
             let vouched = claim.ceded.contains(permit);
             let new = fresh(permit) && !self.cleared.contains(permit);
-            match claim.used.get(permit) {
+            match claim.uses.get(permit) {
                 Some((ingress, u)) => self.take_used(now, ingress, u),
                 None if vouched || new => self.take_free(permit),
-                None => self.insert(permit, Hold::Unproven { since: now }),
+                None => self.insert(permit, PermitState::InDoubt { since: now }),
             }
             self.cleared.remove(permit);
         }
@@ -153,21 +153,22 @@
     }
 
     fn take_free(&mut self, permit: &message::Permit) {
-        self.insert(permit, Hold::Free);
+        self.insert(permit, PermitState::Free);
         self.set_free(permit);
     }
 
     fn take_used(&mut self, now: Instant, ingress: &ids::InstanceId, u: &message::PermitUse) {
         let (request, attempt) = u.grant.clone();
         let (ingress, endpoint) = (ingress.clone(), u.endpoint.clone());
-        let used = Use { request, attempt, ingress, endpoint, query_at: now, orphaned: None };
-        self.insert(&u.permit, Hold::Used(used));
-        self.by_request.entry(u.grant.clone()).or_default().push(u.permit.clone());
+        let reservation =
+            Reservation { request, attempt, ingress, endpoint, query_at: now, orphaned: None };
+        self.insert(&u.permit, PermitState::Reserved(reservation));
+        self.by_grant.entry(u.grant.clone()).or_default().push(u.permit.clone());
     }
 
-    fn insert(&mut self, permit: &message::Permit, hold: Hold) {
-        let share = self.shares.entry(permit.key.clone()).or_default();
-        share.holds.insert(permit.index, hold);
+    fn insert(&mut self, permit: &message::Permit, state: PermitState) {
+        let set = self.sets.entry(permit.key.clone()).or_default();
+        set.states.insert(permit.index, state);
         self.note_change(&permit.key);
     }
 }
--- a/oxbowbend-core/src/permits/mod.rs
+++ b/oxbowbend-core/src/permits/mod.rs
@@ -29,7 +29,7 @@
 
 /// A permit in use.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Use {
+pub struct Reservation {
     /// The request that runs on it.
     pub request: ids::RequestId,
     /// The attempt granted.
@@ -43,15 +43,15 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Hold {
+enum PermitState {
     Free,
-    Used(Use),
-    Unproven { since: Instant },
+    Reserved(Reservation),
+    InDoubt { since: Instant },
 }
 
 #[derive(Clone, Debug, Default)]
-struct Share {
-    holds: BTreeMap<u32, Hold>,
+struct PermitSet {
+    states: BTreeMap<u32, PermitState>,
     free: BTreeSet<u32>,
 }
 
@@ -61,7 +61,7 @@
     permits: BTreeSet<message::Permit>,
     unanswered: BTreeSet<ids::InstanceId>,
     ceded: HashSet<message::Permit>,
-    used: HashMap<message::Permit, (ids::InstanceId, message::PermitUse)>,
+    uses: HashMap<message::Permit, (ids::InstanceId, message::PermitUse)>,
 }
 
 /// Questions to ask after a while, by entry instance.
@@ -82,8 +82,8 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Permits {
-    shares: BTreeMap<message::PermitKey, Share>,
-    by_request: HashMap<message::GrantId, Vec<message::Permit>>,
+    sets: BTreeMap<message::PermitKey, PermitSet>,
+    by_grant: HashMap<message::GrantId, Vec<message::Permit>>,
     claim: Option<PendingClaim>,
     next_nonce: u64,
     cleared: HashSet<message::Permit>,
@@ -94,8 +94,8 @@
     /// Creates an owner of nothing. `seed` makes its claims distinct from those of earlier lives.
     pub fn new(seed: u64) -> Permits {
         Permits {
-            shares: BTreeMap::new(),
-            by_request: HashMap::new(),
+            sets: BTreeMap::new(),
+            by_grant: HashMap::new(),
             claim: None,
             next_nonce: seed,
             cleared: HashSet::new(),
@@ -114,9 +114,9 @@
         if let Some(index) = self.reserved(&grant_id, key) {
             return Some(index);
         }
-        let share = self.shares.get_mut(key)?;
-        let index = share.free.pop_first()?;
-        let used = Use {
+        let set = self.sets.get_mut(key)?;
+        let index = set.free.pop_first()?;
+        let reservation = Reservation {
             request: grant.request.clone(),
             attempt: grant.attempt,
             ingress: grant.ingress.clone(),
@@ -124,34 +124,34 @@
             query_at: now + USAGE_QUERY_DELAY,
             orphaned: None,
         };
-        share.holds.insert(index, Hold::Used(used));
+        set.states.insert(index, PermitState::Reserved(reservation));
         let permit = message::Permit { key: key.clone(), index };
-        self.by_request.entry(grant_id).or_default().push(permit);
+        self.by_grant.entry(grant_id).or_default().push(permit);
         self.note_change(key);
         Some(index)
     }
 
     fn reserved(&self, grant_id: &message::GrantId, key: &message::PermitKey) -> Option<u32> {
-        let permits = self.by_request.get(grant_id)?;
+        let permits = self.by_grant.get(grant_id)?;
         permits.iter().find(|p| p.key == *key).map(|p| p.index)
     }
 
     /// Frees the permits that a grant holds here; `key` restricts it to one.
     pub fn release(&mut self, grant_id: &message::GrantId, key: Option<&message::PermitKey>) {
-        let Some(permits) = self.by_request.get_mut(grant_id) else { return };
+        let Some(permits) = self.by_grant.get_mut(grant_id) else { return };
         let wanted = |p: &message::Permit| key.is_none_or(|k| *k == p.key);
         let freed: Vec<message::Permit> = permits.iter().filter(|p| wanted(p)).cloned().collect();
         permits.retain(|p| !wanted(p));
         if permits.is_empty() {
-            self.by_request.remove(grant_id);
+            self.by_grant.remove(grant_id);
         }
         freed.iter().for_each(|p| self.set_free(p));
     }
 
     fn set_free(&mut self, permit: &message::Permit) {
-        if let Some(share) = self.shares.get_mut(&permit.key) {
-            share.holds.insert(permit.index, Hold::Free);
-            share.free.insert(permit.index);
+        if let Some(set) = self.sets.get_mut(&permit.key) {
+            set.states.insert(permit.index, PermitState::Free);
+            set.free.insert(permit.index);
         }
         self.note_change(&permit.key);
     }
@@ -169,25 +169,25 @@
 
     /// Free and owned permits of a key.
     pub fn count(&self, key: &message::PermitKey) -> (u32, u32) {
-        let Some(share) = self.shares.get(key) else { return (0, 0) };
-        (share.free.len() as u32, share.holds.len() as u32)
+        let Some(set) = self.sets.get(key) else { return (0, 0) };
+        (set.free.len() as u32, set.states.len() as u32)
     }
 
     /// Whether this instance owns `permit`.
     pub fn owns(&self, permit: &message::Permit) -> bool {
-        self.shares.get(&permit.key).is_some_and(|s| s.holds.contains_key(&permit.index))
+        self.sets.get(&permit.key).is_some_and(|s| s.states.contains_key(&permit.index))
     }
 
     /// Keys of which this instance owns permits.
     pub fn keys(&self) -> impl Iterator<Item = &message::PermitKey> {
-        self.shares.keys()
+        self.sets.keys()
     }
 
     /// Permits in use here, for tests and status pages.
-    pub fn uses(&self) -> impl Iterator<Item = (&message::PermitKey, &Use)> {
-        self.shares.iter().flat_map(|(key, share)| {
-            share.holds.values().filter_map(move |h| match h {
-                Hold::Used(u) => Some((key, u)),
+    pub fn reservations(&self) -> impl Iterator<Item = (&message::PermitKey, &Reservation)> {
+        self.sets.iter().flat_map(|(key, set)| {
+            set.states.values().filter_map(move |h| match h {
+                PermitState::Reserved(r) => Some((key, r)),
                 _ => None,
             })
         })
@@ -195,29 +195,30 @@
 
     /// Number of permits owned here.
     pub fn owned(&self) -> usize {
-        self.shares.values().map(|s| s.holds.len()).sum()
+        self.sets.values().map(|s| s.states.len()).sum()
     }
 
     /// Number of permits that are not handed out because nobody vouches for them.
     pub fn unproven(&self) -> usize {
-        let holds = self.shares.values().flat_map(|s| s.holds.values());
-        holds.filter(|h| matches!(h, Hold::Unproven { .. })).count()
+        let states = self.sets.values().flat_map(|s| s.states.values());
+        states.filter(|h| matches!(h, PermitState::InDoubt { .. })).count()
     }
 
     /// Grants about which the entry instances should be asked now.
     pub fn due_usage_queries(&mut self, now: Instant) -> UsageQueries {
         let mut due = UsageQueries::new();
-        for (key, share) in &mut self.shares {
-            for (index, hold) in &mut share.holds {
-                let Hold::Used(used) = hold else { continue };
-                if used.orphaned.is_some() || used.query_at > now {
+        for (key, set) in &mut self.sets {
+            for (index, state) in &mut set.states {
+                let PermitState::Reserved(reservation) = state else { continue };
+                if reservation.orphaned.is_some() || reservation.query_at > now {
                     continue;
                 }
-                used.query_at = now + USAGE_QUERY_DELAY;
+                reservation.query_at = now + USAGE_QUERY_DELAY;
                 let permit = message::Permit { key: key.clone(), index: *index };
-                let grant = (used.request.clone(), used.attempt);
-                let asked = message::PermitUse { permit, grant, endpoint: used.endpoint.clone() };
-                due.entry(used.ingress.clone()).or_default().push(asked);
+                let grant = (reservation.request.clone(), reservation.attempt);
+                let query =
+                    message::PermitUse { permit, grant, endpoint: reservation.endpoint.clone() };
+                due.entry(reservation.ingress.clone()).or_default().push(query);
             }
         }
         due
@@ -231,35 +232,37 @@
     /// An entry instance has confirmed that it uses grants.
     pub fn confirm_use(&mut self, now: Instant, grants: &[message::GrantId]) {
         for grant_id in grants {
-            let Some(permits) = self.by_request.get(grant_id) else { continue };
+            let Some(permits) = self.by_grant.get(grant_id) else { continue };
             for p in permits {
-                let hold = self.shares.get_mut(&p.key).and_then(|s| s.holds.get_mut(&p.index));
-                if let Some(Hold::Used(used)) = hold {
-                    used.query_at = now + USAGE_QUERY_INTERVAL;
+                let state = self.sets.get_mut(&p.key).and_then(|s| s.states.get_mut(&p.index));
+                if let Some(PermitState::Reserved(reservation)) = state {
+                    reservation.query_at = now + USAGE_QUERY_INTERVAL;
                 }
             }
         }
     }
 
-    fn uses_mut(&mut self) -> impl Iterator<Item = &mut Use> {
-        self.shares.values_mut().flat_map(|s| s.holds.values_mut()).filter_map(|h| match h {
-            Hold::Used(used) => Some(used),
+    fn reservations_mut(&mut self) -> impl Iterator<Item = &mut Reservation> {
+        self.sets.values_mut().flat_map(|s| s.states.values_mut()).filter_map(|h| match h {
+            PermitState::Reserved(reservation) => Some(reservation),
             _ => None,
         })
     }
 
     /// Marks the grants of entry instances for which `listed` does not hold as orphaned.
     pub fn orphan(&mut self, now: Instant, listed: impl Fn(&str) -> bool) {
-        for used in self.uses_mut().filter(|u| u.orphaned.is_none() && !listed(&u.ingress)) {
-            used.orphaned = Some(now);
+        for reservation in
+            self.reservations_mut().filter(|r| r.orphaned.is_none() && !listed(&r.ingress))
+        {
+            reservation.orphaned = Some(now);
         }
     }
 
     /// Runs whose entry instance is gone, to be asked about at their endpoints.
     pub fn orphans(&self) -> Vec<(ids::EndpointId, message::GrantId)> {
-        let orphaned = self.uses().filter(|(_, u)| u.orphaned.is_some());
+        let orphaned = self.reservations().filter(|(_, r)| r.orphaned.is_some());
         let mut runs: Vec<_> =
-            orphaned.map(|(_, u)| (u.endpoint.clone(), (u.request.clone(), u.attempt))).collect();
+            orphaned.map(|(_, r)| (r.endpoint.clone(), (r.request.clone(), r.attempt))).collect();
         runs.sort();
         runs.dedup();
         runs
@@ -267,8 +270,9 @@
 
     /// Endpoints with unproven permits, to be asked for their load.
     pub fn doubtful(&self) -> BTreeSet<ids::EndpointId> {
-        let unproven = |s: &Share| s.holds.values().any(|h| matches!(h, Hold::Unproven { .. }));
-        let keys = self.shares.iter().filter(|(_, s)| unproven(s)).map(|(k, _)| k);
+        let unproven =
+            |s: &PermitSet| s.states.values().any(|h| matches!(h, PermitState::InDoubt { .. }));
+        let keys = self.sets.iter().filter(|(_, s)| unproven(s)).map(|(k, _)| k);
         keys.filter_map(|k| match k {
             message::PermitKey::Endpoint(e) => Some(e.clone()),
             message::PermitKey::Account(_) => None,
@@ -278,9 +282,9 @@
 
     /// Whether account permits wait for every endpoint to have been seen idle.
     pub fn doubtful_accounts(&self) -> bool {
-        self.shares.iter().any(|(k, s)| {
+        self.sets.iter().any(|(k, s)| {
             matches!(k, message::PermitKey::Account(_))
-                && s.holds.values().any(|h| matches!(h, Hold::Unproven { .. }))
+                && s.states.values().any(|h| matches!(h, PermitState::InDoubt { .. }))
         })
     }
 
@@ -300,7 +304,7 @@
 
     /// Learns that every endpoint was idle at `shown` or later.
     pub fn prove_accounts(&mut self, shown: Instant) {
-        let keys: Vec<message::PermitKey> = self.shares.keys().cloned().collect();
+        let keys: Vec<message::PermitKey> = self.sets.keys().cloned().collect();
         for key in keys.into_iter().filter(|k| matches!(k, message::PermitKey::Account(_))) {
             for index in self.unproven_before(&key, shown) {
                 self.set_free(&message::Permit { key: key.clone(), index });
@@ -309,26 +313,26 @@
     }
 
     fn unproven_before(&self, key: &message::PermitKey, shown: Instant) -> Vec<u32> {
-        let Some(share) = self.shares.get(key) else { return Vec::new() };
-        let old = |h: &Hold| match h {
-            Hold::Unproven { since } => *since <= shown,
+        let Some(set) = self.sets.get(key) else { return Vec::new() };
+        let old = |h: &PermitState| match h {
+            PermitState::InDoubt { since } => *since <= shown,
             _ => false,
         };
-        share.holds.iter().filter(|(_, h)| old(h)).map(|(i, _)| *i).collect()
+        set.states.iter().filter(|(_, h)| old(h)).map(|(i, _)| *i).collect()
     }
 
     /// Frees what has been in doubt for longer than any run may last.
     pub fn expire(&mut self, now: Instant, max_run: impl Fn(&message::PermitKey) -> Duration) {
         let mut freed = Vec::new();
-        for (key, share) in &self.shares {
+        for (key, set) in &self.sets {
             let max_run = max_run(key);
             let over = |since: Instant| now.duration_since(since) >= max_run;
-            for (index, hold) in &share.holds {
+            for (index, state) in &set.states {
                 let permit = message::Permit { key: key.clone(), index: *index };
-                match hold {
-                    Hold::Unproven { since } if over(*since) => freed.push((permit, None)),
-                    Hold::Used(u) if u.orphaned.is_some_and(over) => {
-                        freed.push((permit, Some((u.request.clone(), u.attempt))));
+                match state {
+                    PermitState::InDoubt { since } if over(*since) => freed.push((permit, None)),
+                    PermitState::Reserved(r) if r.orphaned.is_some_and(over) => {
+                        freed.push((permit, Some((r.request.clone(), r.attempt))));
                     }
                     _ => {}
                 }
@@ -344,13 +348,13 @@
 
     /// Gives up every permit without a word, as after a pause or a removal from the list.
     pub fn forget(&mut self) {
-        let shares = std::mem::take(&mut self.shares);
-        self.by_request.clear();
+        let sets = std::mem::take(&mut self.sets);
+        self.by_grant.clear();
         self.claim = None;
-        for (key, share) in shares {
+        for (key, set) in sets {
             self.note_change(&key);
             let owned =
-                share.holds.into_keys().map(|index| message::Permit { key: key.clone(), index });
+                set.states.into_keys().map(|index| message::Permit { key: key.clone(), index });
             self.cleared.extend(owned);
         }
     }
@@ -358,25 +362,25 @@
     /// Drops permits that no longer exist, once they are free.
     pub fn trim(&mut self, exists: impl Fn(&message::Permit) -> bool) {
         let mut changed = Vec::new();
-        for (key, share) in &mut self.shares {
-            let gone: Vec<u32> = share
-                .holds
+        for (key, set) in &mut self.sets {
+            let gone: Vec<u32> = set
+                .states
                 .iter()
                 .filter(|(i, h)| {
-                    !matches!(h, Hold::Used(_))
+                    !matches!(h, PermitState::Reserved(_))
                         && !exists(&message::Permit { key: key.clone(), index: **i })
                 })
                 .map(|(i, _)| *i)
                 .collect();
             for index in &gone {
-                share.holds.remove(index);
-                share.free.remove(index);
+                set.states.remove(index);
+                set.free.remove(index);
             }
             if !gone.is_empty() {
                 changed.push(key.clone());
             }
         }
-        self.shares.retain(|_, s| !s.holds.is_empty());
+        self.sets.retain(|_, s| !s.states.is_empty());
         changed.iter().for_each(|k| self.note_change(k));
     }
 }
--- a/oxbowbend-core/tests/nodes.rs
+++ b/oxbowbend-core/tests/nodes.rs
@@ -153,7 +153,8 @@
     world.kill(&owner);
     world.unlist(&owner);
     world.run_for(Duration::from_secs(10));
-    let uses = |id: &oxbowbend_core::ids::InstanceId| world.node(id).permits().uses().count();
+    let uses =
+        |id: &oxbowbend_core::ids::InstanceId| world.node(id).permits().reservations().count();
     assert_eq!(world.ids().iter().filter(|id| **id != owner).map(uses).sum::<usize>(), 1);
     world.run_for(Duration::from_secs(11));
     assert_eq!(world.free_permits().values().sum::<u32>(), 1);
