--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -220,7 +220,7 @@
     leaving_endpoints: BTreeMap<ids::EndpointId, Instant>,
     heartbeat_seq: u64,
     last_event: Option<Instant>,
-    next_check: Option<Instant>,
+    next_in_doubt_check: Option<Instant>,
     quarantined: bool,
     draining: bool,
 }
@@ -250,7 +250,7 @@
             leaving_endpoints: BTreeMap::new(),
             heartbeat_seq: 0,
             last_event: None,
-            next_check: None,
+            next_in_doubt_check: None,
             quarantined: false,
             draining: false,
         }
--- a/oxbowbend-core/src/node/upkeep.rs
+++ b/oxbowbend-core/src/node/upkeep.rs
@@ -9,7 +9,7 @@
 
 /// Time between two looks at what is in doubt. A quarter of it while permits are unproven was tried:
 /// in the fault matrix a freeze of 2 s at a beat then lets an account pass its limit.
-const CHECK: Duration = Duration::from_secs(1);
+const IN_DOUBT_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Node {
     pub(super) fn tick(&mut self, now: Instant) {
@@ -23,26 +23,26 @@
         if self.next_claim.is_some_and(|at| at <= now) {
             self.claim(now);
         }
-        if self.next_check.is_none_or(|at| at <= now) {
-            self.next_check = Some(now + CHECK);
-            self.check_doubts(now);
+        if self.next_in_doubt_check.is_none_or(|at| at <= now) {
+            self.next_in_doubt_check = Some(now + IN_DOUBT_CHECK_INTERVAL);
+            self.resolve_in_doubt(now);
         }
         self.dirty.extend(self.pools.keys().cloned());
     }
 
     /// Now and then: ask about what is in doubt, and repeat what may have been lost.
-    pub(super) fn check_doubts(&mut self, now: Instant) {
+    pub(super) fn resolve_in_doubt(&mut self, now: Instant) {
         let topology = self.view.topology.clone();
         self.permits.expire(now, |key| topology.max_run_of(key));
         for (endpoint, grant) in self.permits.orphans() {
             self.actions.push(Action::QueryRun { endpoint, grant });
         }
-        let mut doubtful = self.permits.doubtful();
-        if self.permits.doubtful_accounts() {
+        let mut endpoints = self.permits.endpoints_in_doubt();
+        if self.permits.has_accounts_in_doubt() {
             let pools = self.view.topology.pools.values();
-            doubtful.extend(pools.flat_map(|p| p.endpoints.keys().cloned()));
+            endpoints.extend(pools.flat_map(|p| p.endpoints.keys().cloned()));
         }
-        self.actions.extend(doubtful.into_iter().map(Action::QueryLoad));
+        self.actions.extend(endpoints.into_iter().map(Action::QueryLoad));
         if self.draining {
             self.announce_leaving();
         }
@@ -66,10 +66,10 @@
 
     pub(super) fn load(&mut self, endpoint: &ids::EndpointId, running: u32, requested_at: Instant) {
         let Some(lag) = self.view.topology.report_lag_of(endpoint) else { return };
-        let Some(shown) = requested_at.checked_sub(lag) else { return };
-        self.permits.prove(endpoint, running, shown);
+        let Some(observed_at) = requested_at.checked_sub(lag) else { return };
+        self.permits.resolve_endpoint(endpoint, running, observed_at);
         if running == 0 {
-            self.idle_since.insert(endpoint.clone(), shown);
+            self.idle_since.insert(endpoint.clone(), observed_at);
         }
         let pools = self.view.topology.pools.values();
         let mut endpoints = pools.flat_map(|p| p.endpoints.keys()).peekable();
@@ -78,7 +78,7 @@
             if let Some(earliest) =
                 idle.collect::<Option<Vec<_>>>().and_then(|v| v.into_iter().min())
             {
-                self.permits.prove_accounts(earliest);
+                self.permits.resolve_accounts(earliest);
             }
         }
         if let Some(pool) = self.view.topology.pool_of(endpoint) {
--- a/oxbowbend-core/src/permits/mod.rs
+++ b/oxbowbend-core/src/permits/mod.rs
@@ -186,7 +186,7 @@
     /// Permits in use here, for tests and status pages.
     pub fn reservations(&self) -> impl Iterator<Item = (&message::PermitKey, &Reservation)> {
         self.sets.iter().flat_map(|(key, set)| {
-            set.states.values().filter_map(move |h| match h {
+            set.states.values().filter_map(move |state| match state {
                 PermitState::Reserved(r) => Some((key, r)),
                 _ => None,
             })
@@ -199,9 +199,9 @@
     }
 
     /// Number of permits that are not handed out because nobody vouches for them.
-    pub fn unproven(&self) -> usize {
+    pub fn in_doubt(&self) -> usize {
         let states = self.sets.values().flat_map(|s| s.states.values());
-        states.filter(|h| matches!(h, PermitState::InDoubt { .. })).count()
+        states.filter(|state| matches!(state, PermitState::InDoubt { .. })).count()
     }
 
     /// Grants about which the entry instances should be asked now.
@@ -243,7 +243,7 @@
     }
 
     fn reservations_mut(&mut self) -> impl Iterator<Item = &mut Reservation> {
-        self.sets.values_mut().flat_map(|s| s.states.values_mut()).filter_map(|h| match h {
+        self.sets.values_mut().flat_map(|s| s.states.values_mut()).filter_map(|state| match state {
             PermitState::Reserved(reservation) => Some(reservation),
             _ => None,
         })
@@ -269,10 +269,11 @@
     }
 
     /// Endpoints with unproven permits, to be asked for their load.
-    pub fn doubtful(&self) -> BTreeSet<ids::EndpointId> {
-        let unproven =
-            |s: &PermitSet| s.states.values().any(|h| matches!(h, PermitState::InDoubt { .. }));
-        let keys = self.sets.iter().filter(|(_, s)| unproven(s)).map(|(k, _)| k);
+    pub fn endpoints_in_doubt(&self) -> BTreeSet<ids::EndpointId> {
+        let in_doubt = |s: &PermitSet| {
+            s.states.values().any(|state| matches!(state, PermitState::InDoubt { .. }))
+        };
+        let keys = self.sets.iter().filter(|(_, s)| in_doubt(s)).map(|(k, _)| k);
         keys.filter_map(|k| match k {
             message::PermitKey::Endpoint(e) => Some(e.clone()),
             message::PermitKey::Account(_) => None,
@@ -281,10 +282,10 @@
     }
 
     /// Whether account permits wait for every endpoint to have been seen idle.
-    pub fn doubtful_accounts(&self) -> bool {
+    pub fn has_accounts_in_doubt(&self) -> bool {
         self.sets.iter().any(|(k, s)| {
             matches!(k, message::PermitKey::Account(_))
-                && s.states.values().any(|h| matches!(h, PermitState::InDoubt { .. }))
+                && s.states.values().any(|state| matches!(state, PermitState::InDoubt { .. }))
         })
     }
 
@@ -292,33 +293,38 @@
     ///
     /// Requests of unknown origin are among those running, so of `n` unproven permits at least
     /// `n - running` are really free, however many claimants reason so at once. Only permits that
-    /// came into doubt before `shown`, the time that the report is sure to describe, count.
-    pub fn prove(&mut self, endpoint: &ids::EndpointId, running: u32, shown: Instant) {
+    /// came into doubt before `observed_at`, the time that the report is sure to describe, count.
+    pub fn resolve_endpoint(
+        &mut self,
+        endpoint: &ids::EndpointId,
+        running: u32,
+        observed_at: Instant,
+    ) {
         let key = message::PermitKey::Endpoint(endpoint.clone());
-        let unproven = self.unproven_before(&key, shown);
-        let freed = unproven.len().saturating_sub(running as usize);
-        for index in unproven.into_iter().take(freed) {
+        let in_doubt = self.in_doubt_before(&key, observed_at);
+        let freed = in_doubt.len().saturating_sub(running as usize);
+        for index in in_doubt.into_iter().take(freed) {
             self.set_free(&message::Permit { key: key.clone(), index });
         }
     }
 
-    /// Learns that every endpoint was idle at `shown` or later.
-    pub fn prove_accounts(&mut self, shown: Instant) {
+    /// Learns that every endpoint was idle at `observed_at` or later.
+    pub fn resolve_accounts(&mut self, observed_at: Instant) {
         let keys: Vec<message::PermitKey> = self.sets.keys().cloned().collect();
         for key in keys.into_iter().filter(|k| matches!(k, message::PermitKey::Account(_))) {
-            for index in self.unproven_before(&key, shown) {
+            for index in self.in_doubt_before(&key, observed_at) {
                 self.set_free(&message::Permit { key: key.clone(), index });
             }
         }
     }
 
-    fn unproven_before(&self, key: &message::PermitKey, shown: Instant) -> Vec<u32> {
+    fn in_doubt_before(&self, key: &message::PermitKey, observed_at: Instant) -> Vec<u32> {
         let Some(set) = self.sets.get(key) else { return Vec::new() };
-        let old = |h: &PermitState| match h {
-            PermitState::InDoubt { since } => *since <= shown,
+        let is_old = |state: &PermitState| match state {
+            PermitState::InDoubt { since } => *since <= observed_at,
             _ => false,
         };
-        set.states.iter().filter(|(_, h)| old(h)).map(|(i, _)| *i).collect()
+        set.states.iter().filter(|(_, state)| is_old(state)).map(|(i, _)| *i).collect()
     }
 
     /// Frees what has been in doubt for longer than any run may last.
@@ -366,8 +372,8 @@
             let gone: Vec<u32> = set
                 .states
                 .iter()
-                .filter(|(i, h)| {
-                    !matches!(h, PermitState::Reserved(_))
+                .filter(|(i, state)| {
+                    !matches!(state, PermitState::Reserved(_))
                         && !exists(&message::Permit { key: key.clone(), index: **i })
                 })
                 .map(|(i, _)| *i)
--- a/oxbowbend-daemon/src/operators.rs
+++ b/oxbowbend-daemon/src/operators.rs
@@ -336,14 +336,14 @@
             })
             .collect();
         let held = node.ingress().len();
-        let unproven = node.permits().unproven();
+        let in_doubt = node.permits().in_doubt();
         let owned = node.permits().owned();
         problem::json(
             StatusCode::Ok,
             &json!({
                 "instance": self.hub.me(), "revision": self.config.revision(),
                 "instances": instances, "pools": pools, "requests": held,
-                "owned_permits": owned, "unproven_permits": unproven,
+                "owned_permits": owned, "unproven_permits": in_doubt,
             }),
         )
     }
