--- a/oxbowbend-core/src/node/claims.rs
+++ b/oxbowbend-core/src/node/claims.rs
@@ -46,11 +46,11 @@
     }
 
     pub(super) fn settle_claim(&mut self, now: Instant) {
-        let claimed: Vec<message::Permit> = self.permits.claimed().cloned().collect();
+        let claimed: Vec<message::Permit> = self.permits.claimed_permits().cloned().collect();
         let own = self.ingress.uses_of(&claimed);
-        self.permits.note_own_uses(&self.me, &own);
+        self.permits.add_own_uses(&self.me, &own);
         let baseline = &self.baseline;
-        let fresh = |p: &message::Permit| baseline.get(&p.key).is_none_or(|n| p.index >= *n);
-        self.permits.settle(now, fresh);
+        let is_new = |p: &message::Permit| baseline.get(&p.key).is_none_or(|n| p.index >= *n);
+        self.permits.complete_claim(now, is_new);
     }
 }
--- a/oxbowbend-core/src/node/duties.rs
+++ b/oxbowbend-core/src/node/duties.rs
@@ -20,7 +20,7 @@
             return;
         }
         if !listed && self.listed_since.take().is_some() {
-            self.permits.forget();
+            self.permits.discard_all();
             self.ingress.handle_delisted(&mut self.actions);
         }
         self.members_changed(now);
@@ -34,8 +34,8 @@
         if members.contains(&self.me) && self.listed_since.is_none() {
             self.listed_since = Some(now);
         }
-        self.permits.orphan(now, |id| members.contains(id));
-        self.permits.excuse(|id| members.contains(id));
+        self.permits.mark_orphaned(now, |id| members.contains(id));
+        self.permits.stop_awaiting(|id| members.contains(id));
         self.peers.retain(|id, _| members.contains(id));
         self.last_grant_seq.retain(|id, _| members.contains(id));
         for (pool, scheduler) in &mut self.pools {
@@ -107,7 +107,7 @@
     pub(super) fn retarget_permits(&mut self) {
         let topology = self.view.topology.clone();
         let counts = permit_counts(&topology);
-        self.permits.trim(|p| counts.get(&p.key).is_some_and(|n| p.index < *n));
+        self.permits.remove_undeclared(|p| counts.get(&p.key).is_some_and(|n| p.index < *n));
         let members = &self.view.members;
         let mut desired = BTreeSet::new();
         for pool in topology.pools.values().filter(|p| p.zones.contains(&self.zone)) {
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -268,7 +268,7 @@
     fn notice_pause(&mut self, now: Instant) {
         let last = self.last_event.replace(now);
         if last.is_some_and(|last| now.saturating_duration_since(last) >= PAUSE) {
-            self.permits.forget();
+            self.permits.discard_all();
             self.quarantined = true;
             // It may have been dropped from the list and entered again meanwhile.
             self.ingress.handle_delisted(&mut self.actions);
@@ -398,7 +398,7 @@
                 self.claimed(now, from, nonce, &list, &permits);
             }
             message::Message::ClaimReply { nonce, held, ceded, used } => {
-                self.permits.answered(from, nonce, &held, &ceded, &used);
+                self.permits.handle_claim_reply(from, nonce, &held, &ceded, &used);
                 self.settle_claim(now);
             }
             message::Message::Leaving => {
--- a/oxbowbend-core/src/node/upkeep.rs
+++ b/oxbowbend-core/src/node/upkeep.rs
@@ -34,7 +34,7 @@
     pub(super) fn resolve_in_doubt(&mut self, now: Instant) {
         let topology = self.view.topology.clone();
         self.permits.expire(now, |key| topology.max_run_of(key));
-        for (endpoint, grant) in self.permits.orphans() {
+        for (endpoint, grant) in self.permits.orphaned_runs() {
             self.actions.push(Action::QueryRun { endpoint, grant });
         }
         let mut endpoints = self.permits.endpoints_in_doubt();
--- a/oxbowbend-core/src/permits/claims.rs
+++ b/oxbowbend-core/src/permits/claims.rs
@@ -30,33 +30,33 @@
         self.claim = Some(PendingClaim {
             nonce: self.next_nonce,
             permits: missing,
-            unanswered: others,
+            awaiting: others,
             ceded: HashSet::new(),
             uses: HashMap::new(),
         });
         Some((self.next_nonce, permits))
     }
 
-    /// Answers a claim by another instance: cedes what is free and not `mine` by the newest list,
+    /// Answers a claim by another instance: cedes what is free and not `is_desired` by the newest list,
     /// and returns the permits that the claimant must not take, and those ceded.
     pub fn answer_claim(
         &mut self,
         permits: &[message::Permit],
-        mine: impl Fn(&message::Permit) -> bool,
+        is_desired: impl Fn(&message::Permit) -> bool,
     ) -> (Vec<message::Permit>, Vec<message::Permit>) {
         let mut held = Vec::new();
         let mut ceded = Vec::new();
         for permit in permits {
             let state = self.sets.get(&permit.key).and_then(|s| s.states.get(&permit.index));
             match state.cloned() {
-                Some(PermitState::Free) if !mine(permit) => {
+                Some(PermitState::Free) if !is_desired(permit) => {
                     self.cede(permit);
                     ceded.push(permit.clone());
                 }
                 Some(_) => held.push(permit.clone()),
-                None if self.contest(permit, &mine) => held.push(permit.clone()),
+                None if self.keeps_contested(permit, &is_desired) => held.push(permit.clone()),
                 None => {
-                    self.cleared.insert(permit.clone());
+                    self.owned_elsewhere.insert(permit.clone());
                 }
             }
         }
@@ -64,16 +64,16 @@
     }
 
     /// Two claims for one permit: whoever the newest list names goes on, the other withdraws.
-    fn contest(
+    fn keeps_contested(
         &mut self,
         permit: &message::Permit,
-        mine: &impl Fn(&message::Permit) -> bool,
+        is_desired: &impl Fn(&message::Permit) -> bool,
     ) -> bool {
         let Some(claim) = &mut self.claim else { return false };
         if !claim.permits.contains(permit) {
             return false;
         }
-        if mine(permit) {
+        if is_desired(permit) {
             return true;
         }
         claim.permits.remove(permit);
@@ -81,7 +81,7 @@
     }
 
     fn cede(&mut self, permit: &message::Permit) {
-        self.cleared.insert(permit.clone());
+        self.owned_elsewhere.insert(permit.clone());
         if let Some(set) = self.sets.get_mut(&permit.key) {
             set.states.remove(&permit.index);
             set.free.remove(&permit.index);
@@ -89,11 +89,11 @@
                 self.sets.remove(&permit.key);
             }
         }
-        self.note_change(&permit.key);
+        self.mark_changed(&permit.key);
     }
 
     /// Takes in an answer to this instance's claim.
-    pub fn answered(
+    pub fn handle_claim_reply(
         &mut self,
         from: &ids::InstanceId,
         nonce: u64,
@@ -102,7 +102,7 @@
         uses: &[message::PermitUse],
     ) {
         let Some(claim) = self.claim.as_mut().filter(|c| c.nonce == nonce) else { return };
-        claim.unanswered.remove(from);
+        claim.awaiting.remove(from);
         held.iter().for_each(|p| {
             claim.permits.remove(p);
         });
@@ -113,12 +113,12 @@
     }
 
     /// Permits that are being claimed.
-    pub fn claimed(&self) -> impl Iterator<Item = &message::Permit> {
+    pub fn claimed_permits(&self) -> impl Iterator<Item = &message::Permit> {
         self.claim.iter().flat_map(|c| &c.permits)
     }
 
     /// Takes in which of the claimed permits this instance's own requests use.
-    pub fn note_own_uses(&mut self, me: &ids::InstanceId, uses: &[message::PermitUse]) {
+    pub fn add_own_uses(&mut self, me: &ids::InstanceId, uses: &[message::PermitUse]) {
         let Some(claim) = &mut self.claim else { return };
         for u in uses {
             claim.uses.insert(u.permit.clone(), (me.clone(), u.clone()));
@@ -126,42 +126,46 @@
     }
 
     /// Stops waiting for instances that are no longer listed.
-    pub fn excuse(&mut self, listed: impl Fn(&str) -> bool) {
+    pub fn stop_awaiting(&mut self, listed: impl Fn(&str) -> bool) {
         if let Some(claim) = &mut self.claim {
-            claim.unanswered.retain(|id| listed(id));
+            claim.awaiting.retain(|id| listed(id));
         }
     }
 
-    /// Takes over the claimed permits once everybody has answered. `fresh` tells of a permit that
+    /// Takes over the claimed permits once everybody has answered. `is_new` tells of a permit that
     /// has come into being since this instance joined, so that nobody can have used it before.
-    pub fn settle(&mut self, now: Instant, fresh: impl Fn(&message::Permit) -> bool) -> bool {
-        if self.claim.as_ref().is_none_or(|c| !c.unanswered.is_empty()) {
+    pub fn complete_claim(
+        &mut self,
+        now: Instant,
+        is_new: impl Fn(&message::Permit) -> bool,
+    ) -> bool {
+        if self.claim.as_ref().is_none_or(|c| !c.awaiting.is_empty()) {
             return false;
         }
         let Some(claim) = self.claim.take() else { return false };
         for permit in &claim.permits {
-            let vouched = claim.ceded.contains(permit);
-            let new = fresh(permit) && !self.cleared.contains(permit);
+            let was_ceded = claim.ceded.contains(permit);
+            let never_used = is_new(permit) && !self.owned_elsewhere.contains(permit);
             match claim.uses.get(permit) {
-                Some((ingress, u)) => self.take_used(now, ingress, u),
-                None if vouched || new => self.take_free(permit),
+                Some((ingress, u)) => self.add_reserved(now, ingress, u),
+                None if was_ceded || never_used => self.add_free(permit),
                 None => self.insert(permit, PermitState::InDoubt { since: now }),
             }
-            self.cleared.remove(permit);
+            self.owned_elsewhere.remove(permit);
         }
         true
     }
 
-    fn take_free(&mut self, permit: &message::Permit) {
+    fn add_free(&mut self, permit: &message::Permit) {
         self.insert(permit, PermitState::Free);
         self.set_free(permit);
     }
 
-    fn take_used(&mut self, now: Instant, ingress: &ids::InstanceId, u: &message::PermitUse) {
+    fn add_reserved(&mut self, now: Instant, ingress: &ids::InstanceId, u: &message::PermitUse) {
         let (request, attempt) = u.grant.clone();
         let (ingress, endpoint) = (ingress.clone(), u.endpoint.clone());
         let reservation =
-            Reservation { request, attempt, ingress, endpoint, query_at: now, orphaned: None };
+            Reservation { request, attempt, ingress, endpoint, query_at: now, orphaned_at: None };
         self.insert(&u.permit, PermitState::Reserved(reservation));
         self.by_grant.entry(u.grant.clone()).or_default().push(u.permit.clone());
     }
@@ -169,6 +173,6 @@
     fn insert(&mut self, permit: &message::Permit, state: PermitState) {
         let set = self.sets.entry(permit.key.clone()).or_default();
         set.states.insert(permit.index, state);
-        self.note_change(&permit.key);
+        self.mark_changed(&permit.key);
     }
 }
--- a/oxbowbend-core/src/permits/mod.rs
+++ b/oxbowbend-core/src/permits/mod.rs
@@ -39,7 +39,7 @@
     /// Endpoint at which it runs.
     pub endpoint: ids::EndpointId,
     query_at: Instant,
-    orphaned: Option<Instant>,
+    orphaned_at: Option<Instant>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -59,7 +59,7 @@
 struct PendingClaim {
     nonce: u64,
     permits: BTreeSet<message::Permit>,
-    unanswered: BTreeSet<ids::InstanceId>,
+    awaiting: BTreeSet<ids::InstanceId>,
     ceded: HashSet<message::Permit>,
     uses: HashMap<message::Permit, (ids::InstanceId, message::PermitUse)>,
 }
@@ -77,7 +77,7 @@
 /// let permit = Permit { key: PermitKey::Endpoint("e".into()), index: 0 };
 /// // With nobody else to ask, a claim is settled at once.
 /// permits.start_claim(&[permit.clone()].into(), [].into());
-/// assert!(permits.settle(Instant::now(), |_| true));
+/// assert!(permits.complete_claim(Instant::now(), |_| true));
 /// assert_eq!(permits.count(&permit.key), (1, 1));
 /// ```
 #[derive(Clone, Debug)]
@@ -86,7 +86,7 @@
     by_grant: HashMap<message::GrantId, Vec<message::Permit>>,
     claim: Option<PendingClaim>,
     next_nonce: u64,
-    cleared: HashSet<message::Permit>,
+    owned_elsewhere: HashSet<message::Permit>,
     changed: BTreeSet<ids::EndpointId>,
 }
 
@@ -98,7 +98,7 @@
             by_grant: HashMap::new(),
             claim: None,
             next_nonce: seed,
-            cleared: HashSet::new(),
+            owned_elsewhere: HashSet::new(),
             changed: BTreeSet::new(),
         }
     }
@@ -122,12 +122,12 @@
             ingress: grant.ingress.clone(),
             endpoint: grant.endpoint.clone(),
             query_at: now + USAGE_QUERY_DELAY,
-            orphaned: None,
+            orphaned_at: None,
         };
         set.states.insert(index, PermitState::Reserved(reservation));
         let permit = message::Permit { key: key.clone(), index };
         self.by_grant.entry(grant_id).or_default().push(permit);
-        self.note_change(key);
+        self.mark_changed(key);
         Some(index)
     }
 
@@ -153,10 +153,10 @@
             set.states.insert(permit.index, PermitState::Free);
             set.free.insert(permit.index);
         }
-        self.note_change(&permit.key);
+        self.mark_changed(&permit.key);
     }
 
-    fn note_change(&mut self, key: &message::PermitKey) {
+    fn mark_changed(&mut self, key: &message::PermitKey) {
         if let message::PermitKey::Endpoint(endpoint) = key {
             self.changed.insert(endpoint.clone());
         }
@@ -210,7 +210,7 @@
         for (key, set) in &mut self.sets {
             for (index, state) in &mut set.states {
                 let PermitState::Reserved(reservation) = state else { continue };
-                if reservation.orphaned.is_some() || reservation.query_at > now {
+                if reservation.orphaned_at.is_some() || reservation.query_at > now {
                     continue;
                 }
                 reservation.query_at = now + USAGE_QUERY_DELAY;
@@ -250,17 +250,17 @@
     }
 
     /// Marks the grants of entry instances for which `listed` does not hold as orphaned.
-    pub fn orphan(&mut self, now: Instant, listed: impl Fn(&str) -> bool) {
+    pub fn mark_orphaned(&mut self, now: Instant, listed: impl Fn(&str) -> bool) {
         for reservation in
-            self.reservations_mut().filter(|r| r.orphaned.is_none() && !listed(&r.ingress))
+            self.reservations_mut().filter(|r| r.orphaned_at.is_none() && !listed(&r.ingress))
         {
-            reservation.orphaned = Some(now);
+            reservation.orphaned_at = Some(now);
         }
     }
 
     /// Runs whose entry instance is gone, to be asked about at their endpoints.
-    pub fn orphans(&self) -> Vec<(ids::EndpointId, message::GrantId)> {
-        let orphaned = self.reservations().filter(|(_, r)| r.orphaned.is_some());
+    pub fn orphaned_runs(&self) -> Vec<(ids::EndpointId, message::GrantId)> {
+        let orphaned = self.reservations().filter(|(_, r)| r.orphaned_at.is_some());
         let mut runs: Vec<_> =
             orphaned.map(|(_, r)| (r.endpoint.clone(), (r.request.clone(), r.attempt))).collect();
         runs.sort();
@@ -337,7 +337,7 @@
                 let permit = message::Permit { key: key.clone(), index: *index };
                 match state {
                     PermitState::InDoubt { since } if over(*since) => freed.push((permit, None)),
-                    PermitState::Reserved(r) if r.orphaned.is_some_and(over) => {
+                    PermitState::Reserved(r) if r.orphaned_at.is_some_and(over) => {
                         freed.push((permit, Some((r.request.clone(), r.attempt))));
                     }
                     _ => {}
@@ -353,40 +353,40 @@
     }
 
     /// Gives up every permit without a word, as after a pause or a removal from the list.
-    pub fn forget(&mut self) {
+    pub fn discard_all(&mut self) {
         let sets = std::mem::take(&mut self.sets);
         self.by_grant.clear();
         self.claim = None;
         for (key, set) in sets {
-            self.note_change(&key);
+            self.mark_changed(&key);
             let owned =
                 set.states.into_keys().map(|index| message::Permit { key: key.clone(), index });
-            self.cleared.extend(owned);
+            self.owned_elsewhere.extend(owned);
         }
     }
 
     /// Drops permits that no longer exist, once they are free.
-    pub fn trim(&mut self, exists: impl Fn(&message::Permit) -> bool) {
+    pub fn remove_undeclared(&mut self, is_declared: impl Fn(&message::Permit) -> bool) {
         let mut changed = Vec::new();
         for (key, set) in &mut self.sets {
-            let gone: Vec<u32> = set
+            let undeclared: Vec<u32> = set
                 .states
                 .iter()
                 .filter(|(i, state)| {
                     !matches!(state, PermitState::Reserved(_))
-                        && !exists(&message::Permit { key: key.clone(), index: **i })
+                        && !is_declared(&message::Permit { key: key.clone(), index: **i })
                 })
                 .map(|(i, _)| *i)
                 .collect();
-            for index in &gone {
+            for index in &undeclared {
                 set.states.remove(index);
                 set.free.remove(index);
             }
-            if !gone.is_empty() {
+            if !undeclared.is_empty() {
                 changed.push(key.clone());
             }
         }
         self.sets.retain(|_, s| !s.states.is_empty());
-        changed.iter().for_each(|k| self.note_change(k));
+        changed.iter().for_each(|k| self.mark_changed(k));
     }
 }
