--- a/oxbowbend-core/src/node/claims.rs
+++ b/oxbowbend-core/src/node/claims.rs
@@ -10,7 +10,7 @@
 
 impl Node {
     pub(super) fn claim(&mut self, now: Instant) {
-        if self.quarantined || self.draining || !self.view.members.contains(&self.me) {
+        if self.fenced || self.draining || !self.view.members.contains(&self.me) {
             return;
         }
         let others: BTreeSet<ids::InstanceId> = self.view.members.others().cloned().collect();
--- a/oxbowbend-core/src/node/duties.rs
+++ b/oxbowbend-core/src/node/duties.rs
@@ -14,7 +14,7 @@
     pub(super) fn list(&mut self, now: Instant, list: &membership::InstanceList) {
         let listed = list.members.contains_key(&self.me);
         if listed {
-            self.quarantined = false;
+            self.fenced = false;
         }
         if !self.view.members.adopt(list) {
             return;
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -221,7 +221,7 @@
     heartbeat_seq: u64,
     last_event: Option<Instant>,
     next_in_doubt_check: Option<Instant>,
-    quarantined: bool,
+    fenced: bool,
     draining: bool,
 }
 
@@ -251,7 +251,7 @@
             heartbeat_seq: 0,
             last_event: None,
             next_in_doubt_check: None,
-            quarantined: false,
+            fenced: false,
             draining: false,
         }
     }
@@ -269,7 +269,7 @@
         let last = self.last_event.replace(now);
         if last.is_some_and(|last| now.saturating_duration_since(last) >= PAUSE) {
             self.permits.discard_all();
-            self.quarantined = true;
+            self.fenced = true;
             // It may have been dropped from the list and entered again meanwhile.
             self.ingress.handle_delisted(&mut self.actions);
         }
@@ -471,7 +471,7 @@
     /// dropped may have been replaced, and its word no longer counts.
     fn grant_arrived(&mut self, grant: message::Grant) {
         let listed = grant.hops.iter().all(|h| self.view.members.contains(&h.owner));
-        let valid = listed && !self.quarantined && self.may_dispatch(&grant.endpoint);
+        let valid = listed && !self.fenced && self.may_dispatch(&grant.endpoint);
         self.ingress.handle_grant(grant, valid, &mut self.actions);
     }
 
