--- a/oxbowbend-core/src/node/claims.rs
+++ b/oxbowbend-core/src/node/claims.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-use super::{Action, Node, RECLAIM};
+use super::{Action, Node, CLAIM_RETRY_INTERVAL};
 use crate::ids;
 use crate::membership;
 use crate::message;
@@ -23,7 +23,7 @@
             let (list, permits) = (self.view.members.list().clone(), permits.clone());
             self.actions.push(Action::send(to, message::Message::Claim { nonce, list, permits }));
         }
-        self.next_claim = Some(now + RECLAIM);
+        self.next_claim = Some(now + CLAIM_RETRY_INTERVAL);
         self.settle_claim(now);
     }
 
--- a/oxbowbend-core/src/node/duties.rs
+++ b/oxbowbend-core/src/node/duties.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::{Node, LEAVING_KEEP, LIST_LAG};
+use super::{Node, LEAVING_TTL, MAX_LIST_LAG};
 use crate::ids;
 use crate::membership;
 use crate::message;
@@ -53,7 +53,7 @@
     }
 
     pub(super) fn configure_schedulers(&mut self, now: Instant) {
-        self.leaving_endpoints.retain(|_, since| now.duration_since(*since) < LEAVING_KEEP);
+        self.leaving_endpoints.retain(|_, since| now.duration_since(*since) < LEAVING_TTL);
         let pools: Vec<ids::PoolId> = self.pools.keys().cloned().collect();
         for pool in pools {
             let config = self.pool_config(&pool);
@@ -75,7 +75,7 @@
 
     /// Remembers which permits existed before this instance could be sure to be asked about them.
     pub(super) fn fix_baseline(&mut self, now: Instant) {
-        let settled = self.listed_since.is_some_and(|t| now.duration_since(t) >= LIST_LAG);
+        let settled = self.listed_since.is_some_and(|t| now.duration_since(t) >= MAX_LIST_LAG);
         if settled {
             return;
         }
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -23,10 +23,10 @@
 use crate::topology;
 
 /// Longest time between two [`Event::Tick`]s of a healthy instance.
-pub const TICK: Duration = Duration::from_millis(100);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Gap between two events that counts as a pause. The platform must take longer than this to drop
 /// an instance from its list.
-pub const PAUSE: Duration = Duration::from_secs(3);
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
 /// Time between two heartbeats to a scheduler.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time without an answer to heartbeats after which an instance is suspected.
@@ -36,17 +36,17 @@
 /// Heartbeats between two repetitions of all offers.
 const HEARTBEATS_PER_OFFER: u64 = 4;
 /// Time between two claims when the last one left something open.
-const RECLAIM: Duration = Duration::from_secs(2);
+const CLAIM_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 /// Time for which an endpoint's own word that it is leaving is believed.
-const LEAVING_KEEP: Duration = Duration::from_secs(30);
+const LEAVING_TTL: Duration = Duration::from_secs(30);
 /// Longest lag of the platform's list. Until an instance has been listed for so long, others may
 /// have made claims without asking it.
-pub const LIST_LAG: Duration = Duration::from_secs(10);
+pub const MAX_LIST_LAG: Duration = Duration::from_secs(10);
 
 /// Something that has happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Nothing but the passing of time; due at least every [`TICK`].
+    /// Nothing but the passing of time; due at least every [`TICK_INTERVAL`].
     Tick,
     /// The platform's list was read.
     List(membership::InstanceList),
@@ -267,7 +267,7 @@
     /// After a pause others may have taken over what this instance owned.
     fn notice_pause(&mut self, now: Instant) {
         let last = self.last_event.replace(now);
-        if last.is_some_and(|last| now.saturating_duration_since(last) >= PAUSE) {
+        if last.is_some_and(|last| now.saturating_duration_since(last) >= PAUSE_THRESHOLD) {
             self.permits.discard_all();
             self.fenced = true;
             // It may have been dropped from the list and entered again meanwhile.
--- a/oxbowbend-core/src/node/upkeep.rs
+++ b/oxbowbend-core/src/node/upkeep.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use super::{Action, Node, LEAVING_KEEP};
+use super::{Action, Node, LEAVING_TTL};
 use crate::ids;
 use crate::message;
 
@@ -46,7 +46,7 @@
         if self.draining {
             self.announce_leaving();
         }
-        let expired = |since: &Instant| now.duration_since(*since) >= LEAVING_KEEP;
+        let expired = |since: &Instant| now.duration_since(*since) >= LEAVING_TTL;
         if self.leaving_endpoints.values().any(expired) {
             self.configure_schedulers(now);
         }
--- a/oxbowbend-core/tests/harness/mod.rs
+++ b/oxbowbend-core/tests/harness/mod.rs
@@ -12,7 +12,7 @@
 use oxbowbend_core::ids::{InstanceId, RequestId};
 use oxbowbend_core::membership::{InstanceList, Member};
 use oxbowbend_core::message::{Grant, Message, RefusalReason, RequestInfo, RunOutcome, RunReport};
-use oxbowbend_core::node::{Action, Event, Node, TICK};
+use oxbowbend_core::node::{Action, Event, Node, TICK_INTERVAL};
 use oxbowbend_core::topology::Topology;
 
 pub mod setup;
@@ -437,7 +437,7 @@
     pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_INTERVAL;
             self.end_runs();
             for id in self.ids() {
                 if !self.is_up(&id) {
--- a/oxbowbend-core/tests/permit_exploration.rs
+++ b/oxbowbend-core/tests/permit_exploration.rs
@@ -18,7 +18,7 @@
 use oxbowbend_core::ids::{InstanceId, RequestId};
 use oxbowbend_core::membership::{InstanceList, Member};
 use oxbowbend_core::message::{Message, RunReport};
-use oxbowbend_core::node::{Action, Event, Node, LIST_LAG};
+use oxbowbend_core::node::{Action, Event, Node, MAX_LIST_LAG};
 
 /// States after which the exploration ends.
 const MAX_STATES: usize = 60_000;
@@ -94,7 +94,7 @@
             state.feed(&name.into(), Event::List(state.list.clone()));
         }
         let ids: Vec<InstanceId> = state.nodes.keys().cloned().collect();
-        let settled = start + LIST_LAG + STEP;
+        let settled = start + MAX_LIST_LAG + STEP;
         while state.now < settled {
             state.now += STEP;
             ids.iter().for_each(|id| state.tick(id));
--- a/oxbowbend-daemon/src/daemon.rs
+++ b/oxbowbend-daemon/src/daemon.rs
@@ -193,7 +193,7 @@
 }
 
 async fn tick(hub: Arc<hub::Hub>, timer: timer::Timer) {
-    let ticks = timer.every(node::TICK);
+    let ticks = timer.every(node::TICK_INTERVAL);
     while ticks.recv().await.is_ok() {
         hub.feed(node::Event::Tick);
     }
