--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -4,10 +4,10 @@
 //! that schedules its own requests pays no round trip. The node also watches its own clock: a gap
 //! between two events means that the process was paused, and then it trusts nothing it owned.
 
+mod assignment;
 mod claims;
-mod duties;
 mod heartbeats;
-mod upkeep;
+mod maintenance;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
