--- a/oxbowbend-core/src/node/assignment.rs
+++ b/oxbowbend-core/src/node/assignment.rs
@@ -11,7 +11,7 @@
 use crate::topology;
 
 impl Node {
-    pub(super) fn list(&mut self, now: Instant, list: &membership::InstanceList) {
+    pub(super) fn handle_list(&mut self, now: Instant, list: &membership::InstanceList) {
         let listed = list.members.contains_key(&self.me);
         if listed {
             self.fenced = false;
@@ -23,10 +23,10 @@
             self.permits.discard_all();
             self.ingress.handle_delisted(&mut self.actions);
         }
-        self.members_changed(now);
+        self.handle_member_change(now);
     }
 
-    pub(super) fn members_changed(&mut self, now: Instant) {
+    pub(super) fn handle_member_change(&mut self, now: Instant) {
         if self.draining {
             self.view.members.mark_leaving(&self.me);
         }
@@ -38,29 +38,29 @@
         self.permits.stop_awaiting(|id| members.contains(id));
         self.peers.retain(|id, _| members.contains(id));
         self.last_grant_seq.retain(|id, _| members.contains(id));
-        for (pool, scheduler) in &mut self.pools {
+        for (pool, scheduler) in &mut self.schedulers {
             scheduler.retain_members(|id| members.contains(id));
-            self.dirty.insert(pool.clone());
+            self.dirty_pools.insert(pool.clone());
         }
-        self.retarget(now);
+        self.reassign(now);
     }
 
     pub(super) fn configure(&mut self, now: Instant, topology: Arc<topology::Topology>) {
         self.view.topology = topology;
         self.configure_schedulers(now);
-        self.fix_baseline(now);
-        self.retarget(now);
+        self.update_preexisting(now);
+        self.reassign(now);
     }
 
     pub(super) fn configure_schedulers(&mut self, now: Instant) {
         self.leaving_endpoints.retain(|_, since| now.duration_since(*since) < LEAVING_TTL);
-        let pools: Vec<ids::PoolId> = self.pools.keys().cloned().collect();
+        let pools: Vec<ids::PoolId> = self.schedulers.keys().cloned().collect();
         for pool in pools {
             let config = self.pool_config(&pool);
-            if let Some(scheduler) = self.pools.get_mut(&pool) {
+            if let Some(scheduler) = self.schedulers.get_mut(&pool) {
                 scheduler.configure(&config);
             }
-            self.dirty.insert(pool);
+            self.dirty_pools.insert(pool);
         }
     }
 
@@ -74,19 +74,19 @@
     }
 
     /// Remembers which permits existed before this instance could be sure to be asked about them.
-    pub(super) fn fix_baseline(&mut self, now: Instant) {
+    pub(super) fn update_preexisting(&mut self, now: Instant) {
         let settled = self.listed_since.is_some_and(|t| now.duration_since(t) >= MAX_LIST_LAG);
         if settled {
             return;
         }
         for (key, count) in permit_counts(&self.view.topology) {
-            let known = self.baseline.entry(key).or_default();
+            let known = self.preexisting.entry(key).or_default();
             *known = (*known).max(count);
         }
     }
 
     /// Works out anew who does what, after members, suspicion or configuration have changed.
-    pub(super) fn retarget(&mut self, now: Instant) {
+    pub(super) fn reassign(&mut self, now: Instant) {
         let topology = self.view.topology.clone();
         let zone = self.zone.clone();
         for (id, pool) in topology.pools.iter().filter(|(_, p)| p.zones.contains(&zone)) {
@@ -97,14 +97,14 @@
             }
             self.ingress.set_scheduler(now, id, scheduler, &mut self.actions);
             self.withdraw_offers(id, former);
-            self.offer_pool(id);
+            self.send_offers_of_pool(id);
         }
-        self.retarget_permits();
+        self.reassign_permits();
         self.next_claim = Some(now);
-        self.claim(now);
+        self.start_claim(now);
     }
 
-    pub(super) fn retarget_permits(&mut self) {
+    pub(super) fn reassign_permits(&mut self) {
         let topology = self.view.topology.clone();
         let counts = permit_counts(&topology);
         self.permits.remove_undeclared(|p| counts.get(&p.key).is_some_and(|n| p.index < *n));
@@ -114,25 +114,25 @@
             let ranking = membership::Ranking::new(members.owners(&pool.zones));
             for (endpoint, declared) in &pool.endpoints {
                 let key = message::PermitKey::Endpoint(endpoint.clone());
-                desire(&self.me, &key, declared.slots, &ranking, &mut desired);
+                add_desired(&self.me, &key, declared.slots, &ranking, &mut desired);
             }
         }
         let everywhere = BTreeSet::new();
         let ranking = membership::Ranking::new(members.owners(&everywhere));
-        let mut account_shares = BTreeMap::new();
+        let mut account_owners = BTreeMap::new();
         for (account, limits) in &topology.accounts {
             let Some(limit) = limits.max_running else { continue };
             let key = message::PermitKey::Account(account.clone());
-            let shares = desire(&self.me, &key, limit, &ranking, &mut desired);
-            account_shares.insert(account.clone(), shares);
+            let shares = add_desired(&self.me, &key, limit, &ranking, &mut desired);
+            account_owners.insert(account.clone(), shares);
         }
         self.desired = desired;
-        self.view.account_shares = account_shares;
+        self.view.account_owners = account_owners;
     }
 }
 
 /// Adds to `desired` the permits of `key` that `me` should own, and counts everybody's.
-fn desire(
+fn add_desired(
     me: &ids::InstanceId,
     key: &message::PermitKey,
     count: u32,
@@ -140,7 +140,7 @@
     desired: &mut BTreeSet<message::Permit>,
 ) -> Vec<(ids::InstanceId, u32)> {
     let mut shares: BTreeMap<ids::InstanceId, u32> = BTreeMap::new();
-    let name = permit_name(key);
+    let name = ranking_name(key);
     for index in 0..count {
         let Some(owner) = ranking.pick(&name, index) else { continue };
         *shares.entry(owner.clone()).or_default() += 1;
@@ -158,7 +158,7 @@
     endpoints.chain(accounts.map(|(id, n)| (message::PermitKey::Account(id.clone()), n))).collect()
 }
 
-fn permit_name(key: &message::PermitKey) -> String {
+fn ranking_name(key: &message::PermitKey) -> String {
     match key {
         message::PermitKey::Endpoint(id) => format!("endpoint/{id}"),
         message::PermitKey::Account(id) => format!("account/{id}"),
--- a/oxbowbend-core/src/node/claims.rs
+++ b/oxbowbend-core/src/node/claims.rs
@@ -9,7 +9,7 @@
 use crate::message;
 
 impl Node {
-    pub(super) fn claim(&mut self, now: Instant) {
+    pub(super) fn start_claim(&mut self, now: Instant) {
         if self.fenced || self.draining || !self.view.members.contains(&self.me) {
             return;
         }
@@ -24,10 +24,10 @@
             self.actions.push(Action::send(to, message::Message::Claim { nonce, list, permits }));
         }
         self.next_claim = Some(now + CLAIM_RETRY_INTERVAL);
-        self.settle_claim(now);
+        self.complete_claim(now);
     }
 
-    pub(super) fn claimed(
+    pub(super) fn handle_claim(
         &mut self,
         now: Instant,
         from: &ids::InstanceId,
@@ -36,7 +36,7 @@
         permits: &[message::Permit],
     ) {
         if self.view.members.adopt(list) {
-            self.members_changed(now);
+            self.handle_member_change(now);
         }
         let desired = &self.desired;
         let (held, ceded) = self.permits.answer_claim(permits, |p| desired.contains(p));
@@ -45,12 +45,12 @@
         self.actions.push(Action::send(from, reply));
     }
 
-    pub(super) fn settle_claim(&mut self, now: Instant) {
+    pub(super) fn complete_claim(&mut self, now: Instant) {
         let claimed: Vec<message::Permit> = self.permits.claimed_permits().cloned().collect();
         let own = self.ingress.uses_of(&claimed);
         self.permits.add_own_uses(&self.me, &own);
-        let baseline = &self.baseline;
-        let is_new = |p: &message::Permit| baseline.get(&p.key).is_none_or(|n| p.index >= *n);
+        let preexisting = &self.preexisting;
+        let is_new = |p: &message::Permit| preexisting.get(&p.key).is_none_or(|n| p.index >= *n);
         self.permits.complete_claim(now, is_new);
     }
 }
--- a/oxbowbend-core/src/node/heartbeats.rs
+++ b/oxbowbend-core/src/node/heartbeats.rs
@@ -12,13 +12,13 @@
 
 impl Node {
     /// Tells schedulers of the permits whose numbers have changed; says whether there were any.
-    pub(super) fn offer_changes(&mut self) -> bool {
+    pub(super) fn send_changed_offers(&mut self) -> bool {
         let changed = self.permits.take_changed();
         let mut offers: BTreeMap<ids::InstanceId, Vec<message::Offer>> = BTreeMap::new();
         for endpoint in changed {
             let Some(pool) = self.view.topology.pool_of(&endpoint).cloned() else { continue };
             let Some(scheduler) = self.ingress.scheduler(&pool).cloned() else { continue };
-            let offer = self.offer(&pool, endpoint, &scheduler);
+            let offer = self.offer_for(&pool, endpoint, &scheduler);
             offers.entry(scheduler).or_default().push(offer);
         }
         let any = !offers.is_empty();
@@ -28,7 +28,7 @@
         any
     }
 
-    pub(super) fn offer(
+    pub(super) fn offer_for(
         &self,
         pool: &ids::PoolId,
         endpoint: ids::EndpointId,
@@ -39,19 +39,19 @@
         message::Offer { pool: pool.clone(), endpoint, free, owned, last_seq }
     }
 
-    pub(super) fn pool_offers(
+    pub(super) fn offers_of_pool(
         &self,
         pool: &ids::PoolId,
         scheduler: &ids::InstanceId,
     ) -> Vec<message::Offer> {
         let Some(config) = self.view.topology.pools.get(pool) else { return Vec::new() };
-        let offers = config.endpoints.keys().map(|e| self.offer(pool, e.clone(), scheduler));
+        let offers = config.endpoints.keys().map(|e| self.offer_for(pool, e.clone(), scheduler));
         offers.filter(|o| o.owned > 0).collect()
     }
 
-    pub(super) fn offer_pool(&mut self, pool: &ids::PoolId) {
+    pub(super) fn send_offers_of_pool(&mut self, pool: &ids::PoolId) {
         let Some(scheduler) = self.ingress.scheduler(pool).cloned() else { return };
-        let offers = self.pool_offers(pool, &scheduler);
+        let offers = self.offers_of_pool(pool, &scheduler);
         if !offers.is_empty() {
             self.actions.push(Action::send(&scheduler, message::Message::Offer(offers)));
         }
@@ -59,7 +59,7 @@
 
     pub(super) fn withdraw_offers(&mut self, pool: &ids::PoolId, former: Option<ids::InstanceId>) {
         let Some(former) = former else { return };
-        let mut offers = self.pool_offers(pool, &former);
+        let mut offers = self.offers_of_pool(pool, &former);
         offers.iter_mut().for_each(|o| (o.free, o.owned) = (0, 0));
         if !offers.is_empty() {
             self.actions.push(Action::send(&former, message::Message::Offer(offers)));
@@ -105,19 +105,19 @@
             peer.last_ack = Some(now);
         }
         if self.view.members.trust(from) {
-            self.retarget(now);
+            self.reassign(now);
         }
         for pool in resync {
             if self.ingress.scheduler(pool) == Some(from) {
                 self.ingress.send_snapshot(now, pool, &mut self.actions);
-                self.offer_pool(pool);
+                self.send_offers_of_pool(pool);
             }
         }
     }
 
-    pub(super) fn peer_down(&mut self, now: Instant, id: &ids::InstanceId) {
+    pub(super) fn handle_peer_down(&mut self, now: Instant, id: &ids::InstanceId) {
         if self.view.members.contains(id) && self.view.members.suspect(id) {
-            self.retarget(now);
+            self.reassign(now);
         }
     }
 
@@ -135,7 +135,7 @@
         for id in due {
             self.send_heartbeat(now, &id);
             if self.heartbeat_seq.is_multiple_of(HEARTBEATS_PER_OFFER) {
-                self.repeat_offers(&id);
+                self.resend_offers(&id);
             }
         }
     }
@@ -150,16 +150,16 @@
         last.is_none_or(|last| now.duration_since(last) >= interval)
     }
 
-    pub(super) fn repeat_offers(&mut self, scheduler: &ids::InstanceId) {
+    pub(super) fn resend_offers(&mut self, scheduler: &ids::InstanceId) {
         let topology = self.view.topology.clone();
         for pool in topology.pools.keys() {
             if self.ingress.scheduler(pool) == Some(scheduler) {
-                self.offer_pool(pool);
+                self.send_offers_of_pool(pool);
             }
         }
     }
 
-    pub(super) fn suspect_silent(&mut self, now: Instant) {
+    pub(super) fn suspect_unresponsive(&mut self, now: Instant) {
         let silent = |p: &Peer| {
             let heard = p.last_ack.unwrap_or(p.heartbeats_since).max(p.heartbeats_since);
             let sends_heartbeats =
@@ -169,7 +169,7 @@
         let silent: Vec<ids::InstanceId> =
             self.peers.iter().filter(|(_, p)| silent(p)).map(|(id, _)| id.clone()).collect();
         for id in silent {
-            self.peer_down(now, &id);
+            self.handle_peer_down(now, &id);
         }
     }
 }
--- a/oxbowbend-core/src/node/maintenance.rs
+++ b/oxbowbend-core/src/node/maintenance.rs
@@ -14,20 +14,20 @@
 impl Node {
     pub(super) fn tick(&mut self, now: Instant) {
         self.ingress.tick(now, &mut self.actions);
-        self.fix_baseline(now);
+        self.update_preexisting(now);
         self.send_heartbeats(now);
-        self.suspect_silent(now);
+        self.suspect_unresponsive(now);
         for (owner, uses) in self.permits.due_usage_queries(now) {
             self.actions.push(Action::send(&owner, message::Message::QueryUsage { uses }));
         }
         if self.next_claim.is_some_and(|at| at <= now) {
-            self.claim(now);
+            self.start_claim(now);
         }
         if self.next_in_doubt_check.is_none_or(|at| at <= now) {
             self.next_in_doubt_check = Some(now + IN_DOUBT_CHECK_INTERVAL);
             self.resolve_in_doubt(now);
         }
-        self.dirty.extend(self.pools.keys().cloned());
+        self.dirty_pools.extend(self.schedulers.keys().cloned());
     }
 
     /// Now and then: ask about what is in doubt, and repeat what may have been lost.
@@ -44,7 +44,7 @@
         }
         self.actions.extend(endpoints.into_iter().map(Action::QueryLoad));
         if self.draining {
-            self.announce_leaving();
+            self.broadcast_leaving();
         }
         let expired = |since: &Instant| now.duration_since(*since) >= LEAVING_TTL;
         if self.leaving_endpoints.values().any(expired) {
@@ -52,11 +52,16 @@
         }
     }
 
-    pub(super) fn endpoint_leaving(&mut self, now: Instant, endpoint: ids::EndpointId, tell: bool) {
+    pub(super) fn handle_endpoint_leaving(
+        &mut self,
+        now: Instant,
+        endpoint: ids::EndpointId,
+        broadcast: bool,
+    ) {
         if self.leaving_endpoints.insert(endpoint.clone(), now).is_none() {
             self.configure_schedulers(now);
         }
-        if tell {
+        if broadcast {
             for to in self.view.members.others() {
                 let message = message::Message::EndpointLeaving(endpoint.clone());
                 self.actions.push(Action::send(to, message));
@@ -64,7 +69,12 @@
         }
     }
 
-    pub(super) fn load(&mut self, endpoint: &ids::EndpointId, running: u32, requested_at: Instant) {
+    pub(super) fn handle_load(
+        &mut self,
+        endpoint: &ids::EndpointId,
+        running: u32,
+        requested_at: Instant,
+    ) {
         let Some(lag) = self.view.topology.report_lag_of(endpoint) else { return };
         let Some(observed_at) = requested_at.checked_sub(lag) else { return };
         self.permits.resolve_endpoint(endpoint, running, observed_at);
@@ -82,7 +92,7 @@
             }
         }
         if let Some(pool) = self.view.topology.pool_of(endpoint) {
-            if let Some(scheduler) = self.pools.get_mut(pool) {
+            if let Some(scheduler) = self.schedulers.get_mut(pool) {
                 scheduler.handle_load(endpoint, running);
             }
         }
@@ -93,11 +103,11 @@
             return;
         }
         self.draining = true;
-        self.announce_leaving();
-        self.members_changed(now);
+        self.broadcast_leaving();
+        self.handle_member_change(now);
     }
 
-    pub(super) fn announce_leaving(&mut self) {
+    pub(super) fn broadcast_leaving(&mut self) {
         for to in self.view.members.others() {
             self.actions.push(Action::send(to, message::Message::Leaving));
         }
@@ -114,9 +124,9 @@
     }
 
     /// Whether every permit has been ceded to another instance, or no other is there to stay.
-    pub fn is_ceded(&self) -> bool {
+    pub fn has_ceded_permits(&self) -> bool {
         let everywhere = BTreeSet::new();
-        let heir = self.view.members.owners(&everywhere).any(|id| *id != self.me);
-        self.permits.keys().next().is_none() || !heir
+        let has_successor = self.view.members.owners(&everywhere).any(|id| *id != self.me);
+        self.permits.keys().next().is_none() || !has_successor
     }
 }
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -160,15 +160,15 @@
 
 /// The other instances and the configuration, as this instance sees them.
 #[derive(Clone, Debug)]
-struct View {
+struct ClusterView {
     members: membership::Membership,
     topology: Arc<topology::Topology>,
-    account_shares: BTreeMap<ids::AccountId, Vec<(ids::InstanceId, u32)>>,
+    account_owners: BTreeMap<ids::AccountId, Vec<(ids::InstanceId, u32)>>,
 }
 
-impl Directory for View {
+impl Directory for ClusterView {
     fn account_owners(&self, account: &ids::AccountId) -> Option<&[(ids::InstanceId, u32)]> {
-        self.account_shares.get(account).map(Vec::as_slice)
+        self.account_owners.get(account).map(Vec::as_slice)
     }
 
     fn ingress_instances(&self, pool: &ids::PoolId) -> Vec<ids::InstanceId> {
@@ -203,16 +203,16 @@
 pub struct Node {
     me: ids::InstanceId,
     zone: ids::ZoneId,
-    view: View,
+    view: ClusterView,
     permits: permits::Permits,
     ingress: ingress::Ingress,
-    pools: BTreeMap<ids::PoolId, scheduler::Scheduler<choose::Predicted>>,
+    schedulers: BTreeMap<ids::PoolId, scheduler::Scheduler<choose::Predicted>>,
     peers: BTreeMap<ids::InstanceId, Peer>,
-    local: VecDeque<message::Message>,
+    local_messages: VecDeque<message::Message>,
     actions: Vec<Action>,
-    dirty: BTreeSet<ids::PoolId>,
+    dirty_pools: BTreeSet<ids::PoolId>,
     desired: BTreeSet<message::Permit>,
-    baseline: HashMap<message::PermitKey, u32>,
+    preexisting: HashMap<message::PermitKey, u32>,
     listed_since: Option<Instant>,
     next_claim: Option<Instant>,
     idle_since: BTreeMap<ids::EndpointId, Instant>,
@@ -234,15 +234,19 @@
             ingress: ingress::Ingress::new(me.clone()),
             me,
             zone,
-            view: View { members, topology: Arc::default(), account_shares: BTreeMap::new() },
+            view: ClusterView {
+                members,
+                topology: Arc::default(),
+                account_owners: BTreeMap::new(),
+            },
             permits: permits::Permits::new(seed),
-            pools: BTreeMap::new(),
+            schedulers: BTreeMap::new(),
             peers: BTreeMap::new(),
-            local: VecDeque::new(),
+            local_messages: VecDeque::new(),
             actions: Vec::new(),
-            dirty: BTreeSet::new(),
+            dirty_pools: BTreeSet::new(),
             desired: BTreeSet::new(),
-            baseline: HashMap::new(),
+            preexisting: HashMap::new(),
             listed_since: None,
             next_claim: None,
             idle_since: BTreeMap::new(),
@@ -258,14 +262,14 @@
 
     /// Takes in an event and returns what is to be done about it, in order.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.dispatch(now, event);
-        self.run_local(now);
+        self.process_local(now);
         std::mem::take(&mut self.actions)
     }
 
     /// After a pause others may have taken over what this instance owned.
-    fn notice_pause(&mut self, now: Instant) {
+    fn detect_pause(&mut self, now: Instant) {
         let last = self.last_event.replace(now);
         if last.is_some_and(|last| now.saturating_duration_since(last) >= PAUSE_THRESHOLD) {
             self.permits.discard_all();
@@ -278,10 +282,10 @@
     fn dispatch(&mut self, now: Instant, event: Event) {
         match event {
             Event::Tick => self.tick(now),
-            Event::List(list) => self.list(now, &list),
+            Event::List(list) => self.handle_list(now, &list),
             Event::Topology(topology) => self.configure(now, topology),
-            Event::Peer { from, message } => self.message(now, &from, message),
-            Event::PeerDown(id) => self.peer_down(now, &id),
+            Event::Peer { from, message } => self.handle_message(now, &from, message),
+            Event::PeerDown(id) => self.handle_peer_down(now, &id),
             Event::Arrive(info) => self.ingress.arrive(now, info, &mut self.actions),
             Event::Withdraw(request) => {
                 self.ingress.withdraw(&request, &mut self.actions);
@@ -292,9 +296,9 @@
             Event::Requeue { request, report } => {
                 self.ingress.requeue(now, &request, report, &mut self.actions);
             }
-            Event::EndpointLeaving(endpoint) => self.endpoint_leaving(now, endpoint, true),
+            Event::EndpointLeaving(endpoint) => self.handle_endpoint_leaving(now, endpoint, true),
             Event::Load { endpoint, running, requested_at } => {
-                self.load(&endpoint, running, requested_at);
+                self.handle_load(&endpoint, running, requested_at);
             }
             Event::RunEnded(grant) => self.permits.release(&grant, None),
             Event::Drain => self.drain(now),
@@ -303,23 +307,23 @@
 
     /// Delivers messages to this instance itself until none is left, letting the schedulers that
     /// were touched decide in between.
-    fn run_local(&mut self, now: Instant) {
+    fn process_local(&mut self, now: Instant) {
         loop {
-            self.collect_local();
-            if let Some(message) = self.local.pop_front() {
+            self.take_local();
+            if let Some(message) = self.local_messages.pop_front() {
                 let me = self.me.clone();
-                self.message(now, &me, message);
-            } else if let Some(pool) = self.dirty.pop_first() {
-                if let Some(scheduler) = self.pools.get_mut(&pool) {
+                self.handle_message(now, &me, message);
+            } else if let Some(pool) = self.dirty_pools.pop_first() {
+                if let Some(scheduler) = self.schedulers.get_mut(&pool) {
                     scheduler.schedule(now, &self.view, &mut self.actions);
                 }
-            } else if !self.offer_changes() {
+            } else if !self.send_changed_offers() {
                 return;
             }
         }
     }
 
-    fn collect_local(&mut self) {
+    fn take_local(&mut self) {
         let me = self.me.clone();
         let is_local = |a: &Action| matches!(a, Action::Send { to, .. } if *to == me);
         if !self.actions.iter().any(is_local) {
@@ -328,13 +332,13 @@
         let actions = std::mem::take(&mut self.actions);
         for action in actions {
             match action {
-                Action::Send { to, message } if to == me => self.local.push_back(message),
+                Action::Send { to, message } if to == me => self.local_messages.push_back(message),
                 other => self.actions.push(other),
             }
         }
     }
 
-    fn message(&mut self, now: Instant, from: &ids::InstanceId, message: message::Message) {
+    fn handle_message(&mut self, now: Instant, from: &ids::InstanceId, message: message::Message) {
         match message {
             message::Message::Enqueue(r) => {
                 self.with_scheduler(&r.pool.clone(), |s| s.enqueue(now, from, r))
@@ -363,7 +367,7 @@
             message::Message::HeartbeatAck { resync, .. } => {
                 self.handle_heartbeat_ack(now, from, &resync)
             }
-            message::Message::Grant(grant) => self.grant(now, grant),
+            message::Message::Grant(grant) => self.handle_grant(now, grant),
             message::Message::Release { request, attempt, key } => {
                 self.permits.release(&(request, attempt), Some(&key));
             }
@@ -395,19 +399,19 @@
                 self.send_heartbeat(now, from);
             }
             message::Message::Claim { nonce, list, permits } => {
-                self.claimed(now, from, nonce, &list, &permits);
+                self.handle_claim(now, from, nonce, &list, &permits);
             }
             message::Message::ClaimReply { nonce, held, ceded, used } => {
                 self.permits.handle_claim_reply(from, nonce, &held, &ceded, &used);
-                self.settle_claim(now);
+                self.complete_claim(now);
             }
             message::Message::Leaving => {
                 if self.view.members.mark_leaving(from) {
-                    self.members_changed(now);
+                    self.handle_member_change(now);
                 }
             }
             message::Message::EndpointLeaving(endpoint) => {
-                self.endpoint_leaving(now, endpoint, false)
+                self.handle_endpoint_leaving(now, endpoint, false)
             }
         }
     }
@@ -421,23 +425,23 @@
         if !self.view.topology.pools.contains_key(pool) {
             return;
         }
-        if !self.pools.contains_key(pool) {
+        if !self.schedulers.contains_key(pool) {
             let config = self.pool_config(pool);
             let me = self.me.clone();
             let new = scheduler::Scheduler::new(me, pool.clone(), &config, choose::Predicted);
-            self.pools.insert(pool.clone(), new);
+            self.schedulers.insert(pool.clone(), new);
         }
-        if let Some(scheduler) = self.pools.get_mut(pool) {
+        if let Some(scheduler) = self.schedulers.get_mut(pool) {
             update(scheduler);
         }
-        self.dirty.insert(pool.clone());
+        self.dirty_pools.insert(pool.clone());
     }
 
-    fn grant(&mut self, now: Instant, grant: message::Grant) {
+    fn handle_grant(&mut self, now: Instant, grant: message::Grant) {
         match grant.hops.iter().position(|h| h.index.is_none()) {
             Some(at) if grant.hops[at].owner == self.me => self.reserve(now, grant, at),
             Some(_) => {}
-            None => self.grant_arrived(grant),
+            None => self.deliver_grant(grant),
         }
     }
 
@@ -469,7 +473,7 @@
 
     /// A grant is good only if every owner that reserved for it is still listed: one that was
     /// dropped may have been replaced, and its word no longer counts.
-    fn grant_arrived(&mut self, grant: message::Grant) {
+    fn deliver_grant(&mut self, grant: message::Grant) {
         let listed = grant.hops.iter().all(|h| self.view.members.contains(&h.owner));
         let valid = listed && !self.fenced && self.may_dispatch(&grant.endpoint);
         self.ingress.handle_grant(grant, valid, &mut self.actions);
@@ -499,7 +503,7 @@
 
     /// The scheduler that this instance runs for a pool, if it was chosen for it.
     pub fn scheduler(&self, pool: &str) -> Option<&scheduler::Scheduler<choose::Predicted>> {
-        self.pools.get(pool)
+        self.schedulers.get(pool)
     }
 
     /// The configuration in use.
--- a/oxbowbend-core/tests/nodes.rs
+++ b/oxbowbend-core/tests/nodes.rs
@@ -60,7 +60,7 @@
     let mut world = World::new(&THREE, topology(&[("e1", 40)], None));
     world.feed(&"a".into(), oxbowbend_core::node::Event::Drain);
     world.run_for(Duration::from_secs(5));
-    assert!(world.node("a").is_drained() && world.node("a").is_ceded());
+    assert!(world.node("a").is_drained() && world.node("a").has_ceded_permits());
     assert_eq!(world.free_permits().values().sum::<u32>(), 40);
 }
 
--- a/oxbowbend-daemon/src/drain.rs
+++ b/oxbowbend-daemon/src/drain.rs
@@ -102,7 +102,7 @@
     /// find out that nothing runs on them.
     async fn cede(&self) {
         let began = clock::now();
-        while clock::since(began) < CEDE && !self.hub.node().is_ceded() {
+        while clock::since(began) < CEDE && !self.hub.node().has_ceded_permits() {
             if self.cut.load(Ordering::SeqCst) {
                 return;
             }
