--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -309,7 +309,7 @@
     /// were touched decide in between.
     fn process_local(&mut self, now: Instant) {
         loop {
-            self.take_local();
+            self.queue_local();
             if let Some(message) = self.local_messages.pop_front() {
                 let me = self.me.clone();
                 self.handle_message(now, &me, message);
@@ -323,7 +323,7 @@
         }
     }
 
-    fn take_local(&mut self) {
+    fn queue_local(&mut self) {
         let me = self.me.clone();
         let is_local = |a: &Action| matches!(a, Action::Send { to, .. } if *to == me);
         if !self.actions.iter().any(is_local) {
