--- a/oxbowbend-core/src/ledger.rs
+++ b/oxbowbend-core/src/ledger.rs
@@ -4,7 +4,7 @@
 //! changed only by compare-and-swap, so that every step has one place in one order however many
 //! instances write. Each step names the run that takes it: taking the same step again after a lost
 //! reply gives the same answer, and a paused holder that wakes after a takeover is told
-//! [`Verdict::Lost`].
+//! [`StepResult::NotOwner`].
 //!
 //! Traded away: the whole shard is written at each step. Steps that arrive together share one
 //! write; `docs/CAPACITY.md` has the size at which shards must be split further.
@@ -97,9 +97,10 @@
 
 /// Answer to a step.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Verdict {
+pub enum StepResult {
     /// The step is taken.
-    Taken,
+    #[serde(rename = "Taken")]
+    Applied,
     /// Another run holds the request.
     HeldBy {
         /// Its holder.
@@ -120,24 +121,26 @@
         run: ids::RequestId,
     },
     /// The key was used for a request with another body.
-    OtherBody,
+    #[serde(rename = "OtherBody")]
+    BodyMismatch,
     /// The run no longer has the entry: another one took it over, or it has expired.
-    Lost,
+    #[serde(rename = "Lost")]
+    NotOwner,
 }
 
 /// One shard's value.
 ///
 /// ```
-/// use oxbowbend_core::ledger::{Shard, Step, StepAction, Verdict};
+/// use oxbowbend_core::ledger::{Shard, Step, StepAction, StepResult};
 /// let mut shard = Shard::default();
 /// let hold = |run: &str| Step {
 ///     key: "k".into(),
 ///     run: run.into(),
 ///     action: StepAction::Hold { holder: "i".into(), body: 1, takeover: false, window: 60 },
 /// };
-/// assert_eq!(shard.apply(0, &hold("r1")), Verdict::Taken);
-/// assert_eq!(shard.apply(0, &hold("r1")), Verdict::Taken);
-/// assert_eq!(shard.apply(0, &hold("r2")), Verdict::HeldBy { holder: "i".into() });
+/// assert_eq!(shard.apply(0, &hold("r1")), StepResult::Applied);
+/// assert_eq!(shard.apply(0, &hold("r1")), StepResult::Applied);
+/// assert_eq!(shard.apply(0, &hold("r2")), StepResult::HeldBy { holder: "i".into() });
 /// ```
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Shard {
@@ -147,7 +150,7 @@
 
 impl Shard {
     /// Takes a step, or says why it cannot be taken. A refused step changes nothing.
-    pub fn apply(&mut self, now: UnixSeconds, step: &Step) -> Verdict {
+    pub fn apply(&mut self, now: UnixSeconds, step: &Step) -> StepResult {
         match &step.action {
             StepAction::Hold { holder, body, takeover, window } => {
                 let entry = Entry {
@@ -170,79 +173,79 @@
         self.entries.retain(|_, e| e.expires > now);
     }
 
-    fn hold(&mut self, now: UnixSeconds, key: &str, new: Entry, takeover: bool) -> Verdict {
+    fn hold(&mut self, now: UnixSeconds, key: &str, new: Entry, takeover: bool) -> StepResult {
         let Some(old) = self.entries.get(key).filter(|e| e.expires > now) else {
             self.entries.insert(key.to_owned(), new);
-            return Verdict::Taken;
+            return StepResult::Applied;
         };
         if old.body != new.body {
-            return Verdict::OtherBody;
+            return StepResult::BodyMismatch;
         }
         match &old.stage {
-            Stage::Held { .. } if old.run == new.run => Verdict::Taken,
+            Stage::Held { .. } if old.run == new.run => StepResult::Applied,
             Stage::Held { .. } if takeover => {
                 self.entries.insert(key.to_owned(), new);
-                Verdict::Taken
+                StepResult::Applied
             }
-            Stage::Held { holder } => Verdict::HeldBy { holder: holder.clone() },
+            Stage::Held { holder } => StepResult::HeldBy { holder: holder.clone() },
             Stage::Dispatched { endpoint } => {
-                Verdict::Dispatched { endpoint: endpoint.clone(), run: old.run.clone() }
+                StepResult::Dispatched { endpoint: endpoint.clone(), run: old.run.clone() }
             }
             Stage::Done { endpoint } => {
-                Verdict::Done { endpoint: endpoint.clone(), run: old.run.clone() }
+                StepResult::Done { endpoint: endpoint.clone(), run: old.run.clone() }
             }
         }
     }
 
-    fn mine(&mut self, step: &Step) -> Option<&mut Entry> {
+    fn owned_entry(&mut self, step: &Step) -> Option<&mut Entry> {
         self.entries.get_mut(&step.key).filter(|e| e.run == step.run)
     }
 
-    fn dispatch(&mut self, step: &Step, to: &ids::EndpointId) -> Verdict {
-        let Some(entry) = self.mine(step) else { return Verdict::Lost };
+    fn dispatch(&mut self, step: &Step, to: &ids::EndpointId) -> StepResult {
+        let Some(entry) = self.owned_entry(step) else { return StepResult::NotOwner };
         match &entry.stage {
             Stage::Held { .. } => {
                 entry.stage = Stage::Dispatched { endpoint: to.clone() };
-                Verdict::Taken
+                StepResult::Applied
             }
-            Stage::Dispatched { endpoint } if endpoint == to => Verdict::Taken,
-            _ => Verdict::Lost,
+            Stage::Dispatched { endpoint } if endpoint == to => StepResult::Applied,
+            _ => StepResult::NotOwner,
         }
     }
 
-    fn undo(&mut self, step: &Step, holder: &ids::InstanceId) -> Verdict {
-        let Some(entry) = self.mine(step) else { return Verdict::Lost };
+    fn undo(&mut self, step: &Step, holder: &ids::InstanceId) -> StepResult {
+        let Some(entry) = self.owned_entry(step) else { return StepResult::NotOwner };
         match &entry.stage {
-            Stage::Done { .. } => Verdict::Lost,
+            Stage::Done { .. } => StepResult::NotOwner,
             _ => {
                 entry.stage = Stage::Held { holder: holder.clone() };
-                Verdict::Taken
+                StepResult::Applied
             }
         }
     }
 
-    fn finish(&mut self, step: &Step) -> Verdict {
-        let Some(entry) = self.mine(step) else { return Verdict::Lost };
+    fn finish(&mut self, step: &Step) -> StepResult {
+        let Some(entry) = self.owned_entry(step) else { return StepResult::NotOwner };
         match &entry.stage {
-            Stage::Held { .. } => Verdict::Lost,
+            Stage::Held { .. } => StepResult::NotOwner,
             Stage::Dispatched { endpoint } => {
                 entry.stage = Stage::Done { endpoint: endpoint.clone() };
-                Verdict::Taken
+                StepResult::Applied
             }
-            Stage::Done { .. } => Verdict::Taken,
+            Stage::Done { .. } => StepResult::Applied,
         }
     }
 
     /// A released entry is removed; releasing one that is gone already is no error, since the
     /// reply to the first release may have been lost.
-    fn release(&mut self, step: &Step) -> Verdict {
+    fn release(&mut self, step: &Step) -> StepResult {
         match self.entries.get(&step.key) {
-            None => Verdict::Taken,
-            Some(e) if e.run != step.run => Verdict::Lost,
-            Some(e) if !matches!(e.stage, Stage::Held { .. }) => Verdict::Lost,
+            None => StepResult::Applied,
+            Some(e) if e.run != step.run => StepResult::NotOwner,
+            Some(e) if !matches!(e.stage, Stage::Held { .. }) => StepResult::NotOwner,
             Some(_) => {
                 self.entries.remove(&step.key);
-                Verdict::Taken
+                StepResult::Applied
             }
         }
     }
--- a/oxbowbend-core/tests/ledger_exploration.rs
+++ b/oxbowbend-core/tests/ledger_exploration.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{HashSet, VecDeque};
 
-use oxbowbend_core::ledger::{Shard, Step, StepAction, Verdict};
+use oxbowbend_core::ledger::{Shard, Step, StepAction, StepResult};
 
 /// Where a run's instance stands.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -78,21 +78,21 @@
     Step { key: "k".into(), run: format!("r{run_id}").into(), action }
 }
 
-fn apply(state: &mut State, run: usize, action: Action, broken: Broken) -> Verdict {
+fn apply(state: &mut State, run: usize, action: Action, broken: Broken) -> StepResult {
     let mut shard: Shard = serde_json::from_str(&state.shard).expect("shards are JSON");
-    let verdict = shard.apply(0, &step(run, action, broken));
+    let result = shard.apply(0, &step(run, action, broken));
     state.shard = serde_json::to_string(&shard).expect("shards are JSON");
-    verdict
+    result
 }
 
 /// Where a run goes on a verdict.
-fn after(action: Action, verdict: &Verdict) -> At {
-    match (action, verdict) {
-        (Action::Hold | Action::TakeOver, Verdict::Taken) => At::Held,
+fn after(action: Action, result: &StepResult) -> At {
+    match (action, result) {
+        (Action::Hold | Action::TakeOver, StepResult::Applied) => At::Held,
         // A holder may be dead: the copy tries to take over.
-        (Action::Hold, Verdict::HeldBy { .. }) => At::Start,
-        (Action::Dispatch, Verdict::Taken) => At::Dispatched,
-        (Action::Release, Verdict::Taken) => At::ToldNotRun,
+        (Action::Hold, StepResult::HeldBy { .. }) => At::Start,
+        (Action::Dispatch, StepResult::Applied) => At::Dispatched,
+        (Action::Release, StepResult::Applied) => At::ToldNotRun,
         _ => At::ToldUnknown,
     }
 }
@@ -140,8 +140,8 @@
 
 fn push_write(state: &State, run: usize, action: Action, broken: Broken, next: &mut Vec<State>) {
     let mut done = state.clone();
-    let verdict = apply(&mut done, run, action, broken);
-    done.at[run] = after(action, &verdict);
+    let result = apply(&mut done, run, action, broken);
+    done.at[run] = after(action, &result);
     next.push(done);
     if state.lost_replies >= MAX_LOST {
         return;
--- a/oxbowbend-daemon/src/callers/keyed.rs
+++ b/oxbowbend-daemon/src/callers/keyed.rs
@@ -56,21 +56,21 @@
         let mut takeover = false;
         for _ in 0..MAX_TAKEOVERS {
             match keyed.take(keyed.hold_step(body, takeover)).await {
-                Ok(ledger::Verdict::Taken) => return Standing::Mine(keyed),
-                Ok(ledger::Verdict::HeldBy { holder }) if keyed.is_alive(&holder).await => {
+                Ok(ledger::StepResult::Applied) => return Standing::Mine(keyed),
+                Ok(ledger::StepResult::HeldBy { holder }) if keyed.is_alive(&holder).await => {
                     return Standing::Refused(in_progress(), problem::Outcome::Unknown);
                 }
-                Ok(ledger::Verdict::HeldBy { .. }) => takeover = true,
-                Ok(ledger::Verdict::Dispatched { endpoint, run }) => {
+                Ok(ledger::StepResult::HeldBy { .. }) => takeover = true,
+                Ok(ledger::StepResult::Dispatched { endpoint, run }) => {
                     return keyed.elsewhere(endpoint, &run, false);
                 }
-                Ok(ledger::Verdict::Done { endpoint, run }) => {
+                Ok(ledger::StepResult::Done { endpoint, run }) => {
                     return keyed.elsewhere(endpoint, &run, true)
                 }
-                Ok(ledger::Verdict::OtherBody) => {
+                Ok(ledger::StepResult::BodyMismatch) => {
                     return Standing::Refused(other_body(), problem::Outcome::NotRun);
                 }
-                Ok(ledger::Verdict::Lost) => break,
+                Ok(ledger::StepResult::NotOwner) => break,
                 Err(e) => return Standing::Refused(no_ledger(&e), problem::Outcome::Unknown),
             }
         }
@@ -82,7 +82,7 @@
         ledger::StepAction::Hold { holder: self.service.hub.me().clone(), body, takeover, window }
     }
 
-    async fn take(&self, action: ledger::StepAction) -> Result<ledger::Verdict, LedgerError> {
+    async fn take(&self, action: ledger::StepAction) -> Result<ledger::StepResult, LedgerError> {
         let step = ledger::Step { key: self.key.clone(), run: self.run.as_str().into(), action };
         self.service.ledger.take(step).await
     }
@@ -109,7 +109,7 @@
         endpoint: &ids::EndpointId,
     ) -> Result<(), problem::Problem> {
         match self.take(ledger::StepAction::Dispatch { endpoint: endpoint.clone() }).await {
-            Ok(ledger::Verdict::Taken) => Ok(()),
+            Ok(ledger::StepResult::Applied) => Ok(()),
             Ok(_) => Err(taken_over()),
             Err(e) => Err(no_ledger(&e)),
         }
@@ -119,7 +119,7 @@
     pub(crate) async fn undo(&self) -> Result<(), problem::Problem> {
         let holder = self.service.hub.me().clone();
         match self.take(ledger::StepAction::Undo { holder }).await {
-            Ok(ledger::Verdict::Taken) => Ok(()),
+            Ok(ledger::StepResult::Applied) => Ok(()),
             Ok(_) => Err(taken_over()),
             Err(e) => Err(no_ledger(&e)),
         }
@@ -127,7 +127,7 @@
 
     /// Gives the request up; `false` if it may be somebody else's by now.
     pub(crate) async fn release(&self) -> bool {
-        matches!(self.take(ledger::StepAction::Release).await, Ok(ledger::Verdict::Taken))
+        matches!(self.take(ledger::StepAction::Release).await, Ok(ledger::StepResult::Applied))
     }
 
     /// Enters, without waiting, that the whole answer has been read.
--- a/oxbowbend-daemon/src/peers.rs
+++ b/oxbowbend-daemon/src/peers.rs
@@ -342,7 +342,7 @@
         &self,
         at: &ids::InstanceId,
         step: &ledger::Step,
-    ) -> Result<Option<ledger::Verdict>, PeerError> {
+    ) -> Result<Option<ledger::StepResult>, PeerError> {
         let client = self.client(at).await?;
         self.call(at, &client, "ledger", rpc_params![step]).await
     }
--- a/oxbowbend-daemon/src/router.rs
+++ b/oxbowbend-daemon/src/router.rs
@@ -41,12 +41,12 @@
     }
 
     /// Takes a step, at the shard's preferred writer if it answers.
-    pub(crate) async fn take(&self, step: ledger::Step) -> Result<ledger::Verdict, LedgerError> {
+    pub(crate) async fn take(&self, step: ledger::Step) -> Result<ledger::StepResult, LedgerError> {
         let writer = self.writer(self.ledger.shard(&step));
         let elsewhere = writer.filter(|id| id != self.hub.me());
         if let Some(writer) = elsewhere {
             match self.peers.ledger_step(&writer, &step).await {
-                Ok(Some(verdict)) => return Ok(verdict),
+                Ok(Some(result)) => return Ok(result),
                 Ok(None) => {}
                 Err(e) => log::debug!("ledger: Taking a step here: {e}."),
             }
--- a/oxbowbend-store/src/ledger.rs
+++ b/oxbowbend-store/src/ledger.rs
@@ -34,7 +34,7 @@
     Unknown(kv::KvError),
 }
 
-type Reply = Sender<Result<ledger::Verdict, LedgerError>>;
+type Reply = Sender<Result<ledger::StepResult, LedgerError>>;
 
 struct Job {
     step: ledger::Step,
@@ -65,14 +65,14 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use oxbowbend_core::ledger::{Step, StepAction, Verdict};
+/// use oxbowbend_core::ledger::{Step, StepAction, StepResult};
 /// use oxbowbend_store::{ledger::Ledger, memory::Memory};
 /// async_std::task::block_on(async {
 ///     let ledger = Ledger::new(Memory::new(), 4, Duration::from_secs(1), Duration::ZERO);
 ///     let action =
 ///         StepAction::Hold { holder: "a".into(), body: 1, takeover: false, window: 60 };
 ///     let step = Step { key: "key".into(), run: "run".into(), action };
-///     assert_eq!(ledger.take(step).await.unwrap(), Verdict::Taken);
+///     assert_eq!(ledger.take(step).await.unwrap(), StepResult::Applied);
 /// });
 /// ```
 pub struct Ledger<K> {
@@ -113,7 +113,7 @@
     ///
     /// [`LedgerError::Unavailable`] if it was surely not taken, [`LedgerError::Unknown`] if it
     /// may have been.
-    pub async fn take(&self, step: ledger::Step) -> Result<ledger::Verdict, LedgerError> {
+    pub async fn take(&self, step: ledger::Step) -> Result<ledger::StepResult, LedgerError> {
         let shard = self.shard(&step);
         let (reply, answer) = bounded(1);
         self.writer(shard).send(Job { step, reply }).await.ok();
@@ -179,15 +179,15 @@
     fn answer(
         &mut self,
         batch: Vec<Job>,
-        outcome: Result<Vec<ledger::Verdict>, kv::KvError>,
+        outcome: Result<Vec<ledger::StepResult>, kv::KvError>,
         written: bool,
     ) {
         match outcome {
-            Ok(verdicts) => {
+            Ok(results) => {
                 let mut counts = self.inner.counts.lock().expect("no panic under lock");
-                counts.steps += verdicts.len() as u64;
-                for (job, verdict) in batch.into_iter().zip(verdicts) {
-                    job.reply.try_send(Ok(verdict)).ok();
+                counts.steps += results.len() as u64;
+                for (job, result) in batch.into_iter().zip(results) {
+                    job.reply.try_send(Ok(result)).ok();
                 }
             }
             Err(e) => {
@@ -209,7 +209,7 @@
         &mut self,
         steps: &[ledger::Step],
         written: &mut bool,
-    ) -> Result<Vec<ledger::Verdict>, kv::KvError> {
+    ) -> Result<Vec<ledger::StepResult>, kv::KvError> {
         loop {
             let version = match self.version {
                 Some(version) => version,
@@ -218,16 +218,17 @@
             let now = unix_now();
             let mut next = self.shard.clone();
             next.expire(now);
-            let verdicts: Vec<ledger::Verdict> = steps.iter().map(|s| next.apply(now, s)).collect();
+            let results: Vec<ledger::StepResult> =
+                steps.iter().map(|s| next.apply(now, s)).collect();
             if next == self.shard && !*written {
                 // A refusal rests on this copy; it must be the newest.
                 if self.read().await? == version {
-                    return Ok(verdicts);
+                    return Ok(results);
                 }
                 continue;
             }
             match self.write(version, &next, written).await {
-                Ok(true) => return Ok(verdicts),
+                Ok(true) => return Ok(results),
                 Ok(false) => self.pause().await,
                 Err(e) if e.is_ambiguous() => self.version = None,
                 Err(e) => return Err(e),
--- a/oxbowbend-store/tests/contract.rs
+++ b/oxbowbend-store/tests/contract.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use async_std::task;
-use oxbowbend_core::ledger::{Step, StepAction, Verdict};
+use oxbowbend_core::ledger::{Step, StepAction, StepResult};
 use oxbowbend_resource::kinds::{Kind, Place, Resource, Spec};
 use oxbowbend_resource::manifest::{Change, Manifest, Operation};
 use oxbowbend_standin::local::{free_address, listen};
@@ -148,9 +148,9 @@
                 let said = ledger().take(hold("one")).await;
                 kv.inject(&[]);
                 let other = ledger().take(hold("two")).await.expect("it answers");
-                let taken = matches!(other, Verdict::HeldBy { .. });
+                let taken = matches!(other, StepResult::HeldBy { .. });
                 match said {
-                    Ok(Verdict::Taken) => assert!(taken, "{fault:?} at {call}"),
+                    Ok(StepResult::Applied) => assert!(taken, "{fault:?} at {call}"),
                     Ok(other) => panic!("{fault:?} at {call}: {other:?}"),
                     Err(LedgerError::Unavailable(_)) => assert!(!taken, "{fault:?} at {call}"),
                     Err(LedgerError::Unknown(_)) => {}
