--- a/oxbowbend-core/src/ledger.rs
+++ b/oxbowbend-core/src/ledger.rs
@@ -49,7 +49,8 @@
     /// Where the request stands.
     pub stage: Stage,
     /// Digest of the request's body.
-    pub body: u64,
+    #[serde(rename = "body")]
+    pub body_digest: u64,
     /// When the entry may be forgotten.
     pub expires: UnixSeconds,
 }
@@ -73,11 +74,13 @@
         /// Instance that holds it.
         holder: ids::InstanceId,
         /// Digest of the body.
-        body: u64,
+        #[serde(rename = "body")]
+        body_digest: u64,
         /// Whether to take the request over from another holder.
         takeover: bool,
         /// Seconds for which the entry is kept.
-        window: u64,
+        #[serde(rename = "window")]
+        retention_s: u64,
     },
     /// Go from held to dispatched. Nothing may be sent before this is confirmed.
     Dispatch {
@@ -136,7 +139,12 @@
 /// let hold = |run: &str| Step {
 ///     key: "k".into(),
 ///     run: run.into(),
-///     action: StepAction::Hold { holder: "i".into(), body: 1, takeover: false, window: 60 },
+///     action: StepAction::Hold {
+///         holder: "i".into(),
+///         body_digest: 1,
+///         takeover: false,
+///         retention_s: 60,
+///     },
 /// };
 /// assert_eq!(shard.apply(0, &hold("r1")), StepResult::Applied);
 /// assert_eq!(shard.apply(0, &hold("r1")), StepResult::Applied);
@@ -152,12 +160,12 @@
     /// Takes a step, or says why it cannot be taken. A refused step changes nothing.
     pub fn apply(&mut self, now: UnixSeconds, step: &Step) -> StepResult {
         match &step.action {
-            StepAction::Hold { holder, body, takeover, window } => {
+            StepAction::Hold { holder, body_digest, takeover, retention_s } => {
                 let entry = Entry {
                     run: step.run.clone(),
                     stage: Stage::Held { holder: holder.clone() },
-                    body: *body,
-                    expires: now + window,
+                    body_digest: *body_digest,
+                    expires: now + retention_s,
                 };
                 self.hold(now, &step.key, entry, *takeover)
             }
@@ -178,7 +186,7 @@
             self.entries.insert(key.to_owned(), new);
             return StepResult::Applied;
         };
-        if old.body != new.body {
+        if old.body_digest != new.body_digest {
             return StepResult::BodyMismatch;
         }
         match &old.stage {
--- a/oxbowbend-core/tests/ledger_exploration.rs
+++ b/oxbowbend-core/tests/ledger_exploration.rs
@@ -68,9 +68,9 @@
     let action = match action {
         Action::Hold | Action::TakeOver => StepAction::Hold {
             holder: format!("i{run}").into(),
-            body: 1,
+            body_digest: 1,
             takeover: action == Action::TakeOver,
-            window: 1000,
+            retention_s: 1000,
         },
         Action::Dispatch => StepAction::Dispatch { endpoint: "e".into() },
         Action::Release => StepAction::Release,
--- a/oxbowbend-daemon/src/callers/keyed.rs
+++ b/oxbowbend-daemon/src/callers/keyed.rs
@@ -47,7 +47,7 @@
         account: &str,
         idempotency_key: &str,
         run: &str,
-        body: u64,
+        body_digest: u64,
     ) -> Standing<K> {
         let key = ledger::ledger_key(account, idempotency_key);
         let keyed = Keyed { service: service.clone(), key, run: run.to_owned() };
@@ -55,7 +55,7 @@
         service.held.enter(&keyed.key);
         let mut takeover = false;
         for _ in 0..MAX_TAKEOVERS {
-            match keyed.take(keyed.hold_step(body, takeover)).await {
+            match keyed.take(keyed.hold_step(body_digest, takeover)).await {
                 Ok(ledger::StepResult::Applied) => return Standing::Mine(keyed),
                 Ok(ledger::StepResult::HeldBy { holder }) if keyed.is_alive(&holder).await => {
                     return Standing::Refused(in_progress(), problem::Outcome::Unknown);
@@ -77,9 +77,14 @@
         Standing::Refused(in_progress(), problem::Outcome::Unknown)
     }
 
-    fn hold_step(&self, body: u64, takeover: bool) -> ledger::StepAction {
-        let window = self.service.settings.ledger_window.as_secs();
-        ledger::StepAction::Hold { holder: self.service.hub.me().clone(), body, takeover, window }
+    fn hold_step(&self, body_digest: u64, takeover: bool) -> ledger::StepAction {
+        let retention_s = self.service.settings.ledger_window.as_secs();
+        ledger::StepAction::Hold {
+            holder: self.service.hub.me().clone(),
+            body_digest,
+            takeover,
+            retention_s,
+        }
     }
 
     async fn take(&self, action: ledger::StepAction) -> Result<ledger::StepResult, LedgerError> {
--- a/oxbowbend-standin/examples/capacity.rs
+++ b/oxbowbend-standin/examples/capacity.rs
@@ -263,9 +263,9 @@
         run: format!("r-{n:032x}").as_str().into(),
         action: ledger::StepAction::Hold {
             holder: ENTRY.into(),
-            body: 1,
+            body_digest: 1,
             takeover: false,
-            window: 900,
+            retention_s: 900,
         },
     };
     (0..entries).for_each(|n| {
--- a/oxbowbend-standin/examples/platform_cost.rs
+++ b/oxbowbend-standin/examples/platform_cost.rs
@@ -131,9 +131,9 @@
                 let name = format!("{claimer}-{n}");
                 let action = ledger::StepAction::Hold {
                     holder: "entry-zone-a-0123abcd".into(),
-                    body: 1,
+                    body_digest: 1,
                     takeover: false,
-                    window: 900,
+                    retention_s: 900,
                 };
                 let key = ledger::ledger_key("court", &name);
                 let step = ledger::Step { key, run: name.as_str().into(), action };
--- a/oxbowbend-store/src/ledger.rs
+++ b/oxbowbend-store/src/ledger.rs
@@ -69,8 +69,12 @@
 /// use oxbowbend_store::{ledger::Ledger, memory::Memory};
 /// async_std::task::block_on(async {
 ///     let ledger = Ledger::new(Memory::new(), 4, Duration::from_secs(1), Duration::ZERO);
-///     let action =
-///         StepAction::Hold { holder: "a".into(), body: 1, takeover: false, window: 60 };
+///     let action = StepAction::Hold {
+///         holder: "a".into(),
+///         body_digest: 1,
+///         takeover: false,
+///         retention_s: 60,
+///     };
 ///     let step = Step { key: "key".into(), run: "run".into(), action };
 ///     assert_eq!(ledger.take(step).await.unwrap(), StepResult::Applied);
 /// });
--- a/oxbowbend-store/tests/contract.rs
+++ b/oxbowbend-store/tests/contract.rs
@@ -131,7 +131,8 @@
 }
 
 fn hold(run: &str) -> Step {
-    let action = StepAction::Hold { holder: "i".into(), body: 1, takeover: false, window: 60 };
+    let action =
+        StepAction::Hold { holder: "i".into(), body_digest: 1, takeover: false, retention_s: 60 };
     Step { key: "k".to_owned(), run: run.into(), action }
 }
 
