--- a/oxbowbend-core/tests/ledger_exploration.rs
+++ b/oxbowbend-core/tests/ledger_exploration.rs
@@ -10,15 +10,15 @@
 
 /// Where a run's instance stands.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-enum At {
+enum RunState {
     Start,
     Held,
     Dispatched,
     Sent,
     /// The caller was told that the request did not run.
-    ToldNotRun,
+    ReportedNotRun,
     /// The caller was told that its fate is not known, or to look elsewhere.
-    ToldUnknown,
+    ReportedUnknown,
     /// The caller got the answer.
     Answered,
     Crashed,
@@ -27,15 +27,15 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct State {
     shard: String,
-    at: Vec<At>,
+    runs: Vec<RunState>,
     /// Writes on their way whose reply nobody waits for any more: run and step.
-    late: Vec<(usize, Action)>,
+    delayed_writes: Vec<(usize, Action)>,
     /// Requests that reached the endpoint, by run.
-    ran: Vec<usize>,
+    executed: Vec<usize>,
     /// Replies lost so far.
     lost_replies: u8,
     /// Whether a caller was told "not run" when some copy of the request had run already.
-    told_after_run: bool,
+    reported_after_run: bool,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -48,23 +48,23 @@
 
 /// Mechanisms that can be broken on purpose, to show that the exploration would notice.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Broken {
-    Nothing,
+enum Mutation {
+    Unmodified,
     /// A holder sends without entering the dispatch.
     SendWithoutDispatch,
     /// A write whose reply is lost is taken to have failed.
-    LostMeansFailed,
+    LostReplyMeansFailure,
     /// A holder that was taken over may still dispatch.
-    NoRunInSteps,
+    NoRunInStep,
     /// "Not run" is said without releasing the entry.
     NotRunWithoutRelease,
 }
 
 const RUNS: usize = 3;
-const MAX_LOST: u8 = 2;
+const MAX_LOST_REPLIES: u8 = 2;
 
-fn step(run: usize, action: Action, broken: Broken) -> Step {
-    let run_id = if broken == Broken::NoRunInSteps { 0 } else { run };
+fn step(run: usize, action: Action, mutation: Mutation) -> Step {
+    let run_id = if mutation == Mutation::NoRunInStep { 0 } else { run };
     let action = match action {
         Action::Hold | Action::TakeOver => StepAction::Hold {
             holder: format!("i{run}").into(),
@@ -78,72 +78,86 @@
     Step { key: "k".into(), run: format!("r{run_id}").into(), action }
 }
 
-fn apply(state: &mut State, run: usize, action: Action, broken: Broken) -> StepResult {
+fn apply(state: &mut State, run: usize, action: Action, mutation: Mutation) -> StepResult {
     let mut shard: Shard = serde_json::from_str(&state.shard).expect("shards are JSON");
-    let result = shard.apply(0, &step(run, action, broken));
+    let result = shard.apply(0, &step(run, action, mutation));
     state.shard = serde_json::to_string(&shard).expect("shards are JSON");
     result
 }
 
 /// Where a run goes on a verdict.
-fn after(action: Action, result: &StepResult) -> At {
+fn state_after(action: Action, result: &StepResult) -> RunState {
     match (action, result) {
-        (Action::Hold | Action::TakeOver, StepResult::Applied) => At::Held,
+        (Action::Hold | Action::TakeOver, StepResult::Applied) => RunState::Held,
         // A holder may be dead: the copy tries to take over.
-        (Action::Hold, StepResult::HeldBy { .. }) => At::Start,
-        (Action::Dispatch, StepResult::Applied) => At::Dispatched,
-        (Action::Release, StepResult::Applied) => At::ToldNotRun,
-        _ => At::ToldUnknown,
+        (Action::Hold, StepResult::HeldBy { .. }) => RunState::Start,
+        (Action::Dispatch, StepResult::Applied) => RunState::Dispatched,
+        (Action::Release, StepResult::Applied) => RunState::ReportedNotRun,
+        _ => RunState::ReportedUnknown,
     }
 }
 
-fn successors(state: &State, broken: Broken) -> Vec<State> {
+fn successors(state: &State, mutation: Mutation) -> Vec<State> {
     let mut next = Vec::new();
     for run in 0..RUNS {
-        let actions: &[Action] = match state.at[run] {
-            At::Start => &[Action::Hold, Action::TakeOver],
-            At::Held => &[Action::Dispatch, Action::Release],
+        let actions: &[Action] = match state.runs[run] {
+            RunState::Start => &[Action::Hold, Action::TakeOver],
+            RunState::Held => &[Action::Dispatch, Action::Release],
             _ => &[],
         };
         for action in actions {
-            push_write(state, run, *action, broken, &mut next);
+            push_write(state, run, *action, mutation, &mut next);
         }
-        match state.at[run] {
-            At::Dispatched => next.push(send(state, run)),
-            At::Held if broken == Broken::SendWithoutDispatch => next.push(send(state, run)),
-            At::Held if broken == Broken::NotRunWithoutRelease => {
-                let mut told = state.clone();
-                told.at[run] = At::ToldNotRun;
-                next.push(told);
+        match state.runs[run] {
+            RunState::Dispatched => next.push(send(state, run)),
+            RunState::Held if mutation == Mutation::SendWithoutDispatch => {
+                next.push(send(state, run))
             }
-            At::Sent => {
+            RunState::Held if mutation == Mutation::NotRunWithoutRelease => {
+                let mut reported = state.clone();
+                reported.runs[run] = RunState::ReportedNotRun;
+                next.push(reported);
+            }
+            RunState::Sent => {
                 let mut answered = state.clone();
-                answered.at[run] = At::Answered;
+                answered.runs[run] = RunState::Answered;
                 next.push(answered);
             }
             _ => {}
         }
-        if !matches!(state.at[run], At::Crashed | At::ToldNotRun | At::ToldUnknown | At::Answered) {
+        if !matches!(
+            state.runs[run],
+            RunState::Crashed
+                | RunState::ReportedNotRun
+                | RunState::ReportedUnknown
+                | RunState::Answered
+        ) {
             let mut crashed = state.clone();
-            crashed.at[run] = At::Crashed;
+            crashed.runs[run] = RunState::Crashed;
             next.push(crashed);
         }
     }
-    for i in 0..state.late.len() {
+    for i in 0..state.delayed_writes.len() {
         let mut arrived = state.clone();
-        let (run, action) = arrived.late.remove(i);
-        apply(&mut arrived, run, action, broken);
+        let (run, action) = arrived.delayed_writes.remove(i);
+        apply(&mut arrived, run, action, mutation);
         next.push(arrived);
     }
     next
 }
 
-fn push_write(state: &State, run: usize, action: Action, broken: Broken, next: &mut Vec<State>) {
+fn push_write(
+    state: &State,
+    run: usize,
+    action: Action,
+    mutation: Mutation,
+    next: &mut Vec<State>,
+) {
     let mut done = state.clone();
-    let result = apply(&mut done, run, action, broken);
-    done.at[run] = after(action, &result);
+    let result = apply(&mut done, run, action, mutation);
+    done.runs[run] = state_after(action, &result);
     next.push(done);
-    if state.lost_replies >= MAX_LOST {
+    if state.lost_replies >= MAX_LOST_REPLIES {
         return;
     }
     // The reply is lost: the write takes effect now, later, or never. The daemon asks again, or
@@ -153,19 +167,21 @@
         lost.lost_replies += 1;
         match when {
             "now" => {
-                apply(&mut lost, run, action, broken);
+                apply(&mut lost, run, action, mutation);
             }
             "later" => {
-                lost.late.push((run, action));
-                lost.late.sort();
+                lost.delayed_writes.push((run, action));
+                lost.delayed_writes.sort();
             }
             _ => {}
         }
         // Asking again means to stay where it is.
         next.push(lost.clone());
-        lost.at[run] = match (broken, action) {
-            (Broken::LostMeansFailed, Action::Dispatch | Action::Release) => At::ToldNotRun,
-            _ => At::ToldUnknown,
+        lost.runs[run] = match (mutation, action) {
+            (Mutation::LostReplyMeansFailure, Action::Dispatch | Action::Release) => {
+                RunState::ReportedNotRun
+            }
+            _ => RunState::ReportedUnknown,
         };
         next.push(lost);
     }
@@ -173,38 +189,40 @@
 
 fn send(state: &State, run: usize) -> State {
     let mut sent = state.clone();
-    sent.at[run] = At::Sent;
-    sent.ran.push(run);
+    sent.runs[run] = RunState::Sent;
+    sent.executed.push(run);
     sent
 }
 
 /// Notes it if a step told a caller "not run" of a request that had run.
-fn note_told(before: &State, mut after: State) -> State {
-    let told = |s: &State| s.at.iter().filter(|at| **at == At::ToldNotRun).count();
-    after.told_after_run |= told(&after) > told(before) && !after.ran.is_empty();
+fn check_report(before: &State, mut after: State) -> State {
+    let reported =
+        |s: &State| s.runs.iter().filter(|run| **run == RunState::ReportedNotRun).count();
+    after.reported_after_run |= reported(&after) > reported(before) && !after.executed.is_empty();
     after
 }
 
 fn violation(state: &State) -> Option<String> {
-    if state.told_after_run {
+    if state.reported_after_run {
         return Some("a caller was told that a request did not run that had run".to_owned());
     }
-    if state.ran.len() > 1 {
-        return Some(format!("ran {} times", state.ran.len()));
+    if state.executed.len() > 1 {
+        return Some(format!("ran {} times", state.executed.len()));
     }
-    let told = (0..RUNS).find(|run| state.at[*run] == At::ToldNotRun && state.ran.contains(run));
-    told.map(|run| format!("run {run} ran though its caller was told that it did not"))
+    let reported = (0..RUNS)
+        .find(|run| state.runs[*run] == RunState::ReportedNotRun && state.executed.contains(run));
+    reported.map(|run| format!("run {run} ran though its caller was told that it did not"))
 }
 
 /// Explores breadth first; returns the number of states, or what was found.
-fn explore(broken: Broken) -> Result<usize, String> {
+fn explore(mutation: Mutation) -> Result<usize, String> {
     let start = State {
         shard: serde_json::to_string(&Shard::default()).expect("shards are JSON"),
-        at: vec![At::Start; RUNS],
-        late: Vec::new(),
-        ran: Vec::new(),
+        runs: vec![RunState::Start; RUNS],
+        delayed_writes: Vec::new(),
+        executed: Vec::new(),
         lost_replies: 0,
-        told_after_run: false,
+        reported_after_run: false,
     };
     let mut seen = HashSet::from([start.clone()]);
     let mut queue = VecDeque::from([start]);
@@ -212,8 +230,8 @@
         if let Some(found) = violation(&state) {
             return Err(format!("{found} in {state:?}"));
         }
-        for next in successors(&state, broken) {
-            let next = note_told(&state, next);
+        for next in successors(&state, mutation) {
+            let next = check_report(&state, next);
             if seen.insert(next.clone()) {
                 queue.push_back(next);
             }
@@ -224,7 +242,7 @@
 
 #[test]
 fn no_order_of_events_runs_a_request_twice() {
-    let states = explore(Broken::Nothing).expect("nothing is violated");
+    let states = explore(Mutation::Unmodified).expect("nothing is violated");
     // The number is part of the proof: a smaller one would mean that less was explored.
     assert_eq!(states, STATES);
     println!("{states} states");
@@ -235,13 +253,13 @@
 
 #[test]
 fn the_exploration_catches_broken_mechanisms() {
-    for broken in [
-        Broken::SendWithoutDispatch,
-        Broken::LostMeansFailed,
-        Broken::NoRunInSteps,
-        Broken::NotRunWithoutRelease,
+    for mutation in [
+        Mutation::SendWithoutDispatch,
+        Mutation::LostReplyMeansFailure,
+        Mutation::NoRunInStep,
+        Mutation::NotRunWithoutRelease,
     ] {
-        let found = explore(broken);
-        assert!(found.is_err(), "{broken:?} was not noticed");
+        let found = explore(mutation);
+        assert!(found.is_err(), "{mutation:?} was not noticed");
     }
 }
