--- a/oxbowbend-core/tests/fault_matrix.rs
+++ b/oxbowbend-core/tests/fault_matrix.rs
@@ -11,7 +11,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use harness::{record, topology, Delivery, Envelope, Fate, Fault, World};
+use harness::{record, topology, Cluster, Delivery, Envelope, Fate, Fault};
 use oxbowbend_core::ids::InstanceId;
 use oxbowbend_core::message::{Message, PermitKey};
 
@@ -153,13 +153,13 @@
 fn play(plans: &[Plan]) -> Outcome {
     let mut topology = topology(&[("e1", 3), ("e2", 2)], Some(4));
     topology.pools.get_mut(harness::POOL).expect("the pool is there").queue_bound = 6;
-    let mut world = World::new(&["a", "b", "c"], topology);
+    let mut cluster = Cluster::new(&["a", "b", "c"], topology);
     let struck = Rc::new(RefCell::new(Struck::default()));
     let hits = Rc::new(Cell::new(0));
     let (seen, counted) = (struck.clone(), hits.clone());
     let plans = plans.to_vec();
     let total = plans.len();
-    world.filter = Some(Box::new(move |e, faults| {
+    cluster.filter = Some(Box::new(move |e, faults| {
         let next = counted.get();
         match plans.get(next) {
             Some((step, kind)) if STEPS[*step].1(e) => {
@@ -169,88 +169,88 @@
             _ => Delivery::Pass,
         }
     }));
-    load(&mut world, "x");
-    world.run_for(Duration::from_millis(700));
-    world.join("d");
-    load(&mut world, "y");
-    world.run_for(Duration::from_millis(1000));
-    world.feed(&"b".into(), oxbowbend_core::node::Event::Drain);
-    world.run_for(Duration::from_millis(300));
-    recover(&mut world, &struck);
+    load(&mut cluster, "x");
+    cluster.run_for(Duration::from_millis(700));
+    cluster.join("d");
+    load(&mut cluster, "y");
+    cluster.run_for(Duration::from_millis(1000));
+    cluster.feed(&"b".into(), oxbowbend_core::node::Event::Drain);
+    cluster.run_for(Duration::from_millis(300));
+    recover(&mut cluster, &struck);
     if hits.get() < total {
         return Outcome::NotReached;
     }
-    final_checks(&mut world, &struck.borrow());
-    if world.broken.is_empty() {
+    final_checks(&mut cluster, &struck.borrow());
+    if cluster.broken.is_empty() {
         Outcome::Held
     } else {
-        Outcome::Broken(world.broken)
+        Outcome::Broken(cluster.broken)
     }
 }
 
-fn load(world: &mut World, name: &str) {
+fn load(cluster: &mut Cluster, name: &str) {
     for n in 0..18 {
         let ingress = ["a", "b", "c"][n % 3];
-        if world.is_up(ingress) {
-            world.arrive(ingress, record(&format!("{name}{n}"), 2 - (n / 6) as u8));
+        if cluster.is_up(ingress) {
+            cluster.arrive(ingress, record(&format!("{name}{n}"), 2 - (n / 6) as u8));
         }
     }
 }
 
-fn recover(world: &mut World, struck: &RefCell<Struck>) {
+fn recover(cluster: &mut Cluster, struck: &RefCell<Struck>) {
     // Faults may still strike in here, so what was struck is looked up anew at each stage.
     let now = || struck.borrow().clone();
-    world.lists_frozen.extend(now().stale);
-    world.run_for(Duration::from_secs(2));
+    cluster.lists_frozen.extend(now().stale);
+    cluster.run_for(Duration::from_secs(2));
     let Struck { frozen, dropped, .. } = now();
     for id in frozen.iter().filter(|id| !dropped.contains(id)) {
-        world.wake(id);
+        cluster.wake(id);
     }
-    world.run_for(Duration::from_secs(2));
-    world.release_held();
-    world.run_for(Duration::from_secs(4));
-    world.heal();
-    world.run_for(Duration::from_secs(2));
+    cluster.run_for(Duration::from_secs(2));
+    cluster.release_held();
+    cluster.run_for(Duration::from_secs(4));
+    cluster.heal();
+    cluster.run_for(Duration::from_secs(2));
     // From here on no further fault strikes.
-    world.filter = None;
+    cluster.filter = None;
     let Struck { killed, frozen, dropped, .. } = now();
     for id in killed.iter().chain(&dropped) {
-        world.unlist(id);
+        cluster.unlist(id);
     }
-    world.run_for(Duration::from_secs(5));
+    cluster.run_for(Duration::from_secs(5));
     for id in &frozen {
-        world.wake(id);
+        cluster.wake(id);
     }
-    world.run_for(Duration::from_secs(2));
+    cluster.run_for(Duration::from_secs(2));
     for id in &dropped {
-        if world.is_up(id) {
-            world.relist(id);
+        if cluster.is_up(id) {
+            cluster.relist(id);
         }
     }
-    world.lists_frozen.clear();
-    world.heal();
-    world.run_for(Duration::from_secs(10));
+    cluster.lists_frozen.clear();
+    cluster.heal();
+    cluster.run_for(Duration::from_secs(10));
 }
 
 /// After everything has healed, nothing may be left open and no capacity lost.
-fn final_checks(world: &mut World, struck: &Struck) {
-    world.run_for(harness::setup::MAX_RUN + Duration::from_secs(10));
-    let open: Vec<_> = world.fates.iter().filter(|(_, f)| **f == Fate::Open).collect();
+fn final_checks(cluster: &mut Cluster, struck: &Struck) {
+    cluster.run_for(harness::setup::MAX_RUN + Duration::from_secs(10));
+    let open: Vec<_> = cluster.fates.iter().filter(|(_, f)| **f == Fate::Open).collect();
     if !open.is_empty() {
         let found = format!("never answered: {open:?}");
-        world.broken.push(found);
+        cluster.broken.push(found);
     }
     let survivors = ["a", "c", "d"];
     let survivor = survivors.iter().find(|s| !struck.killed.contains(&(**s).into()));
-    let free: Vec<u32> = world.free_permits().into_values().collect();
+    let free: Vec<u32> = cluster.free_permits().into_values().collect();
     if free != [4, 3, 2] {
-        world.broken.push(format!("permits free at the end: {:?}", world.free_permits()));
+        cluster.broken.push(format!("permits free at the end: {:?}", cluster.free_permits()));
     }
     if let Some(survivor) = survivor {
-        world.arrive(survivor, record("last", 0));
-        world.run_for(Duration::from_secs(3));
-        if world.fates["last"] != Fate::Done {
-            world.broken.push(format!("the last request is {:?}", world.fates["last"]));
+        cluster.arrive(survivor, record("last", 0));
+        cluster.run_for(Duration::from_secs(3));
+        if cluster.fates["last"] != Fate::Done {
+            cluster.broken.push(format!("the last request is {:?}", cluster.fates["last"]));
         }
     }
 }
--- a/oxbowbend-core/tests/harness/mod.rs
+++ b/oxbowbend-core/tests/harness/mod.rs
@@ -66,7 +66,7 @@
     Pass,
     Lose,
     Twice,
-    /// Kept back until [`World::release_held`].
+    /// Kept back until [`Cluster::release_held`].
     Hold,
 }
 
@@ -78,7 +78,7 @@
     Cut(InstanceId, InstanceId),
 }
 
-pub struct World {
+pub struct Cluster {
     pub now: Instant,
     places: BTreeMap<InstanceId, Place>,
     queue: VecDeque<Envelope>,
@@ -98,17 +98,17 @@
     pub sent: usize,
 }
 
-impl World {
+impl Cluster {
     /// Creates nodes that are all listed and have settled who owns what.
-    pub fn new(names: &[&str], topology: Topology) -> World {
-        let mut world = World::unsettled(names, topology);
-        world.run_for(Duration::from_secs(20));
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
-        world
+    pub fn new(names: &[&str], topology: Topology) -> Cluster {
+        let mut cluster = Cluster::unsettled(names, topology);
+        cluster.run_for(Duration::from_secs(20));
+        assert!(cluster.broken.is_empty(), "{:?}", cluster.broken);
+        cluster
     }
 
-    pub fn unsettled(names: &[&str], topology: Topology) -> World {
-        let mut world = World {
+    pub fn unsettled(names: &[&str], topology: Topology) -> Cluster {
+        let mut cluster = Cluster {
             now: Instant::now(),
             places: BTreeMap::new(),
             queue: VecDeque::new(),
@@ -127,9 +127,9 @@
             sent: 0,
         };
         for name in names {
-            world.join(name);
+            cluster.join(name);
         }
-        world
+        cluster
     }
 
     /// Starts an instance and enters it into the list.
