--- a/oxbowbend-core/tests/fault_matrix.rs
+++ b/oxbowbend-core/tests/fault_matrix.rs
@@ -11,7 +11,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use harness::{record, topology, Cluster, Delivery, Envelope, Fate, Fault};
+use harness::{record, topology, Cluster, Delivery, Envelope, Fault, RequestOutcome};
 use oxbowbend_core::ids::InstanceId;
 use oxbowbend_core::message::{Message, PermitKey};
 
@@ -235,7 +235,8 @@
 /// After everything has healed, nothing may be left open and no capacity lost.
 fn final_checks(cluster: &mut Cluster, struck: &Struck) {
     cluster.run_for(harness::setup::MAX_RUN + Duration::from_secs(10));
-    let open: Vec<_> = cluster.fates.iter().filter(|(_, f)| **f == Fate::Open).collect();
+    let open: Vec<_> =
+        cluster.outcomes.iter().filter(|(_, f)| **f == RequestOutcome::Pending).collect();
     if !open.is_empty() {
         let found = format!("never answered: {open:?}");
         cluster.broken.push(found);
@@ -249,8 +250,8 @@
     if let Some(survivor) = survivor {
         cluster.arrive(survivor, record("last", 0));
         cluster.run_for(Duration::from_secs(3));
-        if cluster.fates["last"] != Fate::Done {
-            cluster.broken.push(format!("the last request is {:?}", cluster.fates["last"]));
+        if cluster.outcomes["last"] != RequestOutcome::Completed {
+            cluster.broken.push(format!("the last request is {:?}", cluster.outcomes["last"]));
         }
     }
 }
--- a/oxbowbend-core/tests/harness/mod.rs
+++ b/oxbowbend-core/tests/harness/mod.rs
@@ -32,9 +32,9 @@
 
 /// What a request has come to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fate {
-    Open,
-    Done,
+pub enum RequestOutcome {
+    Pending,
+    Completed,
     Refused(RefusalReason),
     /// Its entry instance died.
     Lost,
@@ -88,7 +88,7 @@
     pub lists_frozen: BTreeSet<InstanceId>,
     pub topology: Arc<Topology>,
     pub runs: BTreeMap<RequestId, Run>,
-    pub fates: BTreeMap<RequestId, Fate>,
+    pub outcomes: BTreeMap<RequestId, RequestOutcome>,
     pub records: BTreeMap<RequestId, (InstanceId, RequestInfo)>,
     pub run_time: Duration,
     pub filter: Option<Filter>,
@@ -118,7 +118,7 @@
             lists_frozen: BTreeSet::new(),
             topology: Arc::new(topology),
             runs: BTreeMap::new(),
-            fates: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
             records: BTreeMap::new(),
             run_time: Duration::from_secs(1),
             filter: None,
@@ -179,8 +179,8 @@
         place.alive = false;
         self.queue.retain(|e| e.from != *id && e.to != *id);
         for (request, (ingress, _)) in &self.records {
-            if ingress == id && self.fates[request] == Fate::Open {
-                self.fates.insert(request.clone(), Fate::Lost);
+            if ingress == id && self.outcomes[request] == RequestOutcome::Pending {
+                self.outcomes.insert(request.clone(), RequestOutcome::Lost);
             }
         }
     }
@@ -192,7 +192,8 @@
         }
         self.list.version += 1;
         for (request, (ingress, record)) in &self.records {
-            let waits = self.fates[request] == Fate::Open && !self.runs.contains_key(request);
+            let waits = self.outcomes[request] == RequestOutcome::Pending
+                && !self.runs.contains_key(request);
             if ingress == id && waits && record.tier > 0 {
                 self.written_off.insert(request.clone());
             }
@@ -250,7 +251,7 @@
         let ingress: InstanceId = ingress.into();
         let id = record.id.clone();
         self.records.insert(id.clone(), (ingress.clone(), record.clone()));
-        self.fates.insert(id, Fate::Open);
+        self.outcomes.insert(id, RequestOutcome::Pending);
         self.feed(&ingress, Event::Arrive(record));
     }
 
@@ -306,8 +307,8 @@
         if self.runs.contains_key(&request) {
             self.broken.push(format!("{request} was dispatched twice"));
         }
-        if !matches!(self.fates[&request], Fate::Open) {
-            self.broken.push(format!("{request} ran after {:?}", self.fates[&request]));
+        if !matches!(self.outcomes[&request], RequestOutcome::Pending) {
+            self.broken.push(format!("{request} ran after {:?}", self.outcomes[&request]));
         }
         if self.written_off.contains(&request) {
             self.broken.push(format!("{request} ran after its instance was dropped"));
@@ -340,7 +341,7 @@
         if self.runs.contains_key(request) {
             self.broken.push(format!("{request} was refused though it ran"));
         }
-        self.fates.insert(request.clone(), Fate::Refused(reason));
+        self.outcomes.insert(request.clone(), RequestOutcome::Refused(reason));
         if reason == RefusalReason::Shed {
             self.check_shed(request, record.tier);
         }
@@ -349,7 +350,8 @@
     /// Nothing of a lower tier may wait at any instance that lives.
     fn check_shed(&mut self, request: &str, tier: u8) {
         let lower = self.records.iter().find(|(id, (ingress, r))| {
-            let open = self.fates[*id] == Fate::Open && !self.runs.contains_key(*id);
+            let open =
+                self.outcomes[*id] == RequestOutcome::Pending && !self.runs.contains_key(*id);
             let held = self.places[ingress].node.ingress().attempt(id).is_some();
             // An instance that the list has dropped counts as dead.
             let listed = self.list.members.contains_key(ingress);
@@ -363,7 +365,7 @@
     }
 
     fn finish(&mut self, ingress: &InstanceId, request: &RequestId) {
-        self.fates.insert(request.clone(), Fate::Done);
+        self.outcomes.insert(request.clone(), RequestOutcome::Completed);
         let report = RunReport {
             outcome: RunOutcome::Complete,
             first_token_ms: Some(10),
@@ -478,8 +480,8 @@
         self.node(of).ingress().scheduler(POOL).cloned().expect("a scheduler is known")
     }
 
-    pub fn count(&self, fate: &Fate) -> usize {
-        self.fates.values().filter(|f| *f == fate).count()
+    pub fn count(&self, outcome: &RequestOutcome) -> usize {
+        self.outcomes.values().filter(|f| *f == outcome).count()
     }
 
     /// Permits that are free at instances that live, by key.
--- a/oxbowbend-core/tests/nodes.rs
+++ b/oxbowbend-core/tests/nodes.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use harness::{record, topology, Cluster, Fate};
+use harness::{record, topology, Cluster, RequestOutcome};
 
 const THREE: [&str; 3] = ["a", "b", "c"];
 
@@ -15,7 +15,7 @@
         cluster.arrive(THREE[n % 3], record(&format!("r{n}"), (n % 3) as u8));
     }
     cluster.run_for(Duration::from_secs(20));
-    assert_eq!(cluster.count(&Fate::Done), 30);
+    assert_eq!(cluster.count(&RequestOutcome::Completed), 30);
     assert_eq!(cluster.broken, Vec::<String>::new());
 }
 
@@ -26,7 +26,7 @@
         cluster.arrive(THREE[n % 3], record(&format!("r{n}"), 1));
     }
     cluster.run_for(Duration::from_secs(20));
-    assert_eq!(cluster.count(&Fate::Done), 20);
+    assert_eq!(cluster.count(&RequestOutcome::Completed), 20);
     assert_eq!(cluster.broken, Vec::<String>::new());
 }
 
@@ -139,7 +139,7 @@
     cluster.run_for(Duration::from_secs(25));
     assert!(!cluster.runs.contains_key("next"));
     cluster.run_for(Duration::from_secs(45));
-    assert_eq!(cluster.fates["next"], Fate::Done);
+    assert_eq!(cluster.outcomes["next"], RequestOutcome::Completed);
     assert_eq!(cluster.broken, Vec::<String>::new());
 }
 
