--- a/oxbowbend-core/tests/fault_matrix.rs
+++ b/oxbowbend-core/tests/fault_matrix.rs
@@ -52,11 +52,11 @@
     FreezeReceiver,
     FreezeSenderLong,
     FreezeReceiverLong,
-    Cut,
+    Partition,
     CutForth,
     CutBack,
-    Lose,
-    Twice,
+    Drop,
+    Duplicate,
     Late,
     StaleListThenKill,
 }
@@ -68,11 +68,11 @@
     ("freeze receiver 2 s", Kind::FreezeReceiver),
     ("freeze sender, dropped from list, wake", Kind::FreezeSenderLong),
     ("freeze receiver, dropped from list, wake", Kind::FreezeReceiverLong),
-    ("cut 8 s", Kind::Cut),
+    ("cut 8 s", Kind::Partition),
     ("one-way cut forth 8 s", Kind::CutForth),
     ("one-way cut back 8 s", Kind::CutBack),
-    ("lose", Kind::Lose),
-    ("deliver twice", Kind::Twice),
+    ("lose", Kind::Drop),
+    ("deliver twice", Kind::Duplicate),
     ("deliver 4 s late", Kind::Late),
     ("stale list at sender, kill receiver", Kind::StaleListThenKill),
 ];
@@ -93,8 +93,8 @@
 /// Which instances were struck, to be woken or dropped from the list later.
 #[derive(Clone, Default)]
 struct Struck {
-    killed: Vec<InstanceId>,
-    frozen: Vec<InstanceId>,
+    crashed: Vec<InstanceId>,
+    paused: Vec<InstanceId>,
     dropped: Vec<InstanceId>,
     stale: Vec<InstanceId>,
 }
@@ -103,43 +103,43 @@
     let (from, to) = (e.from.clone(), e.to.clone());
     match kind {
         Kind::KillSender => {
-            struck.killed.push(from.clone());
-            faults.push(Fault::Kill(from));
+            struck.crashed.push(from.clone());
+            faults.push(Fault::Crash(from));
         }
         Kind::KillReceiver => {
-            struck.killed.push(to.clone());
-            faults.push(Fault::Kill(to));
+            struck.crashed.push(to.clone());
+            faults.push(Fault::Crash(to));
         }
         Kind::FreezeSender | Kind::FreezeSenderLong => {
-            struck.frozen.push(from.clone());
+            struck.paused.push(from.clone());
             if kind == Kind::FreezeSenderLong {
                 struck.dropped.push(from.clone());
             }
-            faults.push(Fault::Freeze(from));
+            faults.push(Fault::Pause(from));
         }
         Kind::FreezeReceiver | Kind::FreezeReceiverLong => {
-            struck.frozen.push(to.clone());
+            struck.paused.push(to.clone());
             if kind == Kind::FreezeReceiverLong {
                 struck.dropped.push(to.clone());
             }
-            faults.push(Fault::Freeze(to));
+            faults.push(Fault::Pause(to));
         }
-        Kind::Cut => {
-            faults.push(Fault::Cut(from.clone(), to.clone()));
-            faults.push(Fault::Cut(to, from));
+        Kind::Partition => {
+            faults.push(Fault::Partition(from.clone(), to.clone()));
+            faults.push(Fault::Partition(to, from));
         }
-        Kind::CutForth => faults.push(Fault::Cut(from, to)),
-        Kind::CutBack => faults.push(Fault::Cut(to, from)),
-        Kind::Lose => return Delivery::Lose,
-        Kind::Twice => return Delivery::Twice,
-        Kind::Late => return Delivery::Hold,
+        Kind::CutForth => faults.push(Fault::Partition(from, to)),
+        Kind::CutBack => faults.push(Fault::Partition(to, from)),
+        Kind::Drop => return Delivery::Drop,
+        Kind::Duplicate => return Delivery::Duplicate,
+        Kind::Late => return Delivery::Delay,
         Kind::StaleListThenKill => {
             struck.stale.push(from);
-            struck.killed.push(to.clone());
-            faults.push(Fault::Kill(to));
+            struck.crashed.push(to.clone());
+            faults.push(Fault::Crash(to));
         }
     }
-    Delivery::Pass
+    Delivery::Deliver
 }
 
 enum Outcome {
@@ -166,25 +166,25 @@
                 counted.set(next + 1);
                 strike(*kind, e, &mut seen.borrow_mut(), faults)
             }
-            _ => Delivery::Pass,
+            _ => Delivery::Deliver,
         }
     }));
     load(&mut cluster, "x");
-    cluster.run_for(Duration::from_millis(700));
+    cluster.advance(Duration::from_millis(700));
     cluster.join("d");
     load(&mut cluster, "y");
-    cluster.run_for(Duration::from_millis(1000));
+    cluster.advance(Duration::from_millis(1000));
     cluster.feed(&"b".into(), oxbowbend_core::node::Event::Drain);
-    cluster.run_for(Duration::from_millis(300));
+    cluster.advance(Duration::from_millis(300));
     recover(&mut cluster, &struck);
     if hits.get() < total {
         return Outcome::NotReached;
     }
     final_checks(&mut cluster, &struck.borrow());
-    if cluster.broken.is_empty() {
+    if cluster.violations.is_empty() {
         Outcome::Held
     } else {
-        Outcome::Broken(cluster.broken)
+        Outcome::Broken(cluster.violations)
     }
 }
 
@@ -192,7 +192,7 @@
     for n in 0..18 {
         let ingress = ["a", "b", "c"][n % 3];
         if cluster.is_up(ingress) {
-            cluster.arrive(ingress, record(&format!("{name}{n}"), 2 - (n / 6) as u8));
+            cluster.submit(ingress, record(&format!("{name}{n}"), 2 - (n / 6) as u8));
         }
     }
 }
@@ -200,58 +200,58 @@
 fn recover(cluster: &mut Cluster, struck: &RefCell<Struck>) {
     // Faults may still strike in here, so what was struck is looked up anew at each stage.
     let now = || struck.borrow().clone();
-    cluster.lists_frozen.extend(now().stale);
-    cluster.run_for(Duration::from_secs(2));
-    let Struck { frozen, dropped, .. } = now();
-    for id in frozen.iter().filter(|id| !dropped.contains(id)) {
-        cluster.wake(id);
+    cluster.stale_lists.extend(now().stale);
+    cluster.advance(Duration::from_secs(2));
+    let Struck { paused, dropped, .. } = now();
+    for id in paused.iter().filter(|id| !dropped.contains(id)) {
+        cluster.resume(id);
     }
-    cluster.run_for(Duration::from_secs(2));
-    cluster.release_held();
-    cluster.run_for(Duration::from_secs(4));
+    cluster.advance(Duration::from_secs(2));
+    cluster.deliver_delayed();
+    cluster.advance(Duration::from_secs(4));
     cluster.heal();
-    cluster.run_for(Duration::from_secs(2));
+    cluster.advance(Duration::from_secs(2));
     // From here on no further fault strikes.
     cluster.filter = None;
-    let Struck { killed, frozen, dropped, .. } = now();
-    for id in killed.iter().chain(&dropped) {
-        cluster.unlist(id);
+    let Struck { crashed, paused, dropped, .. } = now();
+    for id in crashed.iter().chain(&dropped) {
+        cluster.remove_from_list(id);
     }
-    cluster.run_for(Duration::from_secs(5));
-    for id in &frozen {
-        cluster.wake(id);
+    cluster.advance(Duration::from_secs(5));
+    for id in &paused {
+        cluster.resume(id);
     }
-    cluster.run_for(Duration::from_secs(2));
+    cluster.advance(Duration::from_secs(2));
     for id in &dropped {
         if cluster.is_up(id) {
-            cluster.relist(id);
+            cluster.add_to_list(id);
         }
     }
-    cluster.lists_frozen.clear();
+    cluster.stale_lists.clear();
     cluster.heal();
-    cluster.run_for(Duration::from_secs(10));
+    cluster.advance(Duration::from_secs(10));
 }
 
 /// After everything has healed, nothing may be left open and no capacity lost.
 fn final_checks(cluster: &mut Cluster, struck: &Struck) {
-    cluster.run_for(harness::setup::MAX_RUN + Duration::from_secs(10));
+    cluster.advance(harness::setup::MAX_RUN + Duration::from_secs(10));
     let open: Vec<_> =
         cluster.outcomes.iter().filter(|(_, f)| **f == RequestOutcome::Pending).collect();
     if !open.is_empty() {
         let found = format!("never answered: {open:?}");
-        cluster.broken.push(found);
+        cluster.violations.push(found);
     }
     let survivors = ["a", "c", "d"];
-    let survivor = survivors.iter().find(|s| !struck.killed.contains(&(**s).into()));
+    let survivor = survivors.iter().find(|s| !struck.crashed.contains(&(**s).into()));
     let free: Vec<u32> = cluster.free_permits().into_values().collect();
     if free != [4, 3, 2] {
-        cluster.broken.push(format!("permits free at the end: {:?}", cluster.free_permits()));
+        cluster.violations.push(format!("permits free at the end: {:?}", cluster.free_permits()));
     }
     if let Some(survivor) = survivor {
-        cluster.arrive(survivor, record("last", 0));
-        cluster.run_for(Duration::from_secs(3));
+        cluster.submit(survivor, record("last", 0));
+        cluster.advance(Duration::from_secs(3));
         if cluster.outcomes["last"] != RequestOutcome::Completed {
-            cluster.broken.push(format!("the last request is {:?}", cluster.outcomes["last"]));
+            cluster.violations.push(format!("the last request is {:?}", cluster.outcomes["last"]));
         }
     }
 }
@@ -287,7 +287,7 @@
     plan.iter().map(name).collect::<Vec<_>>().join(", then ")
 }
 
-fn broken(plans: &[Vec<Plan>], cells: &[Outcome]) -> Vec<String> {
+fn violations(plans: &[Vec<Plan>], cells: &[Outcome]) -> Vec<String> {
     let pairs = plans.iter().zip(cells);
     pairs
         .filter_map(|(plan, cell)| match cell {
@@ -306,7 +306,7 @@
         }
     }
     let cells = play_all(&plans);
-    let found = broken(&plans, &cells);
+    let found = violations(&plans, &cells);
     assert!(found.is_empty(), "{} cells:\n{}", found.len(), found.join("\n"));
     check_page(&table(&cells));
 }
@@ -314,7 +314,7 @@
 /// An owner asks about a grant only if the entry has not answered, so a grant is lost first.
 fn plan_for(step: usize, kind: Kind) -> Vec<Plan> {
     match STEPS[step].0 {
-        "inquire" | "not used" => vec![(5, Kind::Lose), (step, kind)],
+        "inquire" | "not used" => vec![(5, Kind::Drop), (step, kind)],
         _ => vec![(step, kind)],
     }
 }
@@ -328,7 +328,7 @@
         Kind::KillReceiver,
         Kind::FreezeSenderLong,
         Kind::FreezeReceiverLong,
-        Kind::Cut,
+        Kind::Partition,
         Kind::CutBack,
         Kind::Late,
         Kind::StaleListThenKill,
@@ -337,7 +337,7 @@
     let pairs = singles.iter().flat_map(|a| singles.iter().map(|b| vec![*a, *b]));
     let plans: Vec<Vec<Plan>> = pairs.collect();
     let cells = play_all(&plans);
-    let found = broken(&plans, &cells);
+    let found = violations(&plans, &cells);
     let some: Vec<_> = found.iter().take(10).cloned().collect();
     assert!(found.is_empty(), "{} pairs:\n{}", found.len(), some.join("\n"));
 }
--- a/oxbowbend-core/tests/harness/mod.rs
+++ b/oxbowbend-core/tests/harness/mod.rs
@@ -45,16 +45,16 @@
     pub endpoint: String,
     pub ingress: InstanceId,
     pub account: String,
-    pub ends: Instant,
-    pub over: bool,
+    pub ends_at: Instant,
+    pub ended: bool,
 }
 
-struct Place {
+struct Instance {
     node: Node,
     alive: bool,
-    frozen: bool,
-    held_dispatches: Vec<(Instant, Grant)>,
-    finished_while_frozen: Vec<RequestId>,
+    paused: bool,
+    delayed_dispatches: Vec<(Instant, Grant)>,
+    finished_while_paused: Vec<RequestId>,
 }
 
 /// Decides what becomes of a message about to be delivered.
@@ -63,68 +63,68 @@
 /// What becomes of a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Delivery {
-    Pass,
-    Lose,
-    Twice,
-    /// Kept back until [`Cluster::release_held`].
-    Hold,
+    Deliver,
+    Drop,
+    Duplicate,
+    /// Kept back until [`Cluster::deliver_delayed`].
+    Delay,
 }
 
 /// A fault that a filter asks for.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    Kill(InstanceId),
-    Freeze(InstanceId),
-    Cut(InstanceId, InstanceId),
+    Crash(InstanceId),
+    Pause(InstanceId),
+    Partition(InstanceId, InstanceId),
 }
 
 pub struct Cluster {
     pub now: Instant,
-    places: BTreeMap<InstanceId, Place>,
+    instances: BTreeMap<InstanceId, Instance>,
     queue: VecDeque<Envelope>,
-    held: Vec<Envelope>,
-    cuts: BTreeSet<(InstanceId, InstanceId)>,
+    delayed: Vec<Envelope>,
+    partitions: BTreeSet<(InstanceId, InstanceId)>,
     pub list: InstanceList,
-    pub lists_frozen: BTreeSet<InstanceId>,
+    pub stale_lists: BTreeSet<InstanceId>,
     pub topology: Arc<Topology>,
     pub runs: BTreeMap<RequestId, Run>,
     pub outcomes: BTreeMap<RequestId, RequestOutcome>,
-    pub records: BTreeMap<RequestId, (InstanceId, RequestInfo)>,
-    pub run_time: Duration,
+    pub requests: BTreeMap<RequestId, (InstanceId, RequestInfo)>,
+    pub run_duration: Duration,
     pub filter: Option<Filter>,
     /// Waiting requests of the lower tiers at instances that the list dropped.
-    pub written_off: BTreeSet<RequestId>,
-    pub broken: Vec<String>,
-    pub sent: usize,
+    pub presumed_lost: BTreeSet<RequestId>,
+    pub violations: Vec<String>,
+    pub messages_sent: usize,
 }
 
 impl Cluster {
     /// Creates nodes that are all listed and have settled who owns what.
     pub fn new(names: &[&str], topology: Topology) -> Cluster {
         let mut cluster = Cluster::unsettled(names, topology);
-        cluster.run_for(Duration::from_secs(20));
-        assert!(cluster.broken.is_empty(), "{:?}", cluster.broken);
+        cluster.advance(Duration::from_secs(20));
+        assert!(cluster.violations.is_empty(), "{:?}", cluster.violations);
         cluster
     }
 
     pub fn unsettled(names: &[&str], topology: Topology) -> Cluster {
         let mut cluster = Cluster {
             now: Instant::now(),
-            places: BTreeMap::new(),
+            instances: BTreeMap::new(),
             queue: VecDeque::new(),
-            held: Vec::new(),
-            cuts: BTreeSet::new(),
+            delayed: Vec::new(),
+            partitions: BTreeSet::new(),
             list: InstanceList::default(),
-            lists_frozen: BTreeSet::new(),
+            stale_lists: BTreeSet::new(),
             topology: Arc::new(topology),
             runs: BTreeMap::new(),
             outcomes: BTreeMap::new(),
-            records: BTreeMap::new(),
-            run_time: Duration::from_secs(1),
+            requests: BTreeMap::new(),
+            run_duration: Duration::from_secs(1),
             filter: None,
-            written_off: BTreeSet::new(),
-            broken: Vec::new(),
-            sent: 0,
+            presumed_lost: BTreeSet::new(),
+            violations: Vec::new(),
+            messages_sent: 0,
         };
         for name in names {
             cluster.join(name);
@@ -135,15 +135,15 @@
     /// Starts an instance and enters it into the list.
     pub fn join(&mut self, name: &str) {
         let id: InstanceId = name.into();
-        let seed = self.places.len() as u64 * 1_000_000;
-        let place = Place {
+        let seed = self.instances.len() as u64 * 1_000_000;
+        let instance = Instance {
             node: Node::new(id.clone(), "z".into(), seed),
             alive: true,
-            frozen: false,
-            held_dispatches: Vec::new(),
-            finished_while_frozen: Vec::new(),
+            paused: false,
+            delayed_dispatches: Vec::new(),
+            finished_while_paused: Vec::new(),
         };
-        self.places.insert(id.clone(), place);
+        self.instances.insert(id.clone(), instance);
         let member = Member { zone: "z".into(), address: name.to_owned(), leaving: false };
         self.list.members.insert(id.clone(), member);
         self.list.version += 1;
@@ -159,26 +159,26 @@
     }
 
     pub fn ids(&self) -> Vec<InstanceId> {
-        self.places.keys().cloned().collect()
+        self.instances.keys().cloned().collect()
     }
 
     pub fn node(&self, name: &str) -> &Node {
-        &self.places[name].node
+        &self.instances[name].node
     }
 
     pub fn is_up(&self, id: &str) -> bool {
-        self.places.get(id).is_some_and(|p| p.alive && !p.frozen)
+        self.instances.get(id).is_some_and(|i| i.alive && !i.paused)
     }
 
     /// Ends an instance at once. Its runs go on at the endpoints; the list still names it.
-    pub fn kill(&mut self, id: &InstanceId) {
-        let Some(place) = self.places.get_mut(id) else { return };
-        if !place.alive {
+    pub fn crash(&mut self, id: &InstanceId) {
+        let Some(instance) = self.instances.get_mut(id) else { return };
+        if !instance.alive {
             return;
         }
-        place.alive = false;
+        instance.alive = false;
         self.queue.retain(|e| e.from != *id && e.to != *id);
-        for (request, (ingress, _)) in &self.records {
+        for (request, (ingress, _)) in &self.requests {
             if ingress == id && self.outcomes[request] == RequestOutcome::Pending {
                 self.outcomes.insert(request.clone(), RequestOutcome::Lost);
             }
@@ -186,39 +186,39 @@
     }
 
     /// The platform notices that an instance is gone.
-    pub fn unlist(&mut self, id: &InstanceId) {
+    pub fn remove_from_list(&mut self, id: &InstanceId) {
         if self.list.members.remove(id).is_none() {
             return;
         }
         self.list.version += 1;
-        for (request, (ingress, record)) in &self.records {
+        for (request, (ingress, record)) in &self.requests {
             let waits = self.outcomes[request] == RequestOutcome::Pending
                 && !self.runs.contains_key(request);
             if ingress == id && waits && record.tier > 0 {
-                self.written_off.insert(request.clone());
+                self.presumed_lost.insert(request.clone());
             }
         }
     }
 
-    pub fn relist(&mut self, id: &InstanceId) {
+    pub fn add_to_list(&mut self, id: &InstanceId) {
         let member = Member { zone: "z".into(), address: id.to_string(), leaving: false };
         self.list.members.insert(id.clone(), member);
         self.list.version += 1;
     }
 
-    pub fn freeze(&mut self, id: &InstanceId) {
-        if let Some(place) = self.places.get_mut(id) {
-            place.frozen = true;
+    pub fn pause(&mut self, id: &InstanceId) {
+        if let Some(instance) = self.instances.get_mut(id) {
+            instance.paused = true;
         }
     }
 
     /// Lets a frozen instance go on. What it had decided to dispatch, it dispatches if that was
     /// not too long ago.
-    pub fn wake(&mut self, id: &InstanceId) {
-        let Some(place) = self.places.get_mut(id) else { return };
-        place.frozen = false;
-        let dispatches = std::mem::take(&mut place.held_dispatches);
-        let finished = std::mem::take(&mut place.finished_while_frozen);
+    pub fn resume(&mut self, id: &InstanceId) {
+        let Some(instance) = self.instances.get_mut(id) else { return };
+        instance.paused = false;
+        let dispatches = std::mem::take(&mut instance.delayed_dispatches);
+        let finished = std::mem::take(&mut instance.finished_while_paused);
         for (at, grant) in dispatches {
             if self.now.duration_since(at) < DISPATCH_WITHIN {
                 self.start_run(id.clone(), grant);
@@ -232,25 +232,25 @@
         }
     }
 
-    pub fn cut(&mut self, a: &InstanceId, b: &InstanceId) {
-        self.cuts.insert((a.clone(), b.clone()));
+    pub fn partition(&mut self, a: &InstanceId, b: &InstanceId) {
+        self.partitions.insert((a.clone(), b.clone()));
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
-        self.release_held();
+        self.partitions.clear();
+        self.deliver_delayed();
     }
 
-    pub fn release_held(&mut self) {
-        let held = std::mem::take(&mut self.held);
-        self.queue.extend(held);
-        self.settle();
+    pub fn deliver_delayed(&mut self) {
+        let delayed = std::mem::take(&mut self.delayed);
+        self.queue.extend(delayed);
+        self.deliver_all();
     }
 
-    pub fn arrive(&mut self, ingress: &str, record: RequestInfo) {
+    pub fn submit(&mut self, ingress: &str, record: RequestInfo) {
         let ingress: InstanceId = ingress.into();
         let id = record.id.clone();
-        self.records.insert(id.clone(), (ingress.clone(), record.clone()));
+        self.requests.insert(id.clone(), (ingress.clone(), record.clone()));
         self.outcomes.insert(id, RequestOutcome::Pending);
         self.feed(&ingress, Event::Arrive(record));
     }
@@ -258,15 +258,15 @@
     /// Feeds an event to a node and carries out what it decides.
     pub fn feed(&mut self, id: &InstanceId, event: Event) {
         self.feed_one(id, event);
-        self.settle();
+        self.deliver_all();
     }
 
     fn feed_one(&mut self, id: &InstanceId, event: Event) {
-        let Some(place) = self.places.get_mut(id) else { return };
-        if !place.alive {
+        let Some(instance) = self.instances.get_mut(id) else { return };
+        if !instance.alive {
             return;
         }
-        let actions = place.node.handle(self.now, event);
+        let actions = instance.node.handle(self.now, event);
         for action in actions {
             self.perform(id, action);
         }
@@ -275,26 +275,26 @@
     fn perform(&mut self, id: &InstanceId, action: Action) {
         match action {
             Action::Send { to, message } => {
-                self.sent += 1;
+                self.messages_sent += 1;
                 self.queue.push_back(Envelope { from: id.clone(), to, message });
             }
             Action::Dispatch(grant) => {
-                let place = self.places.get_mut(id).expect("a place that acts is there");
-                if place.frozen {
-                    place.held_dispatches.push((self.now, grant));
+                let instance = self.instances.get_mut(id).expect("a place that acts is there");
+                if instance.paused {
+                    instance.delayed_dispatches.push((self.now, grant));
                 } else {
                     self.start_run(id.clone(), grant);
                 }
             }
             Action::Refuse { request, reason, .. } => self.refused(&request, reason),
             Action::QueryRun { endpoint, grant } => {
-                let over = self.runs.get(&grant.0).is_none_or(|r| r.over);
-                if over && !endpoint.is_empty() {
+                let ended = self.runs.get(&grant.0).is_none_or(|r| r.ended);
+                if ended && !endpoint.is_empty() {
                     self.feed_one(id, Event::RunEnded(grant));
                 }
             }
             Action::QueryLoad(endpoint) => {
-                let on = |r: &&Run| !r.over && *r.endpoint == *endpoint;
+                let on = |r: &&Run| !r.ended && *r.endpoint == *endpoint;
                 let running = self.runs.values().filter(on).count() as u32;
                 let requested_at = self.now;
                 self.feed_one(id, Event::Load { endpoint, running, requested_at });
@@ -305,17 +305,17 @@
     fn start_run(&mut self, ingress: InstanceId, grant: Grant) {
         let (request, endpoint) = (grant.request.clone(), grant.endpoint.to_string());
         if self.runs.contains_key(&request) {
-            self.broken.push(format!("{request} was dispatched twice"));
+            self.violations.push(format!("{request} was dispatched twice"));
         }
         if !matches!(self.outcomes[&request], RequestOutcome::Pending) {
-            self.broken.push(format!("{request} ran after {:?}", self.outcomes[&request]));
+            self.violations.push(format!("{request} ran after {:?}", self.outcomes[&request]));
         }
-        if self.written_off.contains(&request) {
-            self.broken.push(format!("{request} ran after its instance was dropped"));
+        if self.presumed_lost.contains(&request) {
+            self.violations.push(format!("{request} ran after its instance was dropped"));
         }
-        let account = self.records[&request].1.account.to_string();
-        let ends = self.now + self.run_time;
-        let run = Run { endpoint: endpoint.clone(), ingress, account, ends, over: false };
+        let account = self.requests[&request].1.account.to_string();
+        let ends_at = self.now + self.run_duration;
+        let run = Run { endpoint: endpoint.clone(), ingress, account, ends_at, ended: false };
         self.runs.insert(request, run);
         self.check_limits();
     }
@@ -324,22 +324,23 @@
     fn check_limits(&mut self) {
         let pool = &self.topology.pools[POOL];
         for (id, declared) in &pool.endpoints {
-            let n = self.runs.values().filter(|r| !r.over && *r.endpoint == **id).count();
+            let n = self.runs.values().filter(|r| !r.ended && *r.endpoint == **id).count();
             if n > declared.slots as usize {
-                self.broken.push(format!("{n} runs at {id}, which has {} slots", declared.slots));
+                self.violations
+                    .push(format!("{n} runs at {id}, which has {} slots", declared.slots));
             }
         }
         let limit = self.topology.accounts.values().next().and_then(|a| a.max_running);
-        let n = self.runs.values().filter(|r| !r.over).count();
+        let n = self.runs.values().filter(|r| !r.ended).count();
         if limit.is_some_and(|limit| n > limit as usize) {
-            self.broken.push(format!("{n} runs of an account that may have {limit:?}"));
+            self.violations.push(format!("{n} runs of an account that may have {limit:?}"));
         }
     }
 
     fn refused(&mut self, request: &RequestId, reason: RefusalReason) {
-        let (_, record) = self.records[request].clone();
+        let (_, record) = self.requests[request].clone();
         if self.runs.contains_key(request) {
-            self.broken.push(format!("{request} was refused though it ran"));
+            self.violations.push(format!("{request} was refused though it ran"));
         }
         self.outcomes.insert(request.clone(), RequestOutcome::Refused(reason));
         if reason == RefusalReason::Shed {
@@ -349,18 +350,18 @@
 
     /// Nothing of a lower tier may wait at any instance that lives.
     fn check_shed(&mut self, request: &str, tier: u8) {
-        let lower = self.records.iter().find(|(id, (ingress, r))| {
+        let lower = self.requests.iter().find(|(id, (ingress, r))| {
             let open =
                 self.outcomes[*id] == RequestOutcome::Pending && !self.runs.contains_key(*id);
-            let held = self.places[ingress].node.ingress().attempt(id).is_some();
+            let held = self.instances[ingress].node.ingress().attempt(id).is_some();
             // An instance that the list has dropped counts as dead.
             let listed = self.list.members.contains_key(ingress);
-            open && held && listed && self.places[ingress].alive && r.tier > tier
+            open && held && listed && self.instances[ingress].alive && r.tier > tier
         });
         if let Some((id, (_, r))) = lower {
             let found =
                 format!("{request} of tier {tier} was shed while {id} of {} is kept", r.tier);
-            self.broken.push(found);
+            self.violations.push(found);
         }
     }
 
@@ -378,7 +379,7 @@
     }
 
     /// Delivers messages until none is on its way.
-    pub fn settle(&mut self) {
+    pub fn deliver_all(&mut self) {
         let mut steps = 0;
         while let Some(envelope) = self.queue.pop_front() {
             steps += 1;
@@ -391,52 +392,52 @@
         let mut faults = Vec::new();
         let delivery = match &mut self.filter {
             Some(filter) => filter(&envelope, &mut faults),
-            None => Delivery::Pass,
+            None => Delivery::Deliver,
         };
         for fault in faults {
             match fault {
-                Fault::Kill(id) => self.kill(&id),
-                Fault::Freeze(id) => self.freeze(&id),
-                Fault::Cut(a, b) => self.cut(&a, &b),
+                Fault::Crash(id) => self.crash(&id),
+                Fault::Pause(id) => self.pause(&id),
+                Fault::Partition(a, b) => self.partition(&a, &b),
             }
         }
         match delivery {
-            Delivery::Pass => self.hand_over(envelope),
-            Delivery::Lose => {}
-            Delivery::Twice => {
-                self.hand_over(envelope.clone());
-                self.hand_over(envelope);
+            Delivery::Deliver => self.deliver_now(envelope),
+            Delivery::Drop => {}
+            Delivery::Duplicate => {
+                self.deliver_now(envelope.clone());
+                self.deliver_now(envelope);
             }
-            Delivery::Hold => self.held.push(envelope),
+            Delivery::Delay => self.delayed.push(envelope),
         }
     }
 
-    fn hand_over(&mut self, envelope: Envelope) {
+    fn deliver_now(&mut self, envelope: Envelope) {
         let Envelope { from, to, message } = envelope;
         let sender_up = self.is_up(&from);
-        if !sender_up || !self.places.contains_key(&to) {
+        if !sender_up || !self.instances.contains_key(&to) {
             // A frozen sender's message is still in its own queue.
-            if self.places.get(&from).is_some_and(|p| p.alive) {
-                self.held.push(Envelope { from, to, message });
+            if self.instances.get(&from).is_some_and(|i| i.alive) {
+                self.delayed.push(Envelope { from, to, message });
             }
             return;
         }
-        if self.cuts.contains(&(from.clone(), to.clone())) {
+        if self.partitions.contains(&(from.clone(), to.clone())) {
             return;
         }
-        if !self.places[&to].alive {
+        if !self.instances[&to].alive {
             self.feed_one(&from, Event::PeerDown(to));
             return;
         }
-        if self.places[&to].frozen {
-            self.held.push(Envelope { from, to, message });
+        if self.instances[&to].paused {
+            self.delayed.push(Envelope { from, to, message });
             return;
         }
         self.feed_one(&to, Event::Peer { from, message });
     }
 
     /// Lets time pass.
-    pub fn run_for(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += TICK_INTERVAL;
@@ -445,7 +446,7 @@
                 if !self.is_up(&id) {
                     continue;
                 }
-                if !self.lists_frozen.contains(&id) {
+                if !self.stale_lists.contains(&id) {
                     let list = self.list.clone();
                     self.feed(&id, Event::List(list));
                 }
@@ -459,17 +460,17 @@
         let due: Vec<(RequestId, InstanceId)> = self
             .runs
             .iter()
-            .filter(|(_, r)| !r.over && r.ends <= now)
+            .filter(|(_, r)| !r.ended && r.ends_at <= now)
             .map(|(id, r)| (id.clone(), r.ingress.clone()))
             .collect();
         for (request, ingress) in due {
             if let Some(run) = self.runs.get_mut(&request) {
-                run.over = true;
+                run.ended = true;
             }
-            let place = self.places.get_mut(&ingress).expect("entries stay known");
-            if place.frozen {
-                place.finished_while_frozen.push(request);
-            } else if place.alive {
+            let instance = self.instances.get_mut(&ingress).expect("entries stay known");
+            if instance.paused {
+                instance.finished_while_paused.push(request);
+            } else if instance.alive {
                 self.finish(&ingress, &request);
             }
         }
@@ -487,8 +488,8 @@
     /// Permits that are free at instances that live, by key.
     pub fn free_permits(&self) -> BTreeMap<String, u32> {
         let mut free = BTreeMap::new();
-        for place in self.places.values().filter(|p| p.alive) {
-            let permits = place.node.permits();
+        for instance in self.instances.values().filter(|i| i.alive) {
+            let permits = instance.node.permits();
             for key in permits.keys() {
                 *free.entry(format!("{key:?}")).or_default() += permits.count(key).0;
             }
--- a/oxbowbend-core/tests/nodes.rs
+++ b/oxbowbend-core/tests/nodes.rs
@@ -12,33 +12,33 @@
 fn serves_requests_from_every_entry() {
     let mut cluster = Cluster::new(&THREE, topology(&[("e1", 2), ("e2", 2)], None));
     for n in 0..30 {
-        cluster.arrive(THREE[n % 3], record(&format!("r{n}"), (n % 3) as u8));
+        cluster.submit(THREE[n % 3], record(&format!("r{n}"), (n % 3) as u8));
     }
-    cluster.run_for(Duration::from_secs(20));
+    cluster.advance(Duration::from_secs(20));
     assert_eq!(cluster.count(&RequestOutcome::Completed), 30);
-    assert_eq!(cluster.broken, Vec::<String>::new());
+    assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
 #[test]
 fn keeps_account_limits_across_endpoints() {
     let mut cluster = Cluster::new(&THREE, topology(&[("e1", 4), ("e2", 4)], Some(3)));
     for n in 0..20 {
-        cluster.arrive(THREE[n % 3], record(&format!("r{n}"), 1));
+        cluster.submit(THREE[n % 3], record(&format!("r{n}"), 1));
     }
-    cluster.run_for(Duration::from_secs(20));
+    cluster.advance(Duration::from_secs(20));
     assert_eq!(cluster.count(&RequestOutcome::Completed), 20);
-    assert_eq!(cluster.broken, Vec::<String>::new());
+    assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
 #[test]
 fn higher_tiers_go_first() {
     let mut cluster = Cluster::new(&THREE, topology(&[("e1", 1)], None));
-    cluster.arrive("a", record("first", 2));
+    cluster.submit("a", record("first", 2));
     for n in 0..3 {
-        cluster.arrive("b", record(&format!("low{n}"), 2));
+        cluster.submit("b", record(&format!("low{n}"), 2));
     }
-    cluster.arrive("c", record("high", 0));
-    cluster.run_for(Duration::from_millis(1500));
+    cluster.submit("c", record("high", 0));
+    cluster.advance(Duration::from_millis(1500));
     assert!(cluster.runs.contains_key("high"));
     assert_eq!(cluster.runs.len(), 2);
 }
@@ -47,7 +47,7 @@
 fn a_joining_instance_gets_its_share() {
     let mut cluster = Cluster::new(&["a", "b"], topology(&[("e1", 40)], None));
     cluster.join("c");
-    cluster.run_for(Duration::from_secs(5));
+    cluster.advance(Duration::from_secs(5));
     let key = oxbowbend_core::message::PermitKey::Endpoint("e1".into());
     let (free, owned) = cluster.node("c").permits().count(&key);
     assert!(owned >= 5 && free == owned, "{free} of {owned}");
@@ -59,7 +59,7 @@
 fn a_leaving_instance_cedes_its_share() {
     let mut cluster = Cluster::new(&THREE, topology(&[("e1", 40)], None));
     cluster.feed(&"a".into(), oxbowbend_core::node::Event::Drain);
-    cluster.run_for(Duration::from_secs(5));
+    cluster.advance(Duration::from_secs(5));
     assert!(cluster.node("a").is_drained() && cluster.node("a").has_ceded_permits());
     assert_eq!(cluster.free_permits().values().sum::<u32>(), 40);
 }
@@ -67,10 +67,10 @@
 #[test]
 fn permits_of_a_dead_instance_return() {
     let mut cluster = Cluster::new(&THREE, topology(&[("e1", 40)], Some(10)));
-    cluster.kill(&"a".into());
-    cluster.run_for(Duration::from_secs(10));
-    cluster.unlist(&"a".into());
-    cluster.run_for(Duration::from_secs(10));
+    cluster.crash(&"a".into());
+    cluster.advance(Duration::from_secs(10));
+    cluster.remove_from_list(&"a".into());
+    cluster.advance(Duration::from_secs(10));
     assert_eq!(cluster.free_permits().values().copied().collect::<Vec<_>>(), [10, 40]);
 }
 
@@ -81,17 +81,17 @@
     let mut cluster = Cluster::new(&THREE, topology(&[("e1", 6)], None));
     let scheduler = cluster.scheduler("a");
     let other: Vec<_> = cluster.ids().into_iter().filter(|id| *id != scheduler).collect();
-    cluster.lists_frozen.insert(scheduler.clone());
-    cluster.kill(&other[0]);
-    cluster.unlist(&other[0]);
-    cluster.run_for(Duration::from_secs(5));
+    cluster.stale_lists.insert(scheduler.clone());
+    cluster.crash(&other[0]);
+    cluster.remove_from_list(&other[0]);
+    cluster.advance(Duration::from_secs(5));
     let orphan = record("orphan", 0);
     let from = other[0].clone();
     let message = oxbowbend_core::message::Message::Enqueue(orphan);
     cluster.feed(&scheduler, oxbowbend_core::node::Event::Peer { from, message });
-    cluster.run_for(Duration::from_secs(2));
-    cluster.lists_frozen.clear();
-    cluster.run_for(Duration::from_secs(10));
+    cluster.advance(Duration::from_secs(2));
+    cluster.stale_lists.clear();
+    cluster.advance(Duration::from_secs(10));
     assert_eq!(cluster.free_permits().values().sum::<u32>(), 6);
 }
 
@@ -106,10 +106,10 @@
         let leaving = oxbowbend_core::node::Event::EndpointLeaving("e1".into());
         cluster.feed(id, leaving);
     }
-    cluster.kill(&former);
-    cluster.run_for(Duration::from_secs(3));
+    cluster.crash(&former);
+    cluster.advance(Duration::from_secs(3));
     for n in 0..2 {
-        cluster.arrive(&others[0], record(&format!("r{n}"), 0));
+        cluster.submit(&others[0], record(&format!("r{n}"), 0));
         assert!(
             cluster.runs.contains_key(format!("r{n}").as_str()),
             "r{n} was not granted at once"
@@ -128,19 +128,19 @@
 #[test]
 fn a_slot_whose_user_died_with_its_owner_is_not_given_away() {
     let mut cluster = Cluster::new(&THREE, topology(&[("e1", 1)], None));
-    cluster.run_time = Duration::from_secs(30);
+    cluster.run_duration = Duration::from_secs(30);
     let owner = owner(&cluster);
-    cluster.arrive(&owner, record("orphan", 0));
+    cluster.submit(&owner, record("orphan", 0));
     assert!(cluster.runs.contains_key("orphan"));
-    cluster.kill(&owner);
-    cluster.unlist(&owner);
+    cluster.crash(&owner);
+    cluster.remove_from_list(&owner);
     let other = cluster.ids().into_iter().find(|id| *id != owner).expect("there are three");
-    cluster.arrive(&other, record("next", 0));
-    cluster.run_for(Duration::from_secs(25));
+    cluster.submit(&other, record("next", 0));
+    cluster.advance(Duration::from_secs(25));
     assert!(!cluster.runs.contains_key("next"));
-    cluster.run_for(Duration::from_secs(45));
+    cluster.advance(Duration::from_secs(45));
     assert_eq!(cluster.outcomes["next"], RequestOutcome::Completed);
-    assert_eq!(cluster.broken, Vec::<String>::new());
+    assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
 /// The owner dies while another instance's request runs on its permit; the new owner learns of it
@@ -148,20 +148,20 @@
 #[test]
 fn a_slot_in_use_passes_to_the_new_owner() {
     let mut cluster = Cluster::new(&THREE, topology(&[("e1", 1)], None));
-    cluster.run_time = Duration::from_secs(20);
+    cluster.run_duration = Duration::from_secs(20);
     let owner = owner(&cluster);
     let ingress = cluster.ids().into_iter().find(|id| *id != owner).expect("there are three");
-    cluster.arrive(&ingress, record("long", 0));
+    cluster.submit(&ingress, record("long", 0));
     assert!(cluster.runs.contains_key("long"));
-    cluster.kill(&owner);
-    cluster.unlist(&owner);
-    cluster.run_for(Duration::from_secs(10));
+    cluster.crash(&owner);
+    cluster.remove_from_list(&owner);
+    cluster.advance(Duration::from_secs(10));
     let uses =
         |id: &oxbowbend_core::ids::InstanceId| cluster.node(id).permits().reservations().count();
     assert_eq!(cluster.ids().iter().filter(|id| **id != owner).map(uses).sum::<usize>(), 1);
-    cluster.run_for(Duration::from_secs(11));
+    cluster.advance(Duration::from_secs(11));
     assert_eq!(cluster.free_permits().values().sum::<u32>(), 1);
-    assert_eq!(cluster.broken, Vec::<String>::new());
+    assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
 /// An instance joins while every permit is in use: the owners keep what is used, and afterwards
@@ -169,19 +169,19 @@
 #[test]
 fn a_joining_instance_takes_nothing_that_is_in_use() {
     let mut cluster = Cluster::new(&["a", "b"], topology(&[("e1", 20)], None));
-    cluster.run_time = Duration::from_secs(8);
+    cluster.run_duration = Duration::from_secs(8);
     for n in 0..20 {
-        cluster.arrive(["a", "b"][n % 2], record(&format!("r{n}"), 0));
+        cluster.submit(["a", "b"][n % 2], record(&format!("r{n}"), 0));
     }
     assert_eq!(cluster.runs.len(), 20);
     cluster.join("c");
-    cluster.run_for(Duration::from_secs(5));
+    cluster.advance(Duration::from_secs(5));
     let owned = |name: &str| cluster.node(name).permits().owned();
     assert_eq!(owned("a") + owned("b"), 20);
     for n in 0..20 {
-        cluster.arrive("c", record(&format!("s{n}"), 0));
+        cluster.submit("c", record(&format!("s{n}"), 0));
     }
-    cluster.run_for(Duration::from_secs(20));
+    cluster.advance(Duration::from_secs(20));
     assert_eq!(cluster.free_permits().values().sum::<u32>(), 20);
-    assert_eq!(cluster.broken, Vec::<String>::new());
+    assert_eq!(cluster.violations, Vec::<String>::new());
 }
