--- a/oxbowbend-core/tests/fault_matrix.rs
+++ b/oxbowbend-core/tests/fault_matrix.rs
@@ -11,7 +11,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use harness::{record, topology, Cluster, Delivery, Envelope, Fault, RequestOutcome};
+use harness::{request_info, topology, Cluster, Delivery, Envelope, Fault, RequestOutcome};
 use oxbowbend_core::ids::InstanceId;
 use oxbowbend_core::message::{Message, PermitKey};
 
@@ -192,7 +192,7 @@
     for n in 0..18 {
         let ingress = ["a", "b", "c"][n % 3];
         if cluster.is_up(ingress) {
-            cluster.submit(ingress, record(&format!("{name}{n}"), 2 - (n / 6) as u8));
+            cluster.submit(ingress, request_info(&format!("{name}{n}"), 2 - (n / 6) as u8));
         }
     }
 }
@@ -248,7 +248,7 @@
         cluster.violations.push(format!("permits free at the end: {:?}", cluster.free_permits()));
     }
     if let Some(survivor) = survivor {
-        cluster.submit(survivor, record("last", 0));
+        cluster.submit(survivor, request_info("last", 0));
         cluster.advance(Duration::from_secs(3));
         if cluster.outcomes["last"] != RequestOutcome::Completed {
             cluster.violations.push(format!("the last request is {:?}", cluster.outcomes["last"]));
--- a/oxbowbend-core/tests/harness/mod.rs
+++ b/oxbowbend-core/tests/harness/mod.rs
@@ -17,7 +17,7 @@
 
 pub mod setup;
 
-pub use setup::{record, topology, POOL};
+pub use setup::{request_info, topology, POOL};
 
 /// Time within which a daemon sends a granted request, or asks for another grant.
 pub const DISPATCH_WITHIN: Duration = Duration::from_secs(2);
@@ -191,10 +191,10 @@
             return;
         }
         self.list.version += 1;
-        for (request, (ingress, record)) in &self.requests {
+        for (request, (ingress, info)) in &self.requests {
             let waits = self.outcomes[request] == RequestOutcome::Pending
                 && !self.runs.contains_key(request);
-            if ingress == id && waits && record.tier > 0 {
+            if ingress == id && waits && info.tier > 0 {
                 self.presumed_lost.insert(request.clone());
             }
         }
@@ -247,12 +247,12 @@
         self.deliver_all();
     }
 
-    pub fn submit(&mut self, ingress: &str, record: RequestInfo) {
+    pub fn submit(&mut self, ingress: &str, info: RequestInfo) {
         let ingress: InstanceId = ingress.into();
-        let id = record.id.clone();
-        self.requests.insert(id.clone(), (ingress.clone(), record.clone()));
+        let id = info.id.clone();
+        self.requests.insert(id.clone(), (ingress.clone(), info.clone()));
         self.outcomes.insert(id, RequestOutcome::Pending);
-        self.feed(&ingress, Event::Arrive(record));
+        self.feed(&ingress, Event::Arrive(info));
     }
 
     /// Feeds an event to a node and carries out what it decides.
@@ -338,13 +338,13 @@
     }
 
     fn refused(&mut self, request: &RequestId, reason: RefusalReason) {
-        let (_, record) = self.requests[request].clone();
+        let (_, info) = self.requests[request].clone();
         if self.runs.contains_key(request) {
             self.violations.push(format!("{request} was refused though it ran"));
         }
         self.outcomes.insert(request.clone(), RequestOutcome::Refused(reason));
         if reason == RefusalReason::Shed {
-            self.check_shed(request, record.tier);
+            self.check_shed(request, info.tier);
         }
     }
 
--- a/oxbowbend-core/tests/harness/setup.rs
+++ b/oxbowbend-core/tests/harness/setup.rs
@@ -37,7 +37,7 @@
     }
 }
 
-pub fn record(id: &str, tier: u8) -> RequestInfo {
+pub fn request_info(id: &str, tier: u8) -> RequestInfo {
     RequestInfo {
         id: id.into(),
         attempt: 1,
--- a/oxbowbend-core/tests/nodes.rs
+++ b/oxbowbend-core/tests/nodes.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use harness::{record, topology, Cluster, RequestOutcome};
+use harness::{request_info, topology, Cluster, RequestOutcome};
 
 const THREE: [&str; 3] = ["a", "b", "c"];
 
@@ -12,7 +12,7 @@
 fn serves_requests_from_every_entry() {
     let mut cluster = Cluster::new(&THREE, topology(&[("e1", 2), ("e2", 2)], None));
     for n in 0..30 {
-        cluster.submit(THREE[n % 3], record(&format!("r{n}"), (n % 3) as u8));
+        cluster.submit(THREE[n % 3], request_info(&format!("r{n}"), (n % 3) as u8));
     }
     cluster.advance(Duration::from_secs(20));
     assert_eq!(cluster.count(&RequestOutcome::Completed), 30);
@@ -23,7 +23,7 @@
 fn keeps_account_limits_across_endpoints() {
     let mut cluster = Cluster::new(&THREE, topology(&[("e1", 4), ("e2", 4)], Some(3)));
     for n in 0..20 {
-        cluster.submit(THREE[n % 3], record(&format!("r{n}"), 1));
+        cluster.submit(THREE[n % 3], request_info(&format!("r{n}"), 1));
     }
     cluster.advance(Duration::from_secs(20));
     assert_eq!(cluster.count(&RequestOutcome::Completed), 20);
@@ -33,11 +33,11 @@
 #[test]
 fn higher_tiers_go_first() {
     let mut cluster = Cluster::new(&THREE, topology(&[("e1", 1)], None));
-    cluster.submit("a", record("first", 2));
+    cluster.submit("a", request_info("first", 2));
     for n in 0..3 {
-        cluster.submit("b", record(&format!("low{n}"), 2));
+        cluster.submit("b", request_info(&format!("low{n}"), 2));
     }
-    cluster.submit("c", record("high", 0));
+    cluster.submit("c", request_info("high", 0));
     cluster.advance(Duration::from_millis(1500));
     assert!(cluster.runs.contains_key("high"));
     assert_eq!(cluster.runs.len(), 2);
@@ -85,7 +85,7 @@
     cluster.crash(&other[0]);
     cluster.remove_from_list(&other[0]);
     cluster.advance(Duration::from_secs(5));
-    let orphan = record("orphan", 0);
+    let orphan = request_info("orphan", 0);
     let from = other[0].clone();
     let message = oxbowbend_core::message::Message::Enqueue(orphan);
     cluster.feed(&scheduler, oxbowbend_core::node::Event::Peer { from, message });
@@ -109,7 +109,7 @@
     cluster.crash(&former);
     cluster.advance(Duration::from_secs(3));
     for n in 0..2 {
-        cluster.submit(&others[0], record(&format!("r{n}"), 0));
+        cluster.submit(&others[0], request_info(&format!("r{n}"), 0));
         assert!(
             cluster.runs.contains_key(format!("r{n}").as_str()),
             "r{n} was not granted at once"
@@ -130,12 +130,12 @@
     let mut cluster = Cluster::new(&THREE, topology(&[("e1", 1)], None));
     cluster.run_duration = Duration::from_secs(30);
     let owner = owner(&cluster);
-    cluster.submit(&owner, record("orphan", 0));
+    cluster.submit(&owner, request_info("orphan", 0));
     assert!(cluster.runs.contains_key("orphan"));
     cluster.crash(&owner);
     cluster.remove_from_list(&owner);
     let other = cluster.ids().into_iter().find(|id| *id != owner).expect("there are three");
-    cluster.submit(&other, record("next", 0));
+    cluster.submit(&other, request_info("next", 0));
     cluster.advance(Duration::from_secs(25));
     assert!(!cluster.runs.contains_key("next"));
     cluster.advance(Duration::from_secs(45));
@@ -151,7 +151,7 @@
     cluster.run_duration = Duration::from_secs(20);
     let owner = owner(&cluster);
     let ingress = cluster.ids().into_iter().find(|id| *id != owner).expect("there are three");
-    cluster.submit(&ingress, record("long", 0));
+    cluster.submit(&ingress, request_info("long", 0));
     assert!(cluster.runs.contains_key("long"));
     cluster.crash(&owner);
     cluster.remove_from_list(&owner);
@@ -171,7 +171,7 @@
     let mut cluster = Cluster::new(&["a", "b"], topology(&[("e1", 20)], None));
     cluster.run_duration = Duration::from_secs(8);
     for n in 0..20 {
-        cluster.submit(["a", "b"][n % 2], record(&format!("r{n}"), 0));
+        cluster.submit(["a", "b"][n % 2], request_info(&format!("r{n}"), 0));
     }
     assert_eq!(cluster.runs.len(), 20);
     cluster.join("c");
@@ -179,7 +179,7 @@
     let owned = |name: &str| cluster.node(name).permits().owned();
     assert_eq!(owned("a") + owned("b"), 20);
     for n in 0..20 {
-        cluster.submit("c", record(&format!("s{n}"), 0));
+        cluster.submit("c", request_info(&format!("s{n}"), 0));
     }
     cluster.advance(Duration::from_secs(20));
     assert_eq!(cluster.free_permits().values().sum::<u32>(), 20);
--- a/oxbowbend-core/tests/permit_exploration.rs
+++ b/oxbowbend-core/tests/permit_exploration.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use harness::{record, topology};
+use harness::{request_info, topology};
 use oxbowbend_core::ids::{InstanceId, RequestId};
 use oxbowbend_core::membership::{InstanceList, Member};
 use oxbowbend_core::message::{Message, RunReport};
@@ -52,8 +52,8 @@
         let (owner, scheduler) = (state.owner(), state.scheduler());
         let third = state.nodes.keys().find(|id| **id != owner && **id != scheduler);
         let third = third.expect("there are three").clone();
-        state.feed(&third, Event::Arrive(record("r1", 0)));
-        state.feed(&scheduler, Event::Arrive(record("r2", 0)));
+        state.feed(&third, Event::Arrive(request_info("r1", 0)));
+        state.feed(&scheduler, Event::Arrive(request_info("r2", 0)));
         state
     }
 
