--- a/oxbowbend-core/tests/fault_matrix.rs
+++ b/oxbowbend-core/tests/fault_matrix.rs
@@ -45,36 +45,36 @@
 
 /// Faults that can strike a message's sender, receiver, link or the message itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Kind {
-    KillSender,
-    KillReceiver,
-    FreezeSender,
-    FreezeReceiver,
-    FreezeSenderLong,
-    FreezeReceiverLong,
+enum FaultKind {
+    CrashSender,
+    CrashReceiver,
+    PauseSender,
+    PauseReceiver,
+    PauseSenderLong,
+    PauseReceiverLong,
     Partition,
-    CutForth,
-    CutBack,
+    PartitionForward,
+    PartitionBackward,
     Drop,
     Duplicate,
-    Late,
-    StaleListThenKill,
+    Delay,
+    StaleListThenCrash,
 }
 
-const FAULTS: [(&str, Kind); 13] = [
-    ("kill sender", Kind::KillSender),
-    ("kill receiver", Kind::KillReceiver),
-    ("freeze sender 2 s", Kind::FreezeSender),
-    ("freeze receiver 2 s", Kind::FreezeReceiver),
-    ("freeze sender, dropped from list, wake", Kind::FreezeSenderLong),
-    ("freeze receiver, dropped from list, wake", Kind::FreezeReceiverLong),
-    ("cut 8 s", Kind::Partition),
-    ("one-way cut forth 8 s", Kind::CutForth),
-    ("one-way cut back 8 s", Kind::CutBack),
-    ("lose", Kind::Drop),
-    ("deliver twice", Kind::Duplicate),
-    ("deliver 4 s late", Kind::Late),
-    ("stale list at sender, kill receiver", Kind::StaleListThenKill),
+const FAULTS: [(&str, FaultKind); 13] = [
+    ("kill sender", FaultKind::CrashSender),
+    ("kill receiver", FaultKind::CrashReceiver),
+    ("freeze sender 2 s", FaultKind::PauseSender),
+    ("freeze receiver 2 s", FaultKind::PauseReceiver),
+    ("freeze sender, dropped from list, wake", FaultKind::PauseSenderLong),
+    ("freeze receiver, dropped from list, wake", FaultKind::PauseReceiverLong),
+    ("cut 8 s", FaultKind::Partition),
+    ("one-way cut forth 8 s", FaultKind::PartitionForward),
+    ("one-way cut back 8 s", FaultKind::PartitionBackward),
+    ("lose", FaultKind::Drop),
+    ("deliver twice", FaultKind::Duplicate),
+    ("deliver 4 s late", FaultKind::Delay),
+    ("stale list at sender, kill receiver", FaultKind::StaleListThenCrash),
 ];
 
 fn grant_to(e: &Envelope, hops_done: usize) -> bool {
@@ -88,54 +88,59 @@
     matches!(key, PermitKey::Endpoint(_)) == slot
 }
 
-type Plan = (usize, Kind);
+type Injection = (usize, FaultKind);
 
 /// Which instances were struck, to be woken or dropped from the list later.
 #[derive(Clone, Default)]
-struct Struck {
+struct Affected {
     crashed: Vec<InstanceId>,
     paused: Vec<InstanceId>,
-    dropped: Vec<InstanceId>,
+    delisted: Vec<InstanceId>,
     stale: Vec<InstanceId>,
 }
 
-fn strike(kind: Kind, e: &Envelope, struck: &mut Struck, faults: &mut Vec<Fault>) -> Delivery {
+fn inject(
+    kind: FaultKind,
+    e: &Envelope,
+    affected: &mut Affected,
+    faults: &mut Vec<Fault>,
+) -> Delivery {
     let (from, to) = (e.from.clone(), e.to.clone());
     match kind {
-        Kind::KillSender => {
-            struck.crashed.push(from.clone());
+        FaultKind::CrashSender => {
+            affected.crashed.push(from.clone());
             faults.push(Fault::Crash(from));
         }
-        Kind::KillReceiver => {
-            struck.crashed.push(to.clone());
+        FaultKind::CrashReceiver => {
+            affected.crashed.push(to.clone());
             faults.push(Fault::Crash(to));
         }
-        Kind::FreezeSender | Kind::FreezeSenderLong => {
-            struck.paused.push(from.clone());
-            if kind == Kind::FreezeSenderLong {
-                struck.dropped.push(from.clone());
+        FaultKind::PauseSender | FaultKind::PauseSenderLong => {
+            affected.paused.push(from.clone());
+            if kind == FaultKind::PauseSenderLong {
+                affected.delisted.push(from.clone());
             }
             faults.push(Fault::Pause(from));
         }
-        Kind::FreezeReceiver | Kind::FreezeReceiverLong => {
-            struck.paused.push(to.clone());
-            if kind == Kind::FreezeReceiverLong {
-                struck.dropped.push(to.clone());
+        FaultKind::PauseReceiver | FaultKind::PauseReceiverLong => {
+            affected.paused.push(to.clone());
+            if kind == FaultKind::PauseReceiverLong {
+                affected.delisted.push(to.clone());
             }
             faults.push(Fault::Pause(to));
         }
-        Kind::Partition => {
+        FaultKind::Partition => {
             faults.push(Fault::Partition(from.clone(), to.clone()));
             faults.push(Fault::Partition(to, from));
         }
-        Kind::CutForth => faults.push(Fault::Partition(from, to)),
-        Kind::CutBack => faults.push(Fault::Partition(to, from)),
-        Kind::Drop => return Delivery::Drop,
-        Kind::Duplicate => return Delivery::Duplicate,
-        Kind::Late => return Delivery::Delay,
-        Kind::StaleListThenKill => {
-            struck.stale.push(from);
-            struck.crashed.push(to.clone());
+        FaultKind::PartitionForward => faults.push(Fault::Partition(from, to)),
+        FaultKind::PartitionBackward => faults.push(Fault::Partition(to, from)),
+        FaultKind::Drop => return Delivery::Drop,
+        FaultKind::Duplicate => return Delivery::Duplicate,
+        FaultKind::Delay => return Delivery::Delay,
+        FaultKind::StaleListThenCrash => {
+            affected.stale.push(from);
+            affected.crashed.push(to.clone());
             faults.push(Fault::Crash(to));
         }
     }
@@ -143,28 +148,28 @@
 }
 
 enum Outcome {
-    Held,
+    Passed,
     NotReached,
-    Broken(Vec<String>),
+    Failed(Vec<String>),
 }
 
 /// Plays one history: a burst that overfills the queue, an instance that joins, one that leaves,
 /// and the faults at their steps.
-fn play(plans: &[Plan]) -> Outcome {
+fn run_scenario(injections: &[Injection]) -> Outcome {
     let mut topology = topology(&[("e1", 3), ("e2", 2)], Some(4));
     topology.pools.get_mut(harness::POOL).expect("the pool is there").queue_bound = 6;
     let mut cluster = Cluster::new(&["a", "b", "c"], topology);
-    let struck = Rc::new(RefCell::new(Struck::default()));
-    let hits = Rc::new(Cell::new(0));
-    let (seen, counted) = (struck.clone(), hits.clone());
-    let plans = plans.to_vec();
-    let total = plans.len();
+    let affected = Rc::new(RefCell::new(Affected::default()));
+    let injected = Rc::new(Cell::new(0));
+    let (recorded, counter) = (affected.clone(), injected.clone());
+    let injections = injections.to_vec();
+    let total = injections.len();
     cluster.filter = Some(Box::new(move |e, faults| {
-        let next = counted.get();
-        match plans.get(next) {
+        let next = counter.get();
+        match injections.get(next) {
             Some((step, kind)) if STEPS[*step].1(e) => {
-                counted.set(next + 1);
-                strike(*kind, e, &mut seen.borrow_mut(), faults)
+                counter.set(next + 1);
+                inject(*kind, e, &mut recorded.borrow_mut(), faults)
             }
             _ => Delivery::Deliver,
         }
@@ -176,15 +181,15 @@
     cluster.advance(Duration::from_millis(1000));
     cluster.feed(&"b".into(), oxbowbend_core::node::Event::Drain);
     cluster.advance(Duration::from_millis(300));
-    recover(&mut cluster, &struck);
-    if hits.get() < total {
+    recover(&mut cluster, &affected);
+    if injected.get() < total {
         return Outcome::NotReached;
     }
-    final_checks(&mut cluster, &struck.borrow());
+    final_checks(&mut cluster, &affected.borrow());
     if cluster.violations.is_empty() {
-        Outcome::Held
+        Outcome::Passed
     } else {
-        Outcome::Broken(cluster.violations)
+        Outcome::Failed(cluster.violations)
     }
 }
 
@@ -197,13 +202,13 @@
     }
 }
 
-fn recover(cluster: &mut Cluster, struck: &RefCell<Struck>) {
+fn recover(cluster: &mut Cluster, affected: &RefCell<Affected>) {
     // Faults may still strike in here, so what was struck is looked up anew at each stage.
-    let now = || struck.borrow().clone();
+    let now = || affected.borrow().clone();
     cluster.stale_lists.extend(now().stale);
     cluster.advance(Duration::from_secs(2));
-    let Struck { paused, dropped, .. } = now();
-    for id in paused.iter().filter(|id| !dropped.contains(id)) {
+    let Affected { paused, delisted, .. } = now();
+    for id in paused.iter().filter(|id| !delisted.contains(id)) {
         cluster.resume(id);
     }
     cluster.advance(Duration::from_secs(2));
@@ -213,8 +218,8 @@
     cluster.advance(Duration::from_secs(2));
     // From here on no further fault strikes.
     cluster.filter = None;
-    let Struck { crashed, paused, dropped, .. } = now();
-    for id in crashed.iter().chain(&dropped) {
+    let Affected { crashed, paused, delisted, .. } = now();
+    for id in crashed.iter().chain(&delisted) {
         cluster.remove_from_list(id);
     }
     cluster.advance(Duration::from_secs(5));
@@ -222,7 +227,7 @@
         cluster.resume(id);
     }
     cluster.advance(Duration::from_secs(2));
-    for id in &dropped {
+    for id in &delisted {
         if cluster.is_up(id) {
             cluster.add_to_list(id);
         }
@@ -233,7 +238,7 @@
 }
 
 /// After everything has healed, nothing may be left open and no capacity lost.
-fn final_checks(cluster: &mut Cluster, struck: &Struck) {
+fn final_checks(cluster: &mut Cluster, affected: &Affected) {
     cluster.advance(harness::setup::MAX_RUN + Duration::from_secs(10));
     let open: Vec<_> =
         cluster.outcomes.iter().filter(|(_, f)| **f == RequestOutcome::Pending).collect();
@@ -242,7 +247,7 @@
         cluster.violations.push(found);
     }
     let survivors = ["a", "c", "d"];
-    let survivor = survivors.iter().find(|s| !struck.crashed.contains(&(**s).into()));
+    let survivor = survivors.iter().find(|s| !affected.crashed.contains(&(**s).into()));
     let free: Vec<u32> = cluster.free_permits().into_values().collect();
     if free != [4, 3, 2] {
         cluster.violations.push(format!("permits free at the end: {:?}", cluster.free_permits()));
@@ -257,18 +262,18 @@
 }
 
 /// Plays every history on several threads and returns the results in order.
-fn play_all(plans: &[Vec<Plan>]) -> Vec<Outcome> {
+fn run_all(scenarios: &[Vec<Injection>]) -> Vec<Outcome> {
     let next = Mutex::new(0);
-    let results: Mutex<Vec<Option<Outcome>>> = Mutex::new(plans.iter().map(|_| None).collect());
+    let results: Mutex<Vec<Option<Outcome>>> = Mutex::new(scenarios.iter().map(|_| None).collect());
     let work = || loop {
         let at = {
             let mut next = next.lock().expect("no panic under lock");
             *next += 1;
             *next - 1
         };
-        let Some(plan) = plans.get(at) else { return };
-        let cell = play(plan);
-        results.lock().expect("no panic under lock")[at] = Some(cell);
+        let Some(injections) = scenarios.get(at) else { return };
+        let outcome = run_scenario(injections);
+        results.lock().expect("no panic under lock")[at] = Some(outcome);
     };
     std::thread::scope(|scope| {
         for _ in 0..6 {
@@ -279,19 +284,19 @@
     results.into_iter().map(|r| r.expect("every history was played")).collect()
 }
 
-fn describe(plan: &[Plan]) -> String {
-    let name = |(step, kind): &Plan| {
+fn describe(injections: &[Injection]) -> String {
+    let name = |(step, kind): &Injection| {
         let fault = FAULTS.iter().find(|f| f.1 == *kind).expect("faults are listed").0;
         format!("{fault} at {}", STEPS[*step].0)
     };
-    plan.iter().map(name).collect::<Vec<_>>().join(", then ")
+    injections.iter().map(name).collect::<Vec<_>>().join(", then ")
 }
 
-fn violations(plans: &[Vec<Plan>], cells: &[Outcome]) -> Vec<String> {
-    let pairs = plans.iter().zip(cells);
+fn failures(scenarios: &[Vec<Injection>], outcomes: &[Outcome]) -> Vec<String> {
+    let pairs = scenarios.iter().zip(outcomes);
     pairs
-        .filter_map(|(plan, cell)| match cell {
-            Outcome::Broken(why) => Some(format!("{}: {}", describe(plan), why.join("; "))),
+        .filter_map(|(injections, outcome)| match outcome {
+            Outcome::Failed(why) => Some(format!("{}: {}", describe(injections), why.join("; "))),
             _ => None,
         })
         .collect()
@@ -299,22 +304,22 @@
 
 #[test]
 fn every_fault_at_every_step() {
-    let mut plans = Vec::new();
+    let mut scenarios = Vec::new();
     for step in 0..STEPS.len() {
         for (_, kind) in FAULTS {
-            plans.push(plan_for(step, kind));
+            scenarios.push(injections_for(step, kind));
         }
     }
-    let cells = play_all(&plans);
-    let found = violations(&plans, &cells);
-    assert!(found.is_empty(), "{} cells:\n{}", found.len(), found.join("\n"));
-    check_page(&table(&cells));
+    let outcomes = run_all(&scenarios);
+    let failed = failures(&scenarios, &outcomes);
+    assert!(failed.is_empty(), "{} cells:\n{}", failed.len(), failed.join("\n"));
+    check_page(&table(&outcomes));
 }
 
 /// An owner asks about a grant only if the entry has not answered, so a grant is lost first.
-fn plan_for(step: usize, kind: Kind) -> Vec<Plan> {
+fn injections_for(step: usize, kind: FaultKind) -> Vec<Injection> {
     match STEPS[step].0 {
-        "inquire" | "not used" => vec![(5, Kind::Drop), (step, kind)],
+        "inquire" | "not used" => vec![(5, FaultKind::Drop), (step, kind)],
         _ => vec![(step, kind)],
     }
 }
@@ -324,25 +329,26 @@
 fn pairs_of_faults() {
     let steps = [1, 4, 5, 9, 11, 19, 20];
     let kinds = [
-        Kind::KillSender,
-        Kind::KillReceiver,
-        Kind::FreezeSenderLong,
-        Kind::FreezeReceiverLong,
-        Kind::Partition,
-        Kind::CutBack,
-        Kind::Late,
-        Kind::StaleListThenKill,
+        FaultKind::CrashSender,
+        FaultKind::CrashReceiver,
+        FaultKind::PauseSenderLong,
+        FaultKind::PauseReceiverLong,
+        FaultKind::Partition,
+        FaultKind::PartitionBackward,
+        FaultKind::Delay,
+        FaultKind::StaleListThenCrash,
     ];
-    let singles: Vec<Plan> = steps.iter().flat_map(|s| kinds.iter().map(|k| (*s, *k))).collect();
+    let singles: Vec<Injection> =
+        steps.iter().flat_map(|s| kinds.iter().map(|k| (*s, *k))).collect();
     let pairs = singles.iter().flat_map(|a| singles.iter().map(|b| vec![*a, *b]));
-    let plans: Vec<Vec<Plan>> = pairs.collect();
-    let cells = play_all(&plans);
-    let found = violations(&plans, &cells);
-    let some: Vec<_> = found.iter().take(10).cloned().collect();
-    assert!(found.is_empty(), "{} pairs:\n{}", found.len(), some.join("\n"));
+    let scenarios: Vec<Vec<Injection>> = pairs.collect();
+    let outcomes = run_all(&scenarios);
+    let failed = failures(&scenarios, &outcomes);
+    let some: Vec<_> = failed.iter().take(10).cloned().collect();
+    assert!(failed.is_empty(), "{} pairs:\n{}", failed.len(), some.join("\n"));
 }
 
-fn table(cells: &[Outcome]) -> String {
+fn table(outcomes: &[Outcome]) -> String {
     let mut text = String::from(
         "# Fault matrix\n\nEvery fault at the first delivery of every message between instances, \
          in a history with a burst\nthat overfills the queue, an instance that joins and one that \
@@ -356,13 +362,13 @@
     }
     text.push_str("\n|---|");
     text.push_str(&"---|".repeat(FAULTS.len()));
-    for (row, (step, _)) in cells.chunks(FAULTS.len()).zip(STEPS) {
+    for (row, (step, _)) in outcomes.chunks(FAULTS.len()).zip(STEPS) {
         write!(text, "\n| {step} |").expect("strings take text");
-        for cell in row {
-            text.push_str(match cell {
-                Outcome::Held => " held |",
+        for outcome in row {
+            text.push_str(match outcome {
+                Outcome::Passed => " held |",
                 Outcome::NotReached => " - |",
-                Outcome::Broken(_) => " not proved |",
+                Outcome::Failed(_) => " not proved |",
             });
         }
     }
