--- a/oxbowbend-core/tests/permit_exploration.rs
+++ b/oxbowbend-core/tests/permit_exploration.rs
@@ -23,30 +23,30 @@
 /// States after which the exploration ends.
 const MAX_STATES: usize = 60_000;
 /// A step of time: long enough for questions and claims to be sent again.
-const STEP: Duration = Duration::from_millis(2100);
+const TIME_STEP: Duration = Duration::from_millis(2100);
 
 #[derive(Clone, Debug)]
 struct State {
     now: Instant,
     nodes: BTreeMap<InstanceId, Node>,
-    dead: BTreeSet<InstanceId>,
+    crashed: BTreeSet<InstanceId>,
     links: BTreeMap<(InstanceId, InstanceId), VecDeque<Message>>,
     list: InstanceList,
     running: BTreeMap<RequestId, InstanceId>,
     ended: BTreeSet<RequestId>,
-    deaths: u8,
-    losses: u8,
-    steps: u8,
-    broken: Option<String>,
+    crashes_left: u8,
+    losses_left: u8,
+    time_steps_left: u8,
+    violation: Option<String>,
 }
 
 impl State {
     /// Three instances, of which one owns the slot, another schedules the pool, and the third has a
     /// request; the scheduler has the other request.
-    fn start(losses: u8, steps: u8) -> State {
+    fn initial(losses_left: u8, time_steps_left: u8) -> State {
         let start = Instant::now();
         let endpoints = (0..50).map(|n| format!("e{n}"));
-        let mut starts = endpoints.map(|e| State::settled(start, &e, losses, steps));
+        let mut starts = endpoints.map(|e| State::settled(start, &e, losses_left, time_steps_left));
         let distinct = starts.find(|s| s.owner() != s.scheduler());
         let mut state = distinct.expect("some slot is not the scheduler's");
         let (owner, scheduler) = (state.owner(), state.scheduler());
@@ -68,49 +68,49 @@
         node.ingress().scheduler(harness::POOL).expect("there is a scheduler").clone()
     }
 
-    fn settled(start: Instant, endpoint: &str, losses: u8, steps: u8) -> State {
+    fn settled(start: Instant, endpoint: &str, losses_left: u8, time_steps_left: u8) -> State {
         let mut state = State {
             now: start,
             nodes: BTreeMap::new(),
-            dead: BTreeSet::new(),
+            crashed: BTreeSet::new(),
             links: BTreeMap::new(),
             list: InstanceList::default(),
             running: BTreeMap::new(),
             ended: BTreeSet::new(),
-            deaths: 1,
-            losses,
-            steps,
-            broken: None,
+            crashes_left: 1,
+            losses_left,
+            time_steps_left,
+            violation: None,
         };
         let topology = Arc::new(topology(&[(endpoint, 1)], None));
         for (seed, name) in ["a", "b", "c"].iter().enumerate() {
             let id: InstanceId = (*name).into();
             let node = Node::new(id.clone(), "z".into(), seed as u64 * 1000);
             state.nodes.insert(id.clone(), node);
-            state.enlist(&id);
+            state.add_to_list(&id);
         }
         // They settle before the endpoint is declared, so that its slot is free at once.
         for name in ["a", "b", "c"] {
             state.feed(&name.into(), Event::List(state.list.clone()));
         }
         let ids: Vec<InstanceId> = state.nodes.keys().cloned().collect();
-        let settled = start + MAX_LIST_LAG + STEP;
+        let settled = start + MAX_LIST_LAG + TIME_STEP;
         while state.now < settled {
-            state.now += STEP;
+            state.now += TIME_STEP;
             ids.iter().for_each(|id| state.tick(id));
         }
         ids.iter().for_each(|id| state.feed(id, Event::Topology(topology.clone())));
-        state.drain_links();
+        state.deliver_all();
         state
     }
 
-    fn enlist(&mut self, id: &InstanceId) {
+    fn add_to_list(&mut self, id: &InstanceId) {
         let member = Member { zone: "z".into(), address: id.to_string(), leaving: false };
         self.list.members.insert(id.clone(), member);
         self.list.version += 1;
     }
 
-    fn drain_links(&mut self) {
+    fn deliver_all(&mut self) {
         while let Some(link) =
             self.links.iter().find(|(_, q)| !q.is_empty()).map(|(k, _)| k.clone())
         {
@@ -123,7 +123,7 @@
     }
 
     fn feed(&mut self, id: &InstanceId, event: Event) {
-        if self.dead.contains(id) {
+        if self.crashed.contains(id) {
             return;
         }
         let node = self.nodes.get_mut(id).expect("nodes stay known");
@@ -135,7 +135,7 @@
 
     fn perform(&mut self, id: &InstanceId, action: Action) {
         match action {
-            Action::Send { to, message } if is_explored(&message) => {
+            Action::Send { to, message } if is_interleaved(&message) => {
                 self.links.entry((id.clone(), to)).or_default().push_back(message);
             }
             Action::Send { to, message } => {
@@ -145,11 +145,11 @@
             Action::Dispatch(grant) => {
                 if self.running.contains_key(&grant.request) || self.ended.contains(&grant.request)
                 {
-                    self.broken = Some(format!("{} ran twice", grant.request));
+                    self.violation = Some(format!("{} ran twice", grant.request));
                 }
                 self.running.insert(grant.request, id.clone());
                 if self.running.len() > 1 {
-                    self.broken = Some(format!("one slot, running: {:?}", self.running));
+                    self.violation = Some(format!("one slot, running: {:?}", self.running));
                 }
             }
             Action::QueryRun { grant, .. } if !self.running.contains_key(&grant.0) => {
@@ -181,25 +181,25 @@
         };
         for link in self.links.keys() {
             push(&|s| s.deliver(link));
-            if self.losses > 0 {
+            if self.losses_left > 0 {
                 push(&|s| {
-                    s.losses -= 1;
+                    s.losses_left -= 1;
                     s.links.get_mut(link).and_then(VecDeque::pop_front);
                 });
             }
         }
-        for id in self.nodes.keys().filter(|id| !self.dead.contains(*id)) {
+        for id in self.nodes.keys().filter(|id| !self.crashed.contains(*id)) {
             if self.nodes[id].members().list().version < self.list.version {
                 push(&|s| s.feed(id, Event::List(s.list.clone())));
             }
-            if self.deaths > 0 {
+            if self.crashes_left > 0 {
                 push(&|s| {
-                    s.deaths -= 1;
-                    s.dead.insert(id.clone());
+                    s.crashes_left -= 1;
+                    s.crashed.insert(id.clone());
                 });
             }
         }
-        for id in self.dead.iter().filter(|id| self.list.members.contains_key(*id)) {
+        for id in self.crashed.iter().filter(|id| self.list.members.contains_key(*id)) {
             push(&|s| {
                 s.list.members.remove(id);
                 s.list.version += 1;
@@ -213,10 +213,10 @@
                 s.feed(ingress, Event::Finish { request: request.clone(), report });
             });
         }
-        if self.steps > 0 {
+        if self.time_steps_left > 0 {
             push(&|s| {
-                s.steps -= 1;
-                s.now += STEP;
+                s.time_steps_left -= 1;
+                s.now += TIME_STEP;
                 let ids: Vec<InstanceId> = s.nodes.keys().cloned().collect();
                 ids.iter().for_each(|id| s.tick(id));
             });
@@ -224,14 +224,14 @@
         next
     }
 
-    fn key(&self) -> u64 {
+    fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         format!("{self:?}").hash(&mut hasher);
         hasher.finish()
     }
 }
 
-fn is_explored(message: &Message) -> bool {
+fn is_interleaved(message: &Message) -> bool {
     matches!(
         message,
         Message::Grant(_)
@@ -241,18 +241,18 @@
     )
 }
 
-/// Explores breadth first until nothing is left or there are `most` states; returns how many.
-fn explore(start: State, most: usize) -> usize {
-    let mut seen = HashSet::from([start.key()]);
+/// Explores breadth first until nothing is left or there are `limit` states; returns how many.
+fn explore(start: State, limit: usize) -> usize {
+    let mut seen = HashSet::from([start.state_hash()]);
     let mut queue = VecDeque::from([start]);
     let mut explored = 0;
     while let Some(state) = queue.pop_front() {
         explored += 1;
-        if let Some(found) = &state.broken {
+        if let Some(found) = &state.violation {
             panic!("{found} after {explored} states: {state:?}");
         }
         for next in state.successors() {
-            if seen.len() < most && seen.insert(next.key()) {
+            if seen.len() < limit && seen.insert(next.state_hash()) {
                 queue.push_back(next);
             }
         }
@@ -263,18 +263,18 @@
 /// One death and two steps of time, in every order.
 #[test]
 fn no_order_with_a_death_uses_one_slot_twice() {
-    let explored = explore(State::start(0, 2), usize::MAX);
+    let explored = explore(State::initial(0, 2), usize::MAX);
     // Nothing is cut off at this bound. The number guards against exploring less by mistake; it
     // is not exact, since states are told apart by their printed form, in which the order of a
     // hash map's entries may differ.
-    assert!(explored >= WHOLE, "only {explored} states");
+    assert!(explored >= MIN_STATES, "only {explored} states");
 }
 
 /// States with one death and two steps of time, at the least.
-const WHOLE: usize = 60_000;
+const MIN_STATES: usize = 60_000;
 
 /// One death, one lost message and four steps of time, as far as the bound.
 #[test]
 fn no_order_with_a_death_and_a_loss_uses_one_slot_twice() {
-    assert_eq!(explore(State::start(1, 4), MAX_STATES), MAX_STATES);
+    assert_eq!(explore(State::initial(1, 4), MAX_STATES), MAX_STATES);
 }
