--- a/oxbowbend-core/tests/ledger_exploration.rs
+++ b/oxbowbend-core/tests/ledger_exploration.rs
@@ -252,7 +252,7 @@
 const STATES: usize = 63061;
 
 #[test]
-fn the_exploration_catches_broken_mechanisms() {
+fn exploration_detects_every_mutation() {
     for mutation in [
         Mutation::SendWithoutDispatch,
         Mutation::LostReplyMeansFailure,
--- a/oxbowbend-core/tests/nodes.rs
+++ b/oxbowbend-core/tests/nodes.rs
@@ -6,13 +6,13 @@
 
 use harness::{request_info, topology, Cluster, RequestOutcome};
 
-const THREE: [&str; 3] = ["a", "b", "c"];
+const INSTANCES: [&str; 3] = ["a", "b", "c"];
 
 #[test]
-fn serves_requests_from_every_entry() {
-    let mut cluster = Cluster::new(&THREE, topology(&[("e1", 2), ("e2", 2)], None));
+fn serves_requests_from_every_ingress_instance() {
+    let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 2), ("e2", 2)], None));
     for n in 0..30 {
-        cluster.submit(THREE[n % 3], request_info(&format!("r{n}"), (n % 3) as u8));
+        cluster.submit(INSTANCES[n % 3], request_info(&format!("r{n}"), (n % 3) as u8));
     }
     cluster.advance(Duration::from_secs(20));
     assert_eq!(cluster.count(&RequestOutcome::Completed), 30);
@@ -21,9 +21,9 @@
 
 #[test]
 fn keeps_account_limits_across_endpoints() {
-    let mut cluster = Cluster::new(&THREE, topology(&[("e1", 4), ("e2", 4)], Some(3)));
+    let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 4), ("e2", 4)], Some(3)));
     for n in 0..20 {
-        cluster.submit(THREE[n % 3], request_info(&format!("r{n}"), 1));
+        cluster.submit(INSTANCES[n % 3], request_info(&format!("r{n}"), 1));
     }
     cluster.advance(Duration::from_secs(20));
     assert_eq!(cluster.count(&RequestOutcome::Completed), 20);
@@ -32,7 +32,7 @@
 
 #[test]
 fn higher_tiers_go_first() {
-    let mut cluster = Cluster::new(&THREE, topology(&[("e1", 1)], None));
+    let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 1)], None));
     cluster.submit("a", request_info("first", 2));
     for n in 0..3 {
         cluster.submit("b", request_info(&format!("low{n}"), 2));
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_leaving_instance_cedes_its_share() {
-    let mut cluster = Cluster::new(&THREE, topology(&[("e1", 40)], None));
+    let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 40)], None));
     cluster.feed(&"a".into(), oxbowbend_core::node::Event::Drain);
     cluster.advance(Duration::from_secs(5));
     assert!(cluster.node("a").is_drained() && cluster.node("a").has_ceded_permits());
@@ -65,8 +65,8 @@
 }
 
 #[test]
-fn permits_of_a_dead_instance_return() {
-    let mut cluster = Cluster::new(&THREE, topology(&[("e1", 40)], Some(10)));
+fn permits_of_a_dead_instance_are_reassigned() {
+    let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 40)], Some(10)));
     cluster.crash(&"a".into());
     cluster.advance(Duration::from_secs(10));
     cluster.remove_from_list(&"a".into());
@@ -77,8 +77,8 @@
 /// A scheduler with a stale list had a permit reserved for an entry that the owner knew to be
 /// dropped; nobody ever gave it back.
 #[test]
-fn nothing_is_reserved_for_an_entry_that_is_not_listed() {
-    let mut cluster = Cluster::new(&THREE, topology(&[("e1", 6)], None));
+fn nothing_is_reserved_for_an_unlisted_ingress_instance() {
+    let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 6)], None));
     let scheduler = cluster.scheduler("a");
     let other: Vec<_> = cluster.ids().into_iter().filter(|id| *id != scheduler).collect();
     cluster.stale_lists.insert(scheduler.clone());
@@ -99,7 +99,7 @@
 /// over afterwards, so that its requests go elsewhere at once.
 #[test]
 fn a_new_scheduler_knows_which_endpoints_leave() {
-    let mut cluster = Cluster::new(&THREE, topology(&[("e1", 2), ("e2", 2)], None));
+    let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 2), ("e2", 2)], None));
     let former = cluster.scheduler("a");
     let others: Vec<_> = cluster.ids().into_iter().filter(|id| *id != former).collect();
     for id in &others {
@@ -126,8 +126,8 @@
 
 /// The run of an entry that dies with its owner goes on; nobody who lives knows of it.
 #[test]
-fn a_slot_whose_user_died_with_its_owner_is_not_given_away() {
-    let mut cluster = Cluster::new(&THREE, topology(&[("e1", 1)], None));
+fn an_orphaned_run_keeps_its_slot_after_its_owner_dies() {
+    let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 1)], None));
     cluster.run_duration = Duration::from_secs(30);
     let owner = owner(&cluster);
     cluster.submit(&owner, request_info("orphan", 0));
@@ -147,7 +147,7 @@
 /// and takes the permit back as soon as the run ends.
 #[test]
 fn a_slot_in_use_passes_to_the_new_owner() {
-    let mut cluster = Cluster::new(&THREE, topology(&[("e1", 1)], None));
+    let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 1)], None));
     cluster.run_duration = Duration::from_secs(20);
     let owner = owner(&cluster);
     let ingress = cluster.ids().into_iter().find(|id| *id != owner).expect("there are three");
--- a/oxbowbend-core/tests/permit_exploration.rs
+++ b/oxbowbend-core/tests/permit_exploration.rs
@@ -262,7 +262,7 @@
 
 /// One death and two steps of time, in every order.
 #[test]
-fn no_order_with_a_death_uses_one_slot_twice() {
+fn no_interleaving_with_a_crash_uses_one_slot_twice() {
     let explored = explore(State::initial(0, 2), usize::MAX);
     // Nothing is cut off at this bound. The number guards against exploring less by mistake; it
     // is not exact, since states are told apart by their printed form, in which the order of a
@@ -275,6 +275,6 @@
 
 /// One death, one lost message and four steps of time, as far as the bound.
 #[test]
-fn no_order_with_a_death_and_a_loss_uses_one_slot_twice() {
+fn no_interleaving_with_a_crash_and_a_loss_uses_one_slot_twice() {
     assert_eq!(explore(State::initial(1, 4), MAX_STATES), MAX_STATES);
 }
--- a/oxbowbend-core/tests/properties.rs
+++ b/oxbowbend-core/tests/properties.rs
@@ -11,7 +11,7 @@
 use oxbowbend_core::speed::Speed;
 use quickcheck::{quickcheck, TestResult};
 
-fn item(n: usize, account: u8, tier: u8, work: u16) -> QueuedRequest {
+fn queued_request(n: usize, account: u8, tier: u8, work: u16) -> QueuedRequest {
     QueuedRequest {
         id: format!("r{n}").as_str().into(),
         account: format!("a{}", account % 5).as_str().into(),
@@ -24,7 +24,7 @@
 fn fill(input: &[(u8, u8, u16)]) -> Queue {
     let mut queue = Queue::default();
     for (n, (account, tier, work)) in input.iter().enumerate() {
-        queue.push(item(n, *account, *tier, *work));
+        queue.push(queued_request(n, *account, *tier, *work));
     }
     queue
 }
@@ -91,7 +91,7 @@
     }
 
     /// Taking a member out moves only what was its own.
-    fn rendezvous_moves_only_the_lost_share(keys: Vec<String>, gone: u8) -> bool {
+    fn rendezvous_moves_only_keys_of_the_removed_member(keys: Vec<String>, gone: u8) -> bool {
         let members: Vec<String> = (0..7).map(|n| format!("m{n}")).collect();
         let gone = &members[usize::from(gone) % members.len()];
         keys.iter().all(|key| {
@@ -125,7 +125,7 @@
     }
 
     /// Predictions stay finite and positive, whatever is reported.
-    fn predictions_stay_sane(reports: Vec<(u16, u16, u16, u16)>) -> bool {
+    fn predictions_stay_finite(reports: Vec<(u16, u16, u16, u16)>) -> bool {
         let now = Instant::now();
         let mut speed = Speed::new(1000.0, 10.0);
         for (first, total, prompt, output) in reports {
