--- a/oxbowbend-core/src/ingress.rs
+++ b/oxbowbend-core/src/ingress.rs
@@ -136,7 +136,7 @@
     }
 
     fn drop_waiting(&mut self, id: &str, out: &mut Vec<node::Action>) -> Option<Request> {
-        let request = self.remove(id)?;
+        let request = self.take(id)?;
         let info = &request.info;
         let (pool, attempt) = (info.pool.clone(), info.attempt);
         let message = message::Message::Withdraw { pool, request: info.id.clone(), attempt };
@@ -144,7 +144,7 @@
         Some(request)
     }
 
-    fn remove(&mut self, id: &str) -> Option<Request> {
+    fn take(&mut self, id: &str) -> Option<Request> {
         let request = self.requests.remove(id)?;
         if let Some(pool_state) = self.pools.get_mut(&request.info.pool) {
             pool_state.digest ^= request.digest();
@@ -256,7 +256,7 @@
         if !matches!(self.requests.get(id), Some(r) if r.state != State::Waiting) {
             return;
         }
-        let Some(request) = self.remove(id) else { return };
+        let Some(request) = self.take(id) else { return };
         let State::Running(grant) = request.state else { return };
         self.end_run(&grant, report, out);
     }
