--- a/oxbowbend-core/src/scheduler/account.rs
+++ b/oxbowbend-core/src/scheduler/account.rs
@@ -1,14 +1,14 @@
-//! The permits of a client account, as far as a scheduler's own grants tell.
+//! Use of a client account's permits, as known from a scheduler's own grants.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 use crate::ids;
 
-/// Time for which an account is passed over after an owner denied it a permit.
+/// Time for which an account is skipped after its owners denied it a permit.
 const ACCOUNT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What this scheduler's own grants use of an account's permits, and what was denied.
+/// Permits of one account used by this scheduler's grants, and owners that have none left.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AccountUsage {
     pub(super) in_use: BTreeMap<ids::InstanceId, u32>,
@@ -22,21 +22,21 @@
         self.exhausted.clear();
     }
 
-    /// A grant came to nothing.
+    /// Reverts the accounting of a failed grant.
     pub(super) fn undo_grant(&mut self, owner: &ids::InstanceId) {
         if let Some(n) = self.in_use.get_mut(owner) {
             *n = n.saturating_sub(1);
         }
     }
 
-    /// A run has ended, which makes room.
+    /// Records the end of a run, which frees a permit.
     pub(super) fn release(&mut self, owner: &ids::InstanceId) {
         self.undo_grant(owner);
         self.exhausted.remove(owner);
         self.backoff_until = None;
     }
 
-    /// The owner that should have the most permits left.
+    /// Returns the owner with the most permits left, by this scheduler's accounting.
     pub(super) fn pick_owner(&self, shares: &[(ids::InstanceId, u32)]) -> Option<ids::InstanceId> {
         let left = |(owner, n): &(ids::InstanceId, u32)| {
             n.saturating_sub(self.in_use.get(owner).copied().unwrap_or(0))
--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -1,4 +1,4 @@
-//! Deciding what runs next, and where, and what can no longer be answered in time.
+//! Selection of the next request and its endpoint, and refusal of requests that would finish late.
 
 use std::time::{Duration, Instant};
 
@@ -10,26 +10,27 @@
 use crate::node;
 use crate::queue;
 
-/// Requests of an account among which the one is chosen whose prompt a free endpoint has cached.
+/// Oldest requests of an account that are searched for a prompt cached at a free endpoint.
 const CACHE_LOOKAHEAD: usize = 32;
-/// Free endpoints up to which that choice is made; with more, the first request finds its own.
+/// The search is skipped when more endpoints than this are free: the first request then has a wide
+/// enough choice.
 const MAX_CACHE_CANDIDATES: usize = 24;
-/// Times that a request may be passed over for the sake of a cached prompt.
+/// Times that a request may be skipped in favor of one with a cached prompt.
 const MAX_SKIPS: u32 = 64;
-/// Part of a pool's slots that is kept free of each lower tier, per level.
+/// Fraction of the pool's slots reserved from a tier, multiplied by the tier's level.
 const RESERVED_PER_TIER: f64 = 0.04;
-/// Time between two looks at which endpoint is the fastest.
+/// Time between recomputations of the fastest endpoint.
 const FASTEST_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
-/// Shortest time after which a refused caller is told to come back.
+/// Lower bound of the retry delay sent with a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Longest time after which a refused caller is told to come back.
+/// Upper bound of the retry delay sent with a refusal.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Every permit of an account is in use.
+/// Every permit of the account is in use.
 struct AccountExhausted;
 
 impl<C: Choose> Scheduler<C> {
-    /// Decides everything that can be decided now.
+    /// Refuses, grants and sheds requests until no further decision is possible.
     pub fn schedule(
         &mut self,
         now: Instant,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Seconds that an output token takes at the fastest endpoint; looked up once in a while.
+    /// Seconds per output token at the fastest usable endpoint, cached for a short time.
     fn fastest_token_time(&mut self, now: Instant) -> f64 {
         if let Some((at, best)) = self.cached_fastest {
             if now.saturating_duration_since(at) < FASTEST_REFRESH_INTERVAL {
@@ -94,7 +95,7 @@
         out.push(node::Action::send(&tracked.ingress, message));
     }
 
-    /// Time after which the work that waits now should have been served.
+    /// Estimated time to serve all queued work, within the bounds of the retry delay.
     fn retry_after(&self) -> Duration {
         let rate = |e: &endpoint::EndpointState| {
             f64::from(e.config.slots) / e.speed.predict_seconds(0, 1).max(1e-9)
@@ -105,7 +106,7 @@
         Duration::from_secs_f64(seconds.min(longest)).max(MIN_RETRY_AFTER)
     }
 
-    /// A grant or refusal that nobody has answered may be lost.
+    /// Repeats refusals that were not answered and requeues requests whose grant was not answered.
     fn retry_unanswered(&mut self, now: Instant, out: &mut Vec<node::Action>) {
         while let Some((at, id)) = self.unanswered.first().cloned() {
             if now.saturating_duration_since(at) < REPLY_TIMEOUT {
@@ -153,8 +154,9 @@
         false
     }
 
-    /// When only a few endpoints are free, it is worth more to send them what they have cached than
-    /// to keep to the order of arrival within the account. Whose turn it is stays as it was.
+    /// Finds a request of the account whose prompt is cached at a free endpoint.
+    ///
+    /// This breaks arrival order within the account, but not fairness between accounts.
     fn find_cached(
         &mut self,
         now: Instant,
@@ -250,8 +252,9 @@
         }
     }
 
-    /// The owner to ask for the account's permit, if it needs one. An account whose permits are
-    /// all in use is passed over for a moment, or until one of its runs ends.
+    /// Returns the hop to the owner of an account permit, or `None` if the account has no limit.
+    ///
+    /// An account without a free permit backs off for a short time, or until one of its runs ends.
     fn account_hop(
         &mut self,
         now: Instant,
@@ -273,7 +276,7 @@
     }
 }
 
-/// Slots that stay free of a tier, so that one long request of it does not hold up higher ones.
+/// Slots that a tier must leave free, so that its long requests do not delay higher tiers.
 fn reserved_slots(level: ids::TierLevel, total: u32) -> u32 {
     (f64::from(total) * RESERVED_PER_TIER * f64::from(level)) as u32
 }
--- a/oxbowbend-core/src/scheduler/endpoint.rs
+++ b/oxbowbend-core/src/scheduler/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint as a scheduler sees it: what owners offer, what was learned, what is cached.
+//! Scheduling state of an endpoint: offered permits, learned speed and modeled prefix cache.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -34,7 +34,7 @@
     pub(super) breaker: budget::Breaker,
     pub(super) running: u32,
     pub(super) reported: u32,
-    /// Free permits, kept up to date by [`Scheduler::update_free`].
+    /// Free permits, updated by [`Scheduler::update_free`](super::Scheduler::update_free).
     pub(super) free: u32,
 }
 
@@ -57,7 +57,7 @@
         !self.config.leaving && self.breaker.allows(now)
     }
 
-    /// Predicted seconds, with prefill weighed as the pool's settings say.
+    /// Predicted run time in seconds, plus the prefill time weighted by `prefill_bias`.
     pub(super) fn predicted_cost(&self, info: &message::RequestInfo, prefill_bias: f64) -> f64 {
         let cached = self.cache.cached_tokens(&info.prefix).min(info.prompt_tokens);
         let fresh = info.prompt_tokens - cached;
@@ -65,7 +65,8 @@
         seconds + prefill_bias * self.speed.predict_seconds(fresh, 0)
     }
 
-    /// This instance if it has a permit free, which saves a hop, or else the owner with the most.
+    /// Returns this instance if it has a free permit, which saves a hop, or else the owner with the
+    /// most free permits.
     pub(super) fn pick_owner(&self, me: &ids::InstanceId) -> Option<ids::InstanceId> {
         let rank = |(owner, o): &(&ids::InstanceId, &OwnerOffer)| (*owner == me, o.available());
         let free = self.offers.iter().filter(|(_, o)| o.available() > 0);
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -1,9 +1,10 @@
-//! Order and choice for one pool.
+//! Request scheduling for one pool.
 //!
-//! The scheduler of a pool sees small records of all requests that wait in the pool, wherever they
-//! are kept, and decides which runs next, where, and which is refused. It stores nothing: a new
-//! one rebuilds its state from the entries' reports within a heartbeat. It owns no permit, so that
-//! a wrong or late decision of a scheduler is refused by a permit's owner or by the entry instance.
+//! A scheduler receives a summary of every request waiting in its pool, whichever instance holds
+//! it, and decides which request runs next, on which endpoint, and which are refused. It persists
+//! nothing: a new scheduler rebuilds its state from the snapshots that ingress instances send
+//! within one heartbeat interval. It owns no permits, so a permit owner or the ingress instance
+//! rejects any wrong or outdated decision.
 
 mod account;
 mod decide;
@@ -22,9 +23,9 @@
 use account::AccountUsage;
 use endpoint::{EndpointState, OwnerOffer};
 
-/// Time without a word after which a grant is taken to be lost and its request is granted again.
+/// Time to wait for a reply to a grant or refusal before it is considered lost and retried.
 pub const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// For how long after it was sent a shed floor may be relied on at an entry that echoes it.
+/// How long after sending a shed threshold the scheduler relies on an instance that confirms it.
 pub const THRESHOLD_CONFIRMATION_TTL: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug, PartialEq)]
@@ -45,7 +46,10 @@
     state: State,
 }
 
-/// What an entry has said it holds, as a digest over its messages only.
+/// The last state reported by an ingress instance.
+///
+/// `digest` covers the messages received from the instance, so that a mismatch with the digest in
+/// its heartbeat reveals lost messages.
 #[derive(Clone, Debug, Default)]
 struct IngressState {
     digest: u64,
@@ -59,13 +63,13 @@
     renewed_at: Instant,
 }
 
-/// What a scheduler must know of the other instances.
+/// A scheduler's view of the cluster.
 pub trait Directory {
-    /// The owners of the account's permits with their numbers; `None` if it has no limit.
+    /// The owners of the account's permits and how many each owns, or `None` if it has no limit.
     fn account_owners(&self, account: &ids::AccountId) -> Option<&[(ids::InstanceId, u32)]>;
     /// Instances that may hold requests of the pool.
     fn ingress_instances(&self, pool: &ids::PoolId) -> Vec<ids::InstanceId>;
-    /// Whether the lowest declared tier is `tier` or a higher one.
+    /// Whether no declared tier is lower than `tier`.
     fn is_lowest_tier(&self, tier: ids::TierLevel) -> bool;
 }
 
@@ -96,14 +100,14 @@
     last_threshold_seq: u64,
     unanswered: BTreeSet<(Instant, ids::RequestId)>,
     endpoint_index: HashMap<ids::EndpointId, usize>,
-    /// Sites with free permits, so that a decision looks at no others.
+    /// Indices of endpoints with free permits, the only ones considered for a grant.
     available: BTreeSet<usize>,
     total_slots: u32,
     cached_fastest: Option<(Instant, f64)>,
 }
 
 impl<C: Choose> Scheduler<C> {
-    /// Creates a scheduler that knows of no requests and no permits.
+    /// Creates a scheduler without requests or permits.
     pub fn new(
         me: ids::InstanceId,
         pool: ids::PoolId,
@@ -135,8 +139,10 @@
         scheduler
     }
 
-    /// Takes over a changed configuration, keeping what was learned of endpoints that remain.
-    /// Sites are never removed, so that positions stay valid; those gone are marked as leaving.
+    /// Applies a new configuration and keeps the estimates of endpoints that remain.
+    ///
+    /// Endpoints are never removed, so that indices stay valid. Those that are no longer configured
+    /// are marked as leaving.
     pub fn configure(&mut self, config: &topology::Pool) {
         self.queue_bound = config.queue_bound;
         self.prefill_bias = config.prefill_bias;
@@ -157,7 +163,7 @@
         self.cached_fastest = None;
     }
 
-    /// Brings a site's number of free permits up to date after its offers have changed.
+    /// Recomputes the number of free permits at an endpoint after its offers have changed.
     fn update_free(&mut self, index: usize) {
         let endpoint = &mut self.endpoints[index];
         endpoint.free = endpoint.offers.values().map(OwnerOffer::available).sum();
@@ -168,18 +174,18 @@
         }
     }
 
-    /// Sites that may be granted now.
+    /// Endpoints with free permits that accept requests.
     fn available_endpoints(&self, now: Instant) -> impl Iterator<Item = (usize, &EndpointState)> {
         let available = self.available.iter().map(|index| (*index, &self.endpoints[*index]));
         available.filter(move |(_, e)| e.is_usable(now))
     }
 
-    /// Number of requests that wait here.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Takes in a waiting request.
+    /// Adds a waiting request, or replaces an older attempt of it.
     pub fn enqueue(&mut self, now: Instant, from: &ids::InstanceId, info: message::RequestInfo) {
         let id = info.id.clone();
         if let Some(tracked) = self.requests.get(&id) {
@@ -214,7 +220,7 @@
         ingress_state.digest ^= ingress::request_digest(&info.id, info.attempt, running);
     }
 
-    /// Removes every trace of a request.
+    /// Removes a request together with its permits and its part of the ingress digest.
     fn remove(&mut self, id: &str) -> Option<TrackedRequest> {
         let tracked = self.requests.remove(id)?;
         self.queue.remove(id);
@@ -250,7 +256,7 @@
         self.update_free(index);
     }
 
-    /// The entry gives a waiting request up.
+    /// Handles a request withdrawn by its ingress instance.
     pub fn handle_withdraw(&mut self, grant_id: &message::GrantId) {
         if self.is_current(grant_id) {
             self.remove(&grant_id.0);
@@ -261,7 +267,7 @@
         self.requests.get(id).is_some_and(|r| r.info.attempt == *attempt)
     }
 
-    /// The entry has accepted a grant.
+    /// Handles a grant accepted by the ingress instance.
     pub fn handle_accepted(&mut self, grant_id: &message::GrantId) {
         if !self.is_current(grant_id) {
             return;
@@ -277,7 +283,7 @@
         }
     }
 
-    /// A run has ended; the endpoint's speed is learned from it.
+    /// Handles the end of a run and updates the endpoint's speed estimate and circuit breaker.
     pub fn handle_done(
         &mut self,
         now: Instant,
@@ -300,7 +306,7 @@
         }
     }
 
-    /// Replaces what is known of one entry's requests by its own account of them.
+    /// Replaces all requests known of an ingress instance by its snapshot.
     pub fn handle_snapshot(
         &mut self,
         now: Instant,
@@ -348,7 +354,7 @@
         );
     }
 
-    /// Compares an entry's digest with the mirror; says whether a report is needed.
+    /// Handles a digest from a heartbeat; returns whether a snapshot is needed.
     pub fn handle_digest(
         &mut self,
         from: &ids::InstanceId,
@@ -359,7 +365,7 @@
         ingress_state.digest != reported.digest
     }
 
-    /// Drops what belongs to instances that are gone.
+    /// Removes all state of instances that are no longer listed.
     pub fn retain_members(&mut self, listed: impl Fn(&str) -> bool) {
         let gone = |r: &&TrackedRequest| !listed(&r.ingress);
         let mut lost: Vec<ids::RequestId> =
@@ -374,7 +380,7 @@
         (0..self.endpoints.len()).for_each(|index| self.update_free(index));
     }
 
-    /// An owner tells how many permits it has free.
+    /// Handles an owner's offer of free permits.
     pub fn handle_offer(&mut self, from: &ids::InstanceId, offer: &message::Offer) {
         let Some(index) = self.endpoint_index.get(&offer.endpoint).copied() else { return };
         let endpoint = &mut self.endpoints[index];
@@ -389,7 +395,7 @@
         self.update_free(index);
     }
 
-    /// An owner had no permit to give; the request goes back into the queue.
+    /// Handles a grant denied by an owner and requeues the request.
     pub fn handle_denied(
         &mut self,
         now: Instant,
@@ -424,8 +430,9 @@
         usage.exhausted.insert(hop.owner.clone());
     }
 
-    /// Puts a request whose grant came to nothing back into the queue. The account's pause is left
-    /// as it is: only the end of a run makes room.
+    /// Returns a request to the queue after its grant failed.
+    ///
+    /// The account's backoff is kept, since only the end of a run frees a permit.
     fn requeue(&mut self, now: Instant, id: &ids::RequestId) {
         let Some(tracked) = self.requests.get(id).cloned() else { return };
         self.clear_state(&tracked);
@@ -440,7 +447,7 @@
         }
     }
 
-    /// An endpoint's report of its load, for requests that are not ours.
+    /// Records the load reported by an endpoint, which may include runs unknown to this scheduler.
     pub fn handle_load(&mut self, endpoint: &ids::EndpointId, running: u32) {
         if let Some(index) = self.endpoint_index.get(endpoint) {
             self.endpoints[*index].reported = running;
--- a/oxbowbend-core/src/scheduler/shed.rs
+++ b/oxbowbend-core/src/scheduler/shed.rs
@@ -1,4 +1,4 @@
-//! Shedding what is too much, without shedding a higher tier above a lower one that is kept.
+//! Load shedding, in strict order of tiers.
 
 use std::time::{Duration, Instant};
 
@@ -8,14 +8,16 @@
 use crate::message;
 use crate::node;
 
-/// Time between two sendings of a shed floor that is in force.
+/// Time between two messages that renew a shed threshold.
 const THRESHOLD_RENEW_INTERVAL: Duration = Duration::from_millis(500);
-/// Part of the queue bound under which a shed floor is lifted.
+/// The shed threshold is lifted when the queue length falls to this fraction of its bound.
 const THRESHOLD_LIFT_FRACTION: f64 = 0.8;
 
 impl<C: Choose> Scheduler<C> {
-    /// Sheds what is too much: the lowest tier at once, a higher one only when every entry that
-    /// may keep requests of the pool has promised to keep none of a lower tier.
+    /// Sheds requests until the queue is within its bound.
+    ///
+    /// Requests of the lowest tier are shed at once. Those of a higher tier are shed only after
+    /// every ingress instance of the pool has confirmed that it keeps no requests of a lower tier.
     pub(super) fn shed_excess(
         &mut self,
         now: Instant,
