--- a/oxbowbend-core/src/node/assignment.rs
+++ b/oxbowbend-core/src/node/assignment.rs
@@ -1,4 +1,4 @@
-//! Who does what: working out duties anew when members or configuration change.
+//! Assignment of schedulers and permits to instances when members or the configuration change.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -64,7 +64,8 @@
         }
     }
 
-    /// A pool as its scheduler is to see it: as declared, less what endpoints said of themselves.
+    /// Returns the configuration of a pool, with the endpoints that announced their shutdown marked as
+    /// leaving.
     pub(super) fn pool_config(&self, pool: &str) -> topology::Pool {
         let mut config = self.view.topology.pools.get(pool).cloned().unwrap_or_default();
         for (endpoint, declared) in &mut config.endpoints {
@@ -73,7 +74,7 @@
         config
     }
 
-    /// Remembers which permits existed before this instance could be sure to be asked about them.
+    /// Records the permits that existed before every claimant was sure to ask this instance.
     pub(super) fn update_preexisting(&mut self, now: Instant) {
         let settled = self.listed_since.is_some_and(|t| now.duration_since(t) >= MAX_LIST_LAG);
         if settled {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Works out anew who does what, after members, suspicion or configuration have changed.
+    /// Reassigns schedulers and permits after a change of members, suspicions or configuration.
     pub(super) fn reassign(&mut self, now: Instant) {
         let topology = self.view.topology.clone();
         let zone = self.zone.clone();
@@ -131,7 +132,7 @@
     }
 }
 
-/// Adds to `desired` the permits of `key` that `me` should own, and counts everybody's.
+/// Adds the permits of `key` assigned to `me` to `desired`; returns the permit count of each owner.
 fn add_desired(
     me: &ids::InstanceId,
     key: &message::PermitKey,
--- a/oxbowbend-core/src/node/claims.rs
+++ b/oxbowbend-core/src/node/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: how permits pass from one owner to another.
+//! Claims, by which permits change their owner.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
--- a/oxbowbend-core/src/node/heartbeats.rs
+++ b/oxbowbend-core/src/node/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Offers of free permits, and heartbeats between entries and schedulers.
+//! Offers of free permits, and heartbeats from instances to schedulers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 use crate::message;
 
 impl Node {
-    /// Tells schedulers of the permits whose numbers have changed; says whether there were any.
+    /// Sends schedulers the permit counts that have changed; returns whether there were any.
     pub(super) fn send_changed_offers(&mut self) -> bool {
         let changed = self.permits.take_changed();
         let mut offers: BTreeMap<ids::InstanceId, Vec<message::Offer>> = BTreeMap::new();
--- a/oxbowbend-core/src/node/maintenance.rs
+++ b/oxbowbend-core/src/node/maintenance.rs
@@ -1,4 +1,4 @@
-//! What time brings: doubts to be settled, endpoints that leave, and stopping.
+//! Periodic work, endpoints that are leaving, and shutdown.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -7,8 +7,8 @@
 use crate::ids;
 use crate::message;
 
-/// Time between two looks at what is in doubt. A quarter of it while permits are unproven was tried:
-/// in the fault matrix a freeze of 2 s at a beat then lets an account pass its limit.
+/// Time between checks of permits in doubt. At 250 ms, an account can exceed its limit after a
+/// pause of 2 s.
 const IN_DOUBT_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Node {
@@ -30,7 +30,7 @@
         self.dirty_pools.extend(self.schedulers.keys().cloned());
     }
 
-    /// Now and then: ask about what is in doubt, and repeat what may have been lost.
+    /// Queries endpoints about runs and permits in doubt, and repeats messages that may be lost.
     pub(super) fn resolve_in_doubt(&mut self, now: Instant) {
         let topology = self.view.topology.clone();
         self.permits.expire(now, |key| topology.max_run_of(key));
@@ -113,17 +113,17 @@
         }
     }
 
-    /// Whether this instance is stopping.
+    /// Whether this instance is shutting down.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Whether a stopping instance holds no request any more.
+    /// Whether this instance is shutting down and holds no more requests.
     pub fn is_drained(&self) -> bool {
         self.draining && self.ingress.is_empty()
     }
 
-    /// Whether every permit has been ceded to another instance, or no other is there to stay.
+    /// Whether no permits are owned here, or no other instance can own them.
     pub fn has_ceded_permits(&self) -> bool {
         let everywhere = BTreeSet::new();
         let has_successor = self.view.members.owners(&everywhere).any(|id| *id != self.me);
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -1,8 +1,8 @@
-//! Everything that one instance decides, composed of its parts.
+//! The state machine of one instance, which composes the other modules.
 //!
-//! A [`Node`] is fed events and returns actions. Messages to itself never leave it, so an instance
-//! that schedules its own requests pays no round trip. The node also watches its own clock: a gap
-//! between two events means that the process was paused, and then it trusts nothing it owned.
+//! A [`Node`] takes events and returns actions. Messages to itself are handled internally, so an
+//! instance that schedules its own requests needs no round trip. A gap between two events reveals
+//! that the process was paused; the node then discards its permits, since others may own them.
 
 mod assignment;
 mod claims;
@@ -22,81 +22,81 @@
 use crate::scheduler::{self, Directory};
 use crate::topology;
 
-/// Longest time between two [`Event::Tick`]s of a healthy instance.
+/// Maximum time between two [`Event::Tick`]s.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Gap between two events that counts as a pause. The platform must take longer than this to drop
-/// an instance from its list.
+/// Gap between two events that counts as a pause. The platform must take longer than this to
+/// remove an instance from its list.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
-/// Time between two heartbeats to a scheduler.
+/// Time between heartbeats to a scheduler.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time without an answer to heartbeats after which an instance is suspected.
+/// Time without a heartbeat acknowledgement after which an instance is suspected to have failed.
 pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time between two heartbeats to a suspect.
+/// Time between heartbeats to a suspected instance.
 const SUSPECT_PROBE_INTERVAL: Duration = Duration::from_secs(2);
-/// Heartbeats between two repetitions of all offers.
+/// Number of heartbeats after which all offers are repeated.
 const HEARTBEATS_PER_OFFER: u64 = 4;
-/// Time between two claims when the last one left something open.
+/// Time after which a claim that left permits open is repeated.
 const CLAIM_RETRY_INTERVAL: Duration = Duration::from_secs(2);
-/// Time for which an endpoint's own word that it is leaving is believed.
+/// Time for which an endpoint counts as leaving after it announced its shutdown.
 const LEAVING_TTL: Duration = Duration::from_secs(30);
-/// Longest lag of the platform's list. Until an instance has been listed for so long, others may
-/// have made claims without asking it.
+/// Maximum staleness of the platform's list. Until an instance has been listed for this long,
+/// others may have made claims without asking it.
 pub const MAX_LIST_LAG: Duration = Duration::from_secs(10);
 
-/// Something that has happened.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Nothing but the passing of time; due at least every [`TICK_INTERVAL`].
+    /// Time has passed; due at least every [`TICK_INTERVAL`].
     Tick,
-    /// The platform's list was read.
+    /// A new version of the platform's instance list.
     List(membership::InstanceList),
-    /// The configuration has changed.
+    /// A new configuration.
     Topology(Arc<topology::Topology>),
-    /// A message came from another instance.
+    /// A message from another instance.
     Peer {
         /// Sender.
         from: ids::InstanceId,
         /// The message.
         message: message::Message,
     },
-    /// Another instance refused a connection or cut it.
+    /// Another instance refused or closed a connection.
     PeerDown(ids::InstanceId),
-    /// A caller's request came in and is ready to be scheduled.
+    /// A new request is ready to be scheduled.
     Arrive(message::RequestInfo),
-    /// A caller went away, or the daemon gave its waiting request up.
+    /// A waiting request was canceled by its caller or by the daemon.
     Withdraw(ids::RequestId),
-    /// A run ended, well or badly.
+    /// A run ended, successfully or not.
     Finish {
         /// The request.
         request: ids::RequestId,
-        /// What was seen of the run.
+        /// Measurements of the run.
         report: message::RunReport,
     },
-    /// A run never began, though granted; the request waits again.
+    /// A granted run did not start, so the request waits again.
     Requeue {
         /// The request.
         request: ids::RequestId,
-        /// What was seen.
+        /// Measurements of the attempt.
         report: message::RunReport,
     },
-    /// An endpoint itself said that it is leaving.
+    /// An endpoint announced that it is shutting down.
     EndpointLeaving(ids::EndpointId),
-    /// An endpoint's report of its load.
+    /// The load reported by an endpoint.
     Load {
         /// The endpoint.
         endpoint: ids::EndpointId,
         /// Requests running or waiting there.
         running: u32,
-        /// When the request for the report was sent.
+        /// When the report was requested.
         requested_at: Instant,
     },
-    /// An orphaned run is known to be over, or never to have reached its endpoint.
+    /// An orphaned run has ended or never reached its endpoint.
     RunEnded(message::GrantId),
-    /// The instance is stopping.
+    /// The instance is shutting down.
     Drain,
 }
 
-/// Something to be done.
+/// An output of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message to another instance.
@@ -108,16 +108,16 @@
     },
     /// Dispatch a request held here to the endpoint named in the grant.
     Dispatch(message::Grant),
-    /// Give a caller its final answer: the request was not run.
+    /// Refuse a request that was not run.
     Refuse {
         /// The request.
         request: ids::RequestId,
-        /// Why.
+        /// Reason for the refusal.
         reason: message::RefusalReason,
-        /// When to come back.
+        /// Delay after which the caller may retry.
         retry_after: Duration,
     },
-    /// Ask an endpoint whether a run whose entry instance is gone is over.
+    /// Ask an endpoint whether a run has ended whose ingress instance is gone.
     QueryRun {
         /// The endpoint.
         endpoint: ids::EndpointId,
@@ -158,7 +158,7 @@
     last_ack: Option<Instant>,
 }
 
-/// The other instances and the configuration, as this instance sees them.
+/// The members and the configuration known to this instance.
 #[derive(Clone, Debug)]
 struct ClusterView {
     members: membership::Membership,
@@ -186,7 +186,7 @@
     }
 }
 
-/// One instance's decisions.
+/// The state machine of one instance.
 ///
 /// ```
 /// use std::time::Instant;
@@ -227,7 +227,7 @@
 
 impl Node {
     /// Creates the node of instance `me` in availability zone `zone`. `seed` must differ between
-    /// the lives of an instance.
+    /// restarts of an instance.
     pub fn new(me: ids::InstanceId, zone: ids::ZoneId, seed: u64) -> Node {
         let members = membership::Membership::new(me.clone());
         Node {
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Takes in an event and returns what is to be done about it, in order.
+    /// Handles an event and returns the resulting actions in order.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         self.detect_pause(now);
         self.dispatch(now, event);
@@ -268,13 +268,13 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// After a pause others may have taken over what this instance owned.
+    /// Discards all permits after a pause, in which others may have taken them over.
     fn detect_pause(&mut self, now: Instant) {
         let last = self.last_event.replace(now);
         if last.is_some_and(|last| now.saturating_duration_since(last) >= PAUSE_THRESHOLD) {
             self.permits.discard_all();
             self.fenced = true;
-            // It may have been dropped from the list and entered again meanwhile.
+            // The list may have dropped this instance and added it again during the pause.
             self.ingress.handle_delisted(&mut self.actions);
         }
     }
@@ -305,8 +305,8 @@
         }
     }
 
-    /// Delivers messages to this instance itself until none is left, letting the schedulers that
-    /// were touched decide in between.
+    /// Delivers messages from this instance to itself and runs the affected schedulers, until neither
+    /// is left.
     fn process_local(&mut self, now: Instant) {
         loop {
             self.queue_local();
@@ -416,7 +416,7 @@
         }
     }
 
-    /// Lets the scheduler of `pool` take something in; it decides afterwards.
+    /// Applies `update` to the scheduler of `pool`, creating it if needed, and marks the pool dirty.
     fn with_scheduler(
         &mut self,
         pool: &ids::PoolId,
@@ -451,7 +451,7 @@
             let seen = self.last_grant_seq.entry(grant.scheduler.clone()).or_default();
             *seen = (*seen).max(grant.seq);
         }
-        // For an entry that is not listed nobody would ever notice that the permit is not used.
+        // A permit reserved for an unlisted ingress instance would never be released.
         let listed = self.view.members.contains(&grant.ingress);
         let reserved = listed.then(|| self.permits.reserve(now, &key, &grant)).flatten();
         let Some(index) = reserved else {
@@ -471,42 +471,44 @@
         self.actions.push(Action::send(&scheduler, message::Message::Denied { grant, key }));
     }
 
-    /// A grant is good only if every owner that reserved for it is still listed: one that was
-    /// dropped may have been replaced, and its word no longer counts.
+    /// Passes a fully reserved grant to the ingress state.
+    ///
+    /// The grant is valid only if all owners that reserved permits for it are still listed, since the
+    /// permits of an unlisted owner may have been taken over.
     fn deliver_grant(&mut self, grant: message::Grant) {
         let listed = grant.hops.iter().all(|h| self.view.members.contains(&h.owner));
         let valid = listed && !self.fenced && self.may_dispatch(&grant.endpoint);
         self.ingress.handle_grant(grant, valid, &mut self.actions);
     }
 
-    /// Whether new work may be sent to an endpoint, by everything known here.
+    /// Whether new requests may be sent to an endpoint.
     pub fn may_dispatch(&self, endpoint: &str) -> bool {
         let pools = &self.view.topology.pools;
         let declared = pools.values().find_map(|p| p.endpoints.get(endpoint));
         declared.is_some_and(|e| !e.leaving) && !self.leaving_endpoints.contains_key(endpoint)
     }
 
-    /// The requests held here.
+    /// The requests held by this instance.
     pub fn ingress(&self) -> &ingress::Ingress {
         &self.ingress
     }
 
-    /// The permits owned here.
+    /// The permits owned by this instance.
     pub fn permits(&self) -> &permits::Permits {
         &self.permits
     }
 
-    /// The instances known.
+    /// The known members.
     pub fn members(&self) -> &membership::Membership {
         &self.view.members
     }
 
-    /// The scheduler that this instance runs for a pool, if it was chosen for it.
+    /// The scheduler of a pool, if it runs on this instance.
     pub fn scheduler(&self, pool: &str) -> Option<&scheduler::Scheduler<choose::Predicted>> {
         self.schedulers.get(pool)
     }
 
-    /// The configuration in use.
+    /// The current configuration.
     pub fn topology(&self) -> &Arc<topology::Topology> {
         &self.view.topology
     }
