--- a/oxbowbend-core/src/node/assignment.rs
+++ b/oxbowbend-core/src/node/assignment.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Returns the configuration of a pool, with the endpoints that announced their shutdown marked as
-    /// leaving.
+    /// Returns the configuration of a pool, in which endpoints that announced their shutdown are
+    /// marked as leaving.
     pub(super) fn pool_config(&self, pool: &str) -> topology::Pool {
         let mut config = self.view.topology.pools.get(pool).cloned().unwrap_or_default();
         for (endpoint, declared) in &mut config.endpoints {
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -63,7 +63,7 @@
     PeerDown(ids::InstanceId),
     /// A new request is ready to be scheduled.
     Arrive(message::RequestInfo),
-    /// A waiting request was canceled by its caller or by the daemon.
+    /// A waiting request was cancelled by its caller or by the daemon.
     Withdraw(ids::RequestId),
     /// A run ended, successfully or not.
     Finish {
@@ -305,8 +305,8 @@
         }
     }
 
-    /// Delivers messages from this instance to itself and runs the affected schedulers, until neither
-    /// is left.
+    /// Delivers messages from this instance to itself and runs the affected schedulers, until there
+    /// is nothing left to do.
     fn process_local(&mut self, now: Instant) {
         loop {
             self.queue_local();
@@ -416,7 +416,8 @@
         }
     }
 
-    /// Applies `update` to the scheduler of `pool`, creating it if needed, and marks the pool dirty.
+    /// Applies `update` to the scheduler of `pool`, which is created if needed, and marks the pool
+    /// as dirty.
     fn with_scheduler(
         &mut self,
         pool: &ids::PoolId,
@@ -473,8 +474,8 @@
 
     /// Passes a fully reserved grant to the ingress state.
     ///
-    /// The grant is valid only if all owners that reserved permits for it are still listed, since the
-    /// permits of an unlisted owner may have been taken over.
+    /// The grant is valid only if all owners that reserved permits for it are still listed, since
+    /// the permits of an unlisted owner may have been taken over.
     fn deliver_grant(&mut self, grant: message::Grant) {
         let listed = grant.hops.iter().all(|h| self.view.members.contains(&h.owner));
         let valid = listed && !self.fenced && self.may_dispatch(&grant.endpoint);
--- a/oxbowbend-core/src/permits/claims.rs
+++ b/oxbowbend-core/src/permits/claims.rs
@@ -1,7 +1,9 @@
-//! How permits change their owner.
+//! Transfer of permits between owners.
 //!
-//! A claim is asked of every listed instance. A live owner keeps what it has, an entry instance says what it
-//! uses, and what nobody vouches for is unproven. Claims for the same permit are told apart by their nonce.
+//! A claim is sent to every listed instance. A live owner cedes the permits that are free and no
+//! longer assigned to it, and keeps all others. Each reply also names the claimed permits that the sender's own
+//! requests use. A permit that is neither ceded nor in use is in doubt. The nonce of a claim tells
+//! its replies from those to earlier claims.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Instant;
@@ -11,9 +13,10 @@
 use crate::message;
 
 impl Permits {
-    /// Starts a claim for what of `desired` this instance does not own, asking `others`.
+    /// Starts a claim to the permits of `desired` that this instance does not own, addressed to
+    /// `others`.
     ///
-    /// Returns the nonce and permits to send, or `None` if there is nothing to ask for.
+    /// Returns the nonce and the claimed permits, or `None` if all of them are owned already.
     pub fn start_claim(
         &mut self,
         desired: &BTreeSet<message::Permit>,
@@ -37,8 +40,10 @@
         Some((self.next_nonce, permits))
     }
 
-    /// Answers a claim by another instance: cedes what is free and not `is_desired` by the newest list,
-    /// and returns the permits that the claimant must not take, and those ceded.
+    /// Answers a claim of another instance.
+    ///
+    /// Cedes the permits that are free and not assigned to this instance according to
+    /// `is_desired`. Returns the permits that the claimant must not take, and those ceded.
     pub fn answer_claim(
         &mut self,
         permits: &[message::Permit],
@@ -63,7 +68,8 @@
         (held, ceded)
     }
 
-    /// Two claims for one permit: whoever the newest list names goes on, the other withdraws.
+    /// Resolves a conflict of two claims to one permit: the instance that it is assigned to keeps its
+    /// claim. Returns whether that is this instance.
     fn keeps_contested(
         &mut self,
         permit: &message::Permit,
@@ -92,7 +98,7 @@
         self.mark_changed(&permit.key);
     }
 
-    /// Takes in an answer to this instance's claim.
+    /// Handles a reply to this instance's claim.
     pub fn handle_claim_reply(
         &mut self,
         from: &ids::InstanceId,
@@ -112,12 +118,12 @@
         }
     }
 
-    /// Permits that are being claimed.
+    /// The permits being claimed.
     pub fn claimed_permits(&self) -> impl Iterator<Item = &message::Permit> {
         self.claim.iter().flat_map(|c| &c.permits)
     }
 
-    /// Takes in which of the claimed permits this instance's own requests use.
+    /// Adds the uses of claimed permits by this instance's own requests.
     pub fn add_own_uses(&mut self, me: &ids::InstanceId, uses: &[message::PermitUse]) {
         let Some(claim) = &mut self.claim else { return };
         for u in uses {
@@ -125,15 +131,17 @@
         }
     }
 
-    /// Stops waiting for instances that are no longer listed.
+    /// Stops waiting for replies of instances that are no longer listed.
     pub fn stop_awaiting(&mut self, listed: impl Fn(&str) -> bool) {
         if let Some(claim) = &mut self.claim {
             claim.awaiting.retain(|id| listed(id));
         }
     }
 
-    /// Takes over the claimed permits once everybody has answered. `is_new` tells of a permit that
-    /// has come into being since this instance joined, so that nobody can have used it before.
+    /// Takes over the claimed permits once all replies have arrived; returns whether they have.
+    ///
+    /// `is_new` tells whether a permit was created after this instance joined. Such a permit cannot
+    /// have been used before.
     pub fn complete_claim(
         &mut self,
         now: Instant,
--- a/oxbowbend-core/src/permits/mod.rs
+++ b/oxbowbend-core/src/permits/mod.rs
@@ -1,18 +1,19 @@
-//! Permits: the one place that decides whether one more request may run.
+//! Permits, which enforce the limits on running requests.
 //!
-//! Each slot of an endpoint, and each running request that a client account may have, is a permit.
-//! A permit belongs to one instance, its owner, and only the owner hands it out. A scheduler orders
-//! and chooses, but a grant passes through the owners on its way to the entry instance. Hence no
-//! change, partition or pause of a scheduler can pass a limit: there is no moment at which two
-//! instances may give the same permit away. `docs/design/permits.md` has the designs weighed.
+//! Each slot of an endpoint is a permit, and so is each request that a client account may have
+//! running. A permit belongs to exactly one instance, its owner, and only the owner reserves it for
+//! a grant. Schedulers only choose requests and endpoints: each grant passes through the owners on
+//! its way to the ingress instance. No failure, partition or pause of a scheduler can therefore
+//! exceed a limit. `docs/design/permits.md` compares this design with its alternatives.
 //!
 //! A permit changes owner by a claim that every listed instance must answer. A live owner keeps a
-//! permit until it cedes it; a dead one is in nobody's list, and every entry instance says in its
-//! answer which of the claimed permits it uses. What neither an owner nor a user vouches for is
-//! *unproven*: it is not handed out until the endpoint shows the room, or the longest run is over.
+//! permit until it cedes it. If the owner is gone, each ingress instance names the claimed permits
+//! that its requests use. A permit that is neither ceded nor in use is *in doubt*: it is not
+//! reserved again until the endpoint's load shows that it is free, or until the maximum run time
+//! has passed.
 //!
-//! Traded away: one more hop per grant, and the share of an owner that died together with the
-//! entry instance that used it, for at most [`crate::topology::Topology::max_run`].
+//! The cost is one more hop per grant, and the loss of permits whose owner and user failed together
+//! for up to [`crate::topology::Topology::max_run`].
 
 mod claims;
 
@@ -22,21 +23,21 @@
 use crate::ids;
 use crate::message;
 
-/// Time after which an owner asks an entry instance whether it uses a grant.
+/// Time after which an owner asks an ingress instance whether a grant is in use.
 pub const USAGE_QUERY_DELAY: Duration = Duration::from_secs(1);
-/// Time between two questions about a grant that the entry instance has confirmed.
+/// Time between repeated queries about a grant confirmed to be in use.
 pub const USAGE_QUERY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A permit in use.
+/// The grant for which a permit is reserved.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
-    /// The request that runs on it.
+    /// The granted request.
     pub request: ids::RequestId,
-    /// The attempt granted.
+    /// The granted attempt.
     pub attempt: ids::Attempt,
-    /// Entry instance of the request.
+    /// Ingress instance of the request.
     pub ingress: ids::InstanceId,
-    /// Endpoint at which it runs.
+    /// Endpoint of the run.
     pub endpoint: ids::EndpointId,
     query_at: Instant,
     orphaned_at: Option<Instant>,
@@ -64,10 +65,10 @@
     uses: HashMap<message::Permit, (ids::InstanceId, message::PermitUse)>,
 }
 
-/// Questions to ask after a while, by entry instance.
+/// Usage queries to send, by ingress instance.
 pub type UsageQueries = BTreeMap<ids::InstanceId, Vec<message::PermitUse>>;
 
-/// The permits that one instance owns.
+/// The permits owned by one instance.
 ///
 /// ```
 /// use std::time::Instant;
@@ -75,7 +76,7 @@
 /// use oxbowbend_core::permits::Permits;
 /// let mut permits = Permits::new(1);
 /// let permit = Permit { key: PermitKey::Endpoint("e".into()), index: 0 };
-/// // With nobody else to ask, a claim is settled at once.
+/// // Without other instances, a claim completes at once.
 /// permits.start_claim(&[permit.clone()].into(), [].into());
 /// assert!(permits.complete_claim(Instant::now(), |_| true));
 /// assert_eq!(permits.count(&permit.key), (1, 1));
@@ -91,7 +92,7 @@
 }
 
 impl Permits {
-    /// Creates an owner of nothing. `seed` makes its claims distinct from those of earlier lives.
+    /// Creates a set without permits. `seed` must differ between restarts, to keep nonces unique.
     pub fn new(seed: u64) -> Permits {
         Permits {
             sets: BTreeMap::new(),
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Reserves a permit of `key` for a grant. Asking again for the same grant changes nothing.
+    /// Reserves a permit of `key` for a grant. Repeating the call for the same grant has no effect.
     pub fn reserve(
         &mut self,
         now: Instant,
@@ -136,7 +137,7 @@
         permits.iter().find(|p| p.key == *key).map(|p| p.index)
     }
 
-    /// Frees the permits that a grant holds here; `key` restricts it to one.
+    /// Releases the permits reserved for a grant, or only the one of `key`.
     pub fn release(&mut self, grant_id: &message::GrantId, key: Option<&message::PermitKey>) {
         let Some(permits) = self.by_grant.get_mut(grant_id) else { return };
         let wanted = |p: &message::Permit| key.is_none_or(|k| *k == p.key);
@@ -162,12 +163,12 @@
         }
     }
 
-    /// Endpoints whose numbers have changed since this was last asked.
+    /// Takes the set of endpoints whose permit counts have changed since the last call.
     pub fn take_changed(&mut self) -> BTreeSet<ids::EndpointId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Free and owned permits of a key.
+    /// Returns the number of free and of owned permits of a key.
     pub fn count(&self, key: &message::PermitKey) -> (u32, u32) {
         let Some(set) = self.sets.get(key) else { return (0, 0) };
         (set.free.len() as u32, set.states.len() as u32)
@@ -178,12 +179,12 @@
         self.sets.get(&permit.key).is_some_and(|s| s.states.contains_key(&permit.index))
     }
 
-    /// Keys of which this instance owns permits.
+    /// Keys of the permits owned here.
     pub fn keys(&self) -> impl Iterator<Item = &message::PermitKey> {
         self.sets.keys()
     }
 
-    /// Permits in use here, for tests and status pages.
+    /// Current reservations.
     pub fn reservations(&self) -> impl Iterator<Item = (&message::PermitKey, &Reservation)> {
         self.sets.iter().flat_map(|(key, set)| {
             set.states.values().filter_map(move |state| match state {
@@ -193,18 +194,18 @@
         })
     }
 
-    /// Number of permits owned here.
+    /// Number of owned permits.
     pub fn owned(&self) -> usize {
         self.sets.values().map(|s| s.states.len()).sum()
     }
 
-    /// Number of permits that are not handed out because nobody vouches for them.
+    /// Number of owned permits in doubt.
     pub fn in_doubt(&self) -> usize {
         let states = self.sets.values().flat_map(|s| s.states.values());
         states.filter(|state| matches!(state, PermitState::InDoubt { .. })).count()
     }
 
-    /// Grants about which the entry instances should be asked now.
+    /// Returns the usage queries that are due and schedules their next repetition.
     pub fn due_usage_queries(&mut self, now: Instant) -> UsageQueries {
         let mut due = UsageQueries::new();
         for (key, set) in &mut self.sets {
@@ -224,12 +225,12 @@
         due
     }
 
-    /// An entry instance has said that it does not use a permit and never will under this grant.
+    /// Handles a reply that a permit is not, and will not be, used by a grant.
     pub fn handle_not_in_use(&mut self, u: &message::PermitUse) {
         self.release(&u.grant, Some(&u.permit.key));
     }
 
-    /// An entry instance has confirmed that it uses grants.
+    /// Handles a reply that grants are in use.
     pub fn confirm_use(&mut self, now: Instant, grants: &[message::GrantId]) {
         for grant_id in grants {
             let Some(permits) = self.by_grant.get(grant_id) else { continue };
@@ -249,7 +250,7 @@
         })
     }
 
-    /// Marks the grants of entry instances for which `listed` does not hold as orphaned.
+    /// Marks the reservations of unlisted ingress instances as orphaned.
     pub fn mark_orphaned(&mut self, now: Instant, listed: impl Fn(&str) -> bool) {
         for reservation in
             self.reservations_mut().filter(|r| r.orphaned_at.is_none() && !listed(&r.ingress))
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Runs whose entry instance is gone, to be asked about at their endpoints.
+    /// Runs whose ingress instance is gone, to be queried at their endpoints.
     pub fn orphaned_runs(&self) -> Vec<(ids::EndpointId, message::GrantId)> {
         let orphaned = self.reservations().filter(|(_, r)| r.orphaned_at.is_some());
         let mut runs: Vec<_> =
@@ -268,7 +269,7 @@
         runs
     }
 
-    /// Endpoints with unproven permits, to be asked for their load.
+    /// Endpoints with permits in doubt, whose load is to be queried.
     pub fn endpoints_in_doubt(&self) -> BTreeSet<ids::EndpointId> {
         let in_doubt = |s: &PermitSet| {
             s.states.values().any(|state| matches!(state, PermitState::InDoubt { .. }))
@@ -281,7 +282,7 @@
         .collect()
     }
 
-    /// Whether account permits wait for every endpoint to have been seen idle.
+    /// Whether any account permit is in doubt.
     pub fn has_accounts_in_doubt(&self) -> bool {
         self.sets.iter().any(|(k, s)| {
             matches!(k, message::PermitKey::Account(_))
@@ -289,11 +290,12 @@
         })
     }
 
-    /// Learns that an endpoint had `running` requests in a report read at `read_at`.
+    /// Frees permits in doubt at an endpoint that reported `running` requests.
     ///
-    /// Requests of unknown origin are among those running, so of `n` unproven permits at least
-    /// `n - running` are really free, however many claimants reason so at once. Only permits that
-    /// came into doubt before `observed_at`, the time that the report is sure to describe, count.
+    /// The runs that use permits in doubt are among those reported, so at least `n - running` of
+    /// `n` permits in doubt are free, even if several owners conclude so at the same time. Only
+    /// permits that came into doubt before `observed_at`, the earliest time that the report may
+    /// describe, are counted.
     pub fn resolve_endpoint(
         &mut self,
         endpoint: &ids::EndpointId,
@@ -308,7 +310,7 @@
         }
     }
 
-    /// Learns that every endpoint was idle at `observed_at` or later.
+    /// Frees account permits in doubt after every endpoint was idle at `observed_at` or later.
     pub fn resolve_accounts(&mut self, observed_at: Instant) {
         let keys: Vec<message::PermitKey> = self.sets.keys().cloned().collect();
         for key in keys.into_iter().filter(|k| matches!(k, message::PermitKey::Account(_))) {
@@ -327,7 +329,7 @@
         set.states.iter().filter(|(_, state)| is_old(state)).map(|(i, _)| *i).collect()
     }
 
-    /// Frees what has been in doubt for longer than any run may last.
+    /// Frees permits in doubt and orphaned reservations that are older than the maximum run time.
     pub fn expire(&mut self, now: Instant, max_run: impl Fn(&message::PermitKey) -> Duration) {
         let mut freed = Vec::new();
         for (key, set) in &self.sets {
@@ -352,7 +354,7 @@
         }
     }
 
-    /// Gives up every permit without a word, as after a pause or a removal from the list.
+    /// Discards all permits without ceding them, after a pause or a removal from the list.
     pub fn discard_all(&mut self) {
         let sets = std::mem::take(&mut self.sets);
         self.by_grant.clear();
@@ -365,7 +367,7 @@
         }
     }
 
-    /// Drops permits that no longer exist, once they are free.
+    /// Removes permits that are no longer declared, unless they are in use.
     pub fn remove_undeclared(&mut self, is_declared: impl Fn(&message::Permit) -> bool) {
         let mut changed = Vec::new();
         for (key, set) in &mut self.sets {
--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -15,7 +15,7 @@
 /// The search is skipped when more endpoints than this are free: the first request then has a wide
 /// enough choice.
 const MAX_CACHE_CANDIDATES: usize = 24;
-/// Times that a request may be skipped in favor of one with a cached prompt.
+/// Number of times that a request may be skipped for one with a cached prompt.
 const MAX_SKIPS: u32 = 64;
 /// Fraction of the pool's slots reserved from a tier, multiplied by the tier's level.
 const RESERVED_PER_TIER: f64 = 0.04;
--- a/oxbowbend-core/src/scheduler/endpoint.rs
+++ b/oxbowbend-core/src/scheduler/endpoint.rs
@@ -1,4 +1,4 @@
-//! Scheduling state of an endpoint: offered permits, learned speed and modeled prefix cache.
+//! Scheduling state of an endpoint: offered permits, learned speed and a model of the prefix cache.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
