--- a/oxbowbend-core/src/ingress.rs
+++ b/oxbowbend-core/src/ingress.rs
@@ -1,9 +1,9 @@
-//! The part that stands between callers and the pool's scheduler.
+//! Requests held by an ingress instance, between their callers and the schedulers.
 //!
-//! An entry instance keeps each request until its caller has the answer. It is the only one that
-//! dispatches the request, and it does so for exactly one grant: a grant is good only for the
-//! attempt that the request is at, and whatever makes the fate of a grant doubtful raises the
-//! attempt. That single number is what makes loss, repetition and overtaking of messages harmless.
+//! An ingress instance holds each request until its caller has received the response. It alone
+//! dispatches the request, and for exactly one grant: a grant is valid only for the request's
+//! current attempt, and any uncertainty about a grant increments the attempt. Messages may
+//! therefore be lost, duplicated or reordered.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -14,11 +14,13 @@
 use crate::message;
 use crate::node;
 
-/// Time without a word of the scheduler after which a shed floor is no longer enforced. It is
-/// longer than [`crate::scheduler::THRESHOLD_CONFIRMATION_TTL`], for which the scheduler relies on it.
+/// Time without renewal after which a shed threshold expires.
+///
+/// It exceeds [`crate::scheduler::THRESHOLD_CONFIRMATION_TTL`], the time for which the scheduler
+/// relies on the threshold.
 pub const THRESHOLD_LEASE: Duration = Duration::from_secs(5);
 
-/// When callers are to come back whose requests were given up because the instance was dropped.
+/// Retry delay for requests that are refused because this instance was removed from the list.
 const DELISTED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Debug, PartialEq)]
@@ -45,7 +47,7 @@
     }
 }
 
-/// Digest of one request's standing; digests of a set are combined by exclusive or.
+/// Digest of a request's attempt and state. Digests of a set are combined by exclusive or.
 pub fn request_digest(id: &str, attempt: ids::Attempt, running: bool) -> u64 {
     xxh3::xxh3_64_with_seed(id.as_bytes(), u64::from(attempt) << 1 | u64::from(running))
 }
@@ -65,7 +67,7 @@
     received_at: Instant,
 }
 
-/// The requests held by one entry instance.
+/// The requests held by one ingress instance.
 ///
 /// ```
 /// assert!(oxbowbend_core::ingress::Ingress::new("a".into()).is_empty());
@@ -79,7 +81,7 @@
 }
 
 impl Ingress {
-    /// Creates an entry that holds nothing.
+    /// Creates an empty set of requests.
     pub fn new(me: ids::InstanceId) -> Ingress {
         let (requests, pools, resubmit_at_tick) = Default::default();
         Ingress { me, requests, pools, resubmit_at_tick }
@@ -95,17 +97,17 @@
         self.requests.is_empty()
     }
 
-    /// Number of requests that wait for a grant.
+    /// Number of requests waiting for a grant.
     pub fn waiting(&self) -> usize {
         self.requests.values().filter(|r| r.state == State::Waiting).count()
     }
 
-    /// The attempt that a held request is at.
+    /// The current attempt of a held request.
     pub fn attempt(&self, id: &str) -> Option<ids::Attempt> {
         self.requests.get(id).map(|r| r.info.attempt)
     }
 
-    /// Takes in a caller's request.
+    /// Accepts a new request, or refuses it if its tier is below the shed threshold.
     pub fn arrive(
         &mut self,
         now: Instant,
@@ -127,7 +129,7 @@
         self.requests.insert(request.info.id.clone(), request);
     }
 
-    /// Gives up on a waiting request at the caller's wish; says whether it was still waiting.
+    /// Removes a waiting request; returns whether it was still waiting.
     pub fn withdraw(&mut self, id: &str, out: &mut Vec<node::Action>) -> bool {
         match self.requests.get(id) {
             Some(r) if r.state == State::Waiting => self.drop_waiting(id, out).is_some(),
@@ -163,11 +165,10 @@
         }
     }
 
-    /// Decides on a grant that has reached this instance. `valid` tells whether its owners and
-    /// endpoint may still be used.
+    /// Accepts or rejects a grant. `valid` tells whether its owners and endpoint may still be used.
     ///
-    /// A grant that is not valid is refused, and the request asks for another one at the next
-    /// tick, not at once: what makes it invalid, such as an outdated list, would still be there.
+    /// After an invalid grant, the request is resubmitted at the next tick and not at once, since
+    /// the cause, such as an outdated list, is likely to persist.
     pub fn handle_grant(
         &mut self,
         grant: message::Grant,
@@ -209,8 +210,8 @@
         }
     }
 
-    /// Tells the owners of a grant that it is not used. A grant of the attempt that runs may name
-    /// the same owner again, so each permit is named by its key and only others' are given back.
+    /// Releases the permits of a grant that is not used, except those that the running grant of
+    /// the same attempt uses.
     fn release_unused(&self, grant: &message::Grant, out: &mut Vec<node::Action>) {
         let running = self.requests.get(&grant.request).and_then(|r| match &r.state {
             State::Running(g) if g.attempt == grant.attempt => Some(g),
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Makes every grant of an attempt void and asks for a new one.
+    /// Invalidates all grants of an attempt and resubmits the request.
     pub fn invalidate(
         &mut self,
         now: Instant,
@@ -251,7 +252,7 @@
         send_to(&pool_state.scheduler, message::Message::Enqueue(request.info_at(now)), out);
     }
 
-    /// Ends a run and gives its permits back.
+    /// Ends a run and releases its permits.
     pub fn finish(&mut self, id: &str, report: message::RunReport, out: &mut Vec<node::Action>) {
         if !matches!(self.requests.get(id), Some(r) if r.state != State::Waiting) {
             return;
@@ -261,7 +262,7 @@
         self.end_run(&grant, report, out);
     }
 
-    /// Ends a run that never began, and puts the request back to wait.
+    /// Ends a run that did not start, and returns the request to the queue.
     pub fn requeue(
         &mut self,
         now: Instant,
@@ -297,7 +298,7 @@
         }
     }
 
-    /// Carries out a scheduler's refusal, unless the request has moved on.
+    /// Carries out a scheduler's refusal of the current attempt.
     pub fn handle_refusal(
         &mut self,
         grant_id: &message::GrantId,
@@ -315,9 +316,9 @@
         }
     }
 
-    /// Answers an owner that asks which permits are used; grants of the others become void.
+    /// Answers an owner's query about permit usage and invalidates the grants that are not in use.
     ///
-    /// Whoever asks owns the permit now, so that it is the one to hear when the run is over.
+    /// The sender is recorded as the owner, to which the permit is released after the run.
     pub fn handle_usage_query(
         &mut self,
         now: Instant,
@@ -343,7 +344,7 @@
         }
     }
 
-    /// Whether the permit is used as told; if so, `owner` is noted as its owner.
+    /// Records `owner` as the owner of a permit; returns whether the permit is in use.
     fn update_owner(&mut self, u: &message::PermitUse, owner: &ids::InstanceId) -> bool {
         let (id, attempt) = &u.grant;
         let Some(request) = self.requests.get_mut(id) else { return false };
@@ -362,7 +363,7 @@
         }
     }
 
-    /// Which of the claimed permits run requests of this entry.
+    /// Returns which of the permits are used by requests held here.
     pub fn uses_of(&self, permits: &[message::Permit]) -> Vec<message::PermitUse> {
         let wanted: HashSet<&message::Permit> = permits.iter().collect();
         let running = self.requests.values().filter_map(|r| match &r.state {
@@ -373,7 +374,7 @@
         uses.filter(|u| wanted.contains(&u.permit)).collect()
     }
 
-    /// Moves a pool to another scheduler and tells it, and the former one, what is held.
+    /// Changes the scheduler of a pool and sends snapshots to the former and the new one.
     pub fn set_scheduler(
         &mut self,
         now: Instant,
@@ -396,12 +397,12 @@
         self.send_snapshot(now, pool, out);
     }
 
-    /// The scheduler that a pool's requests are sent to.
+    /// The scheduler of a pool.
     pub fn scheduler(&self, pool: &str) -> Option<&ids::InstanceId> {
         self.pools.get(pool)?.scheduler.as_ref()
     }
 
-    /// Sends everything held in a pool to its scheduler.
+    /// Sends all requests of a pool to its scheduler.
     pub fn send_snapshot(&self, now: Instant, pool: &ids::PoolId, out: &mut Vec<node::Action>) {
         let Some(pool_state) = self.pools.get(pool) else { return };
         let mut waiting = Vec::new();
@@ -421,7 +422,7 @@
         );
     }
 
-    /// Raises, renews or lifts the shed floor of a pool, on the word of its current scheduler.
+    /// Sets, renews or lifts the shed threshold of a pool, if `from` is its current scheduler.
     pub fn handle_shed_threshold(
         &mut self,
         now: Instant,
@@ -447,9 +448,9 @@
         }
     }
 
-    /// The platform's list has dropped this instance, so others took what waits here for lost and
-    /// may have shed higher tiers since. All but the highest tier is given up, as it would have
-    /// been had the instance died.
+    /// Refuses waiting requests of all but the highest tier, after the list dropped this instance.
+    ///
+    /// Other instances consider these requests lost and may have shed higher tiers since.
     pub fn handle_delisted(&mut self, out: &mut Vec<node::Action>) {
         let is_shed = |r: &Request| r.info.tier > 0 && r.state == State::Waiting;
         for id in self.matching_ids(is_shed) {
@@ -462,7 +463,7 @@
         }
     }
 
-    /// Ids of the requests that match, in a fixed order.
+    /// Ids of the matching requests in sorted order.
     fn matching_ids(&self, matches: impl Fn(&Request) -> bool) -> Vec<ids::RequestId> {
         let matching = self.requests.values().filter(|r| matches(r));
         let mut ids: Vec<ids::RequestId> = matching.map(|r| r.info.id.clone()).collect();
@@ -470,7 +471,7 @@
         ids
     }
 
-    /// Drops floors that the scheduler no longer renews and gives up on overdue requests.
+    /// Resubmits requests, expires shed thresholds and refuses overdue requests.
     pub fn tick(&mut self, now: Instant, out: &mut Vec<node::Action>) {
         for id in std::mem::take(&mut self.resubmit_at_tick) {
             self.resubmit(now, &id, out);
@@ -487,7 +488,7 @@
         }
     }
 
-    /// Digests of the pools that `scheduler` schedules for this entry.
+    /// Digests of the pools scheduled by `scheduler`.
     pub fn pool_digests(&self, scheduler: &str) -> Vec<message::PoolDigest> {
         let scheduled =
             self.pools.iter().filter(|(_, s)| s.scheduler.as_deref() == Some(scheduler));
@@ -500,7 +501,7 @@
             .collect()
     }
 
-    /// This instance.
+    /// The id of this instance.
     pub fn id(&self) -> &ids::InstanceId {
         &self.me
     }
