--- a/oxbowbend-core/src/permits/claims.rs
+++ b/oxbowbend-core/src/permits/claims.rs
@@ -1,9 +1,9 @@
 //! Transfer of permits between owners.
 //!
 //! A claim is sent to every listed instance. A live owner cedes the permits that are free and no
-//! longer assigned to it, and keeps all others. Each reply also names the claimed permits that the sender's own
-//! requests use. A permit that is neither ceded nor in use is in doubt. The nonce of a claim tells
-//! its replies from those to earlier claims.
+//! longer assigned to it, and keeps all others. Each reply also names the claimed permits that the
+//! sender's own requests use. A permit that is neither ceded nor in use is in doubt. The nonce of a
+//! claim distinguishes its replies from those to earlier claims.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Instant;
@@ -68,8 +68,8 @@
         (held, ceded)
     }
 
-    /// Resolves a conflict of two claims to one permit: the instance that it is assigned to keeps its
-    /// claim. Returns whether that is this instance.
+    /// Resolves a conflict of two claims to one permit: the instance that it is assigned to keeps
+    /// its claim. Returns whether that is this instance.
     fn keeps_contested(
         &mut self,
         permit: &message::Permit,
