--- a/oxbowbend-core/src/message.rs
+++ b/oxbowbend-core/src/message.rs
@@ -1,26 +1,26 @@
 //! Messages between instances.
 //!
-//! Every message is one-way. Any of them may be lost, repeated or overtaken by one sent on another
-//! connection; each receiver is written so that no such event breaks a limit or runs a request
-//! twice. Only messages between the same two instances keep their order.
+//! All messages are one-way. They may be lost or duplicated, and only those from one instance to
+//! another keep their order. Receivers must exceed no limit and run no request twice in any such
+//! case.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids;
 use crate::membership;
 
-/// What a scheduler knows of a waiting request; the body stays at the entry instance.
+/// Description of a request for its scheduler. The body stays at the ingress instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RequestInfo {
     /// The request.
     pub id: ids::RequestId,
-    /// The attempt that this record stands for.
+    /// Current attempt of the request.
     pub attempt: ids::Attempt,
-    /// Pool that the request is for.
+    /// Pool of the request.
     pub pool: ids::PoolId,
-    /// Client account that sent it.
+    /// Client account of the request.
     pub account: ids::AccountId,
-    /// Its tier.
+    /// Tier of the request.
     pub tier: ids::TierLevel,
     /// Weight of the account within the tier.
     pub weight: u32,
@@ -28,144 +28,144 @@
     pub prompt_tokens: u32,
     /// Estimated output tokens.
     pub output_tokens: u32,
-    /// Cumulative hashes of the prompt's leading blocks, the shortest first.
+    /// Cumulative hashes of the prompt's leading blocks, the shortest prefix first.
     pub prefix: Vec<u64>,
-    /// Milliseconds left until the deadline when the record was written.
+    /// Milliseconds left until the deadline when the message was created.
     pub due_in_ms: u64,
 }
 
 impl RequestInfo {
-    /// Estimated tokens of work, the unit of fairness.
+    /// Estimated work in tokens, by which accounts share the service.
     pub fn work(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.output_tokens)
     }
 }
 
-/// What a permit allows one more of.
+/// The limit that a permit belongs to.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum PermitKey {
-    /// A request running at this endpoint.
+    /// Requests running at an endpoint.
     Endpoint(ids::EndpointId),
-    /// A request of this client account running anywhere.
+    /// Requests of a client account running at any endpoint.
     Account(ids::AccountId),
 }
 
-/// One of the permits of a key.
+/// One permit of a limit.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Permit {
-    /// What it is for.
+    /// The limit.
     pub key: PermitKey,
-    /// Which of the key's permits it is.
+    /// Index among the permits of the limit.
     pub index: u32,
 }
 
-/// A permit's owner along a grant's way, and the permit once the owner has reserved it.
+/// An owner on a grant's path, and the permit that it has reserved.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Hop {
-    /// Owner to ask.
+    /// Owner of the permit.
     pub owner: ids::InstanceId,
-    /// What is asked for.
+    /// The limit that requires the permit.
     pub key: PermitKey,
-    /// Which permit the owner reserved.
+    /// Index of the reserved permit, once the owner has reserved it.
     pub index: Option<u32>,
 }
 
-/// A grant on its way from a scheduler through the owners to the entry instance.
+/// A grant, sent by a scheduler through the permit owners to the ingress instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Grant {
-    /// The request granted.
+    /// The granted request.
     pub request: ids::RequestId,
-    /// The attempt granted; any other makes the grant void.
+    /// The granted attempt. The grant is invalid for any other attempt.
     pub attempt: ids::Attempt,
     /// Pool of the request.
     pub pool: ids::PoolId,
-    /// Endpoint to dispatch to.
+    /// Endpoint to dispatch the request to.
     pub endpoint: ids::EndpointId,
-    /// Entry instance that holds the request.
+    /// Ingress instance that holds the request.
     #[serde(rename = "entry")]
     pub ingress: ids::InstanceId,
-    /// Scheduler that decided.
+    /// Scheduler that sent the grant.
     pub scheduler: ids::InstanceId,
-    /// The scheduler's count of grants sent to the endpoint's owner, to date its offers.
+    /// Sequence number among the scheduler's grants to the owner of the endpoint's permit.
     #[serde(rename = "ask")]
     pub seq: u64,
-    /// Owners still to reserve or already reserved, in order.
+    /// Owners that have reserved or must reserve a permit, in order.
     pub hops: Vec<Hop>,
 }
 
-/// How many permits an owner has free for an endpoint.
+/// An owner's free permits for an endpoint.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Offer {
     /// Pool of the endpoint.
     pub pool: ids::PoolId,
     /// The endpoint.
     pub endpoint: ids::EndpointId,
-    /// Free permits.
+    /// Number of free permits.
     pub free: u32,
-    /// Permits owned, free or not.
+    /// Number of owned permits, free or not.
     pub owned: u32,
-    /// The latest [`Grant::seq`] of this scheduler that the numbers include.
+    /// The latest [`Grant::seq`] of the receiving scheduler that `free` accounts for.
     #[serde(rename = "asks_seen")]
     pub last_seq: u64,
 }
 
-/// Proof of what an entry holds in a pool, sent with each heartbeat.
+/// Digest of an ingress instance's requests in a pool, sent with heartbeats.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PoolDigest {
     /// The pool.
     pub pool: ids::PoolId,
-    /// Order-independent digest of the requests held and their attempts and states.
+    /// Order-independent digest of the ids, attempts and states of the requests.
     pub digest: u64,
-    /// The latest shed floor that the entry enforces.
+    /// Sequence number of the shed threshold in force, or 0.
     #[serde(rename = "floor")]
     pub threshold_seq: u64,
 }
 
-/// Why a request was refused before it ran.
+/// Reason for the refusal of a request that was not run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum RefusalReason {
-    /// The pool is full and nothing of a lower tier is kept.
+    /// The pool's queue is full.
     Shed,
-    /// The deadline cannot be met.
+    /// The request cannot finish before its deadline.
     Deadline,
-    /// Nothing can serve the pool at present.
+    /// No endpoint can serve the request at present.
     Unavailable,
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub enum RunOutcome {
-    /// The whole answer came.
+    /// The whole response was received.
     #[default]
     Complete,
-    /// The caller went away; this says nothing about the endpoint.
+    /// The run was cancelled, which says nothing about the endpoint.
     Cancelled,
-    /// The endpoint refused, failed or cut the answer off.
+    /// The endpoint refused the request, failed or closed the connection early.
     Failed,
 }
 
-/// What a finished run showed, for learning.
+/// Measurements of a finished run.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RunReport {
-    /// How it ended.
+    /// Outcome of the run.
     #[serde(rename = "end")]
     pub outcome: RunOutcome,
-    /// Milliseconds to the first token, if one came.
+    /// Milliseconds from dispatch to the first token, if there was one.
     pub first_token_ms: Option<u64>,
     /// Milliseconds from dispatch to the end.
     pub total_ms: u64,
-    /// Prompt tokens processed, where the endpoint said so.
+    /// Prompt tokens processed, if reported by the endpoint.
     pub prompt_tokens: u32,
-    /// Prompt tokens found in the endpoint's cache, where it said so.
+    /// Prompt tokens found in the endpoint's cache, if reported by the endpoint.
     pub cached_tokens: u32,
     /// Output tokens.
     pub output_tokens: u32,
 }
 
-/// The grant of one attempt of a request.
+/// Identifies the grants of one attempt of a request.
 pub type GrantId = (ids::RequestId, ids::Attempt);
 
-/// A permit and the grant that uses it, or may use it.
+/// A permit and the grant that uses or may use it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PermitUse {
     /// The permit.
@@ -179,9 +179,9 @@
 /// A message from one instance to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// Entry to scheduler: a request waits.
+    /// From ingress instance to scheduler: a request is waiting.
     Enqueue(RequestInfo),
-    /// Entry to scheduler: a request waits no longer.
+    /// From ingress instance to scheduler: a request is no longer waiting.
     Withdraw {
         /// The pool.
         pool: ids::PoolId,
@@ -190,7 +190,7 @@
         /// Its attempt.
         attempt: ids::Attempt,
     },
-    /// Entry to scheduler: a grant was accepted.
+    /// From ingress instance to scheduler: a grant was accepted.
     #[serde(rename = "Taken")]
     Accepted {
         /// The pool.
@@ -200,7 +200,7 @@
         /// Its attempt.
         attempt: ids::Attempt,
     },
-    /// Entry to scheduler: a run has ended.
+    /// From ingress instance to scheduler: a run has ended.
     Done {
         /// The pool.
         pool: ids::PoolId,
@@ -208,117 +208,117 @@
         request: ids::RequestId,
         /// Its attempt.
         attempt: ids::Attempt,
-        /// What the run showed.
+        /// Measurements of the run.
         report: RunReport,
     },
-    /// Entry to scheduler: everything held in a pool, waiting and running.
+    /// From ingress instance to scheduler: all requests held in a pool.
     #[serde(rename = "Report")]
     Snapshot {
         /// The pool.
         pool: ids::PoolId,
-        /// Requests that wait.
+        /// Waiting requests.
         waiting: Vec<RequestInfo>,
-        /// Requests that run, and where.
+        /// Running requests and their endpoints.
         running: Vec<(RequestInfo, ids::EndpointId)>,
     },
-    /// Member to scheduler: sign of life with digests.
+    /// From any instance to a scheduler: heartbeat with digests.
     #[serde(rename = "Beat")]
     Heartbeat {
-        /// Number of the message.
+        /// Sequence number of the heartbeat.
         seq: u64,
         /// Digests by pool.
         pools: Vec<PoolDigest>,
     },
-    /// Scheduler to member: answer to a heartbeat, naming the pools whose digest differs.
+    /// From scheduler to the sender of a heartbeat: acknowledgement.
     #[serde(rename = "BeatAck")]
     HeartbeatAck {
-        /// Number of the message.
+        /// Sequence number of the heartbeat.
         seq: u64,
-        /// Pools whose report is wanted.
+        /// Pools whose digest differs and for which a snapshot is requested.
         resync: Vec<ids::PoolId>,
     },
-    /// Owner to scheduler: free permits have changed.
+    /// From owner to scheduler: the number of free permits has changed.
     Offer(Vec<Offer>),
-    /// Scheduler to owner, owner to owner, owner to entry.
+    /// From scheduler to owner, between owners, and from owner to ingress instance.
     Grant(Grant),
-    /// Owner to scheduler: no permit of `key` is free.
+    /// From owner to scheduler: no permit of `key` is free.
     Denied {
         /// The grant.
         grant: Grant,
-        /// What the permit is for.
+        /// The limit without a free permit.
         key: PermitKey,
     },
-    /// Entry or owner to owner: the permit is not needed or no longer needed.
+    /// From ingress instance or owner to owner: the permit is not needed or no longer needed.
     Release {
         /// The request.
         request: ids::RequestId,
         /// Its attempt.
         attempt: ids::Attempt,
-        /// What the permit is for.
+        /// The limit that the permit belongs to.
         key: PermitKey,
     },
-    /// Owner to entry: which of these do you use?
+    /// From owner to ingress instance: asks which of these grants are in use.
     #[serde(rename = "Inquire")]
     QueryUsage {
         /// The permits and their grants.
         uses: Vec<PermitUse>,
     },
-    /// Entry to owner: these are not used and never will be.
+    /// From ingress instance to owner: these grants are not, and will not be, in use.
     #[serde(rename = "NotUsed")]
     NotInUse {
         /// The permits and their grants.
         uses: Vec<PermitUse>,
     },
-    /// Entry to owner: these are used.
+    /// From ingress instance to owner: these grants are in use.
     #[serde(rename = "Used")]
     InUse {
         /// The grants.
         grants: Vec<GrantId>,
     },
-    /// Scheduler to entry: give the caller its final answer.
+    /// From scheduler to ingress instance: a request is refused.
     Refuse {
         /// The request.
         request: ids::RequestId,
         /// Its attempt.
         attempt: ids::Attempt,
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// Milliseconds after which to come back.
+        /// Milliseconds after which the caller may retry.
         retry_after_ms: u64,
     },
-    /// Scheduler to member: shed arrivals below the given tier; `None` lifts the floor.
+    /// From scheduler to ingress instance: shed requests of tiers lower than the threshold.
     #[serde(rename = "Floor")]
     ShedThreshold {
         /// The pool.
         pool: ids::PoolId,
-        /// Number of the message.
+        /// Sequence number of the threshold.
         seq: u64,
-        /// Lowest tier that is still kept.
+        /// Lowest tier that is kept, or `None` to lift the threshold.
         #[serde(rename = "keep")]
         lowest_kept: Option<ids::TierLevel>,
     },
-    /// Member to all: I should own these permits; may I?
+    /// From any instance to all others: claims permits that are assigned to the sender.
     Claim {
-        /// Number of the claim.
+        /// Nonce of the claim.
         nonce: u64,
-        /// The instance list that the claim rests on.
+        /// The instance list on which the claim is based.
         list: membership::InstanceList,
         /// The permits claimed.
         permits: Vec<Permit>,
     },
-    /// Answer to a claim: what the sender keeps, what it cedes, and what it uses as an entry.
+    /// Reply to a claim.
     ClaimReply {
-        /// Number of the claim.
+        /// Nonce of the claim.
         nonce: u64,
-        /// What the sender keeps.
+        /// Permits that the sender keeps.
         held: Vec<Permit>,
-        /// What the sender cedes.
+        /// Permits that the sender cedes.
         ceded: Vec<Permit>,
-        /// What requests of the sender use.
+        /// Claimed permits used by requests of the sender.
         used: Vec<PermitUse>,
     },
-    /// A member is stopping and takes no new share.
+    /// The sender is shutting down and must be assigned no more permits or pools.
     Leaving,
-    /// An endpoint itself said that it is leaving.
+    /// An endpoint announced that it is shutting down.
     EndpointLeaving(ids::EndpointId),
 }
