--- a/oxbowbend-core/src/queue.rs
+++ b/oxbowbend-core/src/queue.rs
@@ -1,27 +1,28 @@
-//! The order of waiting requests in one pool.
+//! Queue of the requests waiting in one pool.
 //!
-//! Tiers are strict. Within a tier, client accounts share by work: each account has a virtual time
-//! that advances by `work / weight` of what it was served, and the account with the smallest one
-//! goes next (start-time fair queueing). An account that was idle starts at the current virtual
-//! time, so that it gains nothing by waiting and loses nothing by having been away.
+//! Tiers have strict priority. Within a tier, client accounts share the service by start-time fair
+//! queueing: an account's virtual time advances by `work / weight` of each request served, and the
+//! account with the smallest virtual time goes next. An account that was idle starts at the
+//! tier's current virtual time, so it neither gains nor loses by having been idle.
 //!
-//! Traded away: exact shortest-first order inside an account. Each operation costs `O(log n)`.
+//! Requests of an account are served in order of arrival, not shortest first. Each operation takes
+//! `O(log n)` time.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::ids;
 
-/// Virtual time advances by work times this, divided by the weight, to keep integer precision.
+/// Factor of the virtual time, which keeps precision in the integer division by the weight.
 const VIRTUAL_SCALE: u64 = 1 << 10;
 
-/// What the queue needs to know of a request.
+/// A waiting request, as seen by the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
     /// The request.
     pub id: ids::RequestId,
-    /// Its account.
+    /// Client account of the request.
     pub account: ids::AccountId,
-    /// Its tier.
+    /// Tier of the request.
     pub tier: ids::TierLevel,
     /// Weight of the account, at least 1.
     pub weight: u32,
@@ -45,7 +46,7 @@
     next_sweep_len: usize,
 }
 
-/// Waiting requests in the order in which they should be served.
+/// Waiting requests in the order in which they are served.
 ///
 /// ```
 /// use oxbowbend_core::queue::{QueuedRequest, Queue};
@@ -71,17 +72,17 @@
         self.index.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
 
-    /// Whether `id` waits here.
+    /// Whether the request is in the queue.
     pub fn contains(&self, id: &str) -> bool {
         self.index.contains_key(id)
     }
 
-    /// Adds a request; one that is already here is left as it is.
+    /// Adds a request. Has no effect if it is in the queue already.
     pub fn push(&mut self, request: QueuedRequest) {
         if self.index.contains_key(&request.id) {
             return;
@@ -92,7 +93,7 @@
         self.tiers.entry(request.tier).or_default().push(seq, request);
     }
 
-    /// Removes a request wherever it stands.
+    /// Removes a request without charging its account.
     pub fn remove(&mut self, id: &str) -> Option<QueuedRequest> {
         let (tier_level, account, seq) = self.index.remove(id)?;
         let tier = self.tiers.get_mut(&tier_level)?;
@@ -103,12 +104,12 @@
         request
     }
 
-    /// The request to serve next among the accounts for which `eligible` holds.
+    /// Returns the next request to serve among those for which `eligible` holds.
     pub fn peek(&self, eligible: impl Fn(&QueuedRequest) -> bool) -> Option<&QueuedRequest> {
         self.tiers.values().find_map(|t| t.peek(&eligible))
     }
 
-    /// The request to serve next within one tier.
+    /// Returns the next request to serve within one tier.
     pub fn peek_tier(
         &self,
         tier: ids::TierLevel,
@@ -117,7 +118,7 @@
         self.tiers.get(&tier)?.peek(&eligible)
     }
 
-    /// The first `limit` requests of an account in a tier, in order of arrival.
+    /// Returns up to `limit` of the oldest requests of an account in a tier.
     pub fn oldest_of_account(
         &self,
         tier: ids::TierLevel,
@@ -128,12 +129,12 @@
         flow.into_iter().flat_map(|f| f.requests.values()).take(limit)
     }
 
-    /// Tiers that have requests waiting, the highest first.
+    /// Returns the tiers with waiting requests, the highest first.
     pub fn waiting_tiers(&self) -> Vec<ids::TierLevel> {
         self.tiers.iter().filter(|(_, t)| !t.by_size_class.is_empty()).map(|(l, _)| *l).collect()
     }
 
-    /// Takes a request out to be served and charges its account.
+    /// Removes a request to be served and charges its account.
     pub fn serve(&mut self, id: &str) -> Option<QueuedRequest> {
         let (tier_level, account, _) = self.index.get(id)?.clone();
         let request = self.remove(id)?;
@@ -143,7 +144,7 @@
         Some(request)
     }
 
-    /// The request to shed first: of the lowest tier, among the largest the newest.
+    /// Returns the next request to shed: the newest of the largest requests in the lowest tier.
     pub fn victim(&self) -> Option<&QueuedRequest> {
         let tier = self.tiers.values().rev().find(|t| !t.by_size_class.is_empty())?;
         let (_, _, id) = tier.by_size_class.iter().next_back()?;
@@ -151,7 +152,7 @@
         tier.flows.get(account)?.requests.get(seq)
     }
 
-    /// Work waiting in `tier` and every higher one, in tokens.
+    /// Work waiting in `tier` and all higher tiers, in tokens.
     pub fn work_at_or_above(&self, tier: ids::TierLevel) -> u64 {
         self.tiers.range(..=tier).map(|(_, t)| t.work).sum()
     }
@@ -191,8 +192,10 @@
             .find(|request| eligible(request))
     }
 
-    /// Advances the account's virtual time. The account may have left `flows` when its last
-    /// request was taken out, and is then put back to remember what it owes.
+    /// Advances the account's virtual time.
+    ///
+    /// An account without waiting requests may be missing in `flows`. It is added again, so that its
+    /// virtual time is kept.
     fn charge(&mut self, account: &ids::AccountId, request: &QueuedRequest) {
         let tier_time = self.virtual_time;
         let flow = self.flows.entry(account.clone()).or_default();
@@ -209,8 +212,10 @@
         self.remove_idle_flows();
     }
 
-    /// Drops idle accounts that owe nothing any more. The next sweep waits until the number of
-    /// accounts has doubled, so that the cost per served request stays constant on average.
+    /// Removes idle accounts whose virtual time has passed.
+    ///
+    /// The next sweep follows when the number of accounts has doubled, which makes the cost per
+    /// served request amortized constant.
     fn remove_idle_flows(&mut self) {
         const MIN_SWEEP_LEN: usize = 64;
         if self.flows.len() < self.next_sweep_len.max(MIN_SWEEP_LEN) {
