--- a/oxbowbend-core/src/ledger.rs
+++ b/oxbowbend-core/src/ledger.rs
@@ -1,13 +1,12 @@
-//! The record that makes a request with an idempotency key run at most once.
+//! The ledger, by which a request with an idempotency key runs at most once.
 //!
-//! The ledger lives in the platform's key-value service, split into shards. A shard is one value,
-//! changed only by compare-and-swap, so that every step has one place in one order however many
-//! instances write. Each step names the run that takes it: taking the same step again after a lost
-//! reply gives the same answer, and a paused holder that wakes after a takeover is told
-//! [`StepResult::NotOwner`].
+//! The ledger is stored in the platform's key-value service, split into shards. A shard is one
+//! value that changes only by compare-and-swap, which gives all steps on it a total order. Each step
+//! carries the id of its run: repeating a step after a lost reply has the same result, and a holder
+//! that was paused during a takeover gets [`StepResult::NotOwner`].
 //!
-//! Traded away: the whole shard is written at each step. Steps that arrive together share one
-//! write; `docs/CAPACITY.md` has the size at which shards must be split further.
+//! Each step writes its whole shard, but concurrent steps share one write. `docs/CAPACITY.md` lists
+//! the size at which the number of shards must be raised.
 
 use std::collections::BTreeMap;
 
@@ -21,117 +20,117 @@
 /// Seconds since the Unix epoch.
 pub type UnixSeconds = u64;
 
-/// Where a request stands.
+/// Stage of a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Stage {
-    /// An entry instance holds it; nothing has been sent to any endpoint.
+    /// Held by an ingress instance and not sent to any endpoint.
     Held {
-        /// The instance.
+        /// The ingress instance.
         holder: ids::InstanceId,
     },
-    /// It may have been sent to an endpoint.
+    /// Possibly sent to an endpoint.
     Dispatched {
         /// The endpoint.
         endpoint: ids::EndpointId,
     },
-    /// Its whole answer has been read from the endpoint.
+    /// The whole response was received from the endpoint.
     Done {
         /// The endpoint.
         endpoint: ids::EndpointId,
     },
 }
 
-/// One request in the ledger.
+/// The ledger entry of one request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Entry {
-    /// The run that took the last step; it doubles as the run id at the endpoint.
+    /// The run that made the last step, which is also the run id at the endpoint.
     pub run: ids::RequestId,
-    /// Where the request stands.
+    /// Stage of the request.
     pub stage: Stage,
-    /// Digest of the request's body.
+    /// Digest of the request body.
     #[serde(rename = "body")]
     pub body_digest: u64,
-    /// When the entry may be forgotten.
+    /// When the entry expires.
     pub expires: UnixSeconds,
 }
 
-/// A step to take.
+/// A change of one entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Step {
-    /// Entry to change.
+    /// Key of the entry.
     pub key: LedgerKey,
-    /// Run that takes the step.
+    /// Run that makes the step.
     pub run: ids::RequestId,
-    /// What to do.
+    /// The change to make.
     pub action: StepAction,
 }
 
-/// What a step does.
+/// Change made by a step.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum StepAction {
-    /// Begin to hold the request.
+    /// Hold a new request, or take over a held one.
     Hold {
-        /// Instance that holds it.
+        /// Instance that holds the request.
         holder: ids::InstanceId,
-        /// Digest of the body.
+        /// Digest of the request body.
         #[serde(rename = "body")]
         body_digest: u64,
-        /// Whether to take the request over from another holder.
+        /// Whether to take over a request held under another run.
         takeover: bool,
-        /// Seconds for which the entry is kept.
+        /// Seconds until the entry expires.
         #[serde(rename = "window")]
         retention_s: u64,
     },
-    /// Go from held to dispatched. Nothing may be sent before this is confirmed.
+    /// Change from held to dispatched. Must succeed before anything is sent to the endpoint.
     Dispatch {
-        /// Endpoint that is about to get the request.
+        /// Endpoint of the dispatch.
         endpoint: ids::EndpointId,
     },
-    /// Go back from dispatched to held; only for a holder that knows that no byte was sent.
+    /// Change from dispatched to held. Allowed only if nothing was sent to the endpoint.
     Undo {
-        /// Instance that goes on holding it.
+        /// Instance that holds the request.
         holder: ids::InstanceId,
     },
-    /// Go from dispatched to done.
+    /// Change from dispatched to done.
     Finish,
-    /// Give a held request up, so that a later one with this key may run.
+    /// Remove the entry of a held request, so that a later request with this key may run.
     Release,
 }
 
-/// Answer to a step.
+/// Result of a step.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum StepResult {
-    /// The step is taken.
+    /// The step was applied.
     #[serde(rename = "Taken")]
     Applied,
     /// Another run holds the request.
     HeldBy {
-        /// Its holder.
+        /// Instance that holds it.
         holder: ids::InstanceId,
     },
     /// The request was dispatched under another run.
     Dispatched {
-        /// Endpoint that has it.
+        /// Endpoint that it was dispatched to.
         endpoint: ids::EndpointId,
         /// Run to resume there.
         run: ids::RequestId,
     },
-    /// The request was answered under another run.
+    /// The request was completed under another run.
     Done {
         /// Endpoint that ran it.
         endpoint: ids::EndpointId,
-        /// Run to fetch there.
+        /// Run whose response can be fetched there.
         run: ids::RequestId,
     },
-    /// The key was used for a request with another body.
+    /// The key was used before for a request with another body.
     #[serde(rename = "OtherBody")]
     BodyMismatch,
-    /// The run no longer has the entry: another one took it over, or it has expired.
+    /// The entry does not belong to the run: it was taken over or has expired.
     #[serde(rename = "Lost")]
     NotOwner,
 }
 
-/// One shard's value.
+/// The stored value of one shard.
 ///
 /// ```
 /// use oxbowbend_core::ledger::{Shard, Step, StepAction, StepResult};
@@ -157,7 +156,7 @@
 }
 
 impl Shard {
-    /// Takes a step, or says why it cannot be taken. A refused step changes nothing.
+    /// Applies a step. A step that is rejected changes nothing.
     pub fn apply(&mut self, now: UnixSeconds, step: &Step) -> StepResult {
         match &step.action {
             StepAction::Hold { holder, body_digest, takeover, retention_s } => {
@@ -176,7 +175,7 @@
         }
     }
 
-    /// Drops entries whose time is over.
+    /// Removes expired entries.
     pub fn expire(&mut self, now: UnixSeconds) {
         self.entries.retain(|_, e| e.expires > now);
     }
@@ -244,8 +243,8 @@
         }
     }
 
-    /// A released entry is removed; releasing one that is gone already is no error, since the
-    /// reply to the first release may have been lost.
+    /// Removes a held entry. Succeeds if there is none, since the reply to an earlier release may
+    /// have been lost.
     fn release(&mut self, step: &Step) -> StepResult {
         match self.entries.get(&step.key) {
             None => StepResult::Applied,
@@ -259,7 +258,7 @@
     }
 }
 
-/// The shard that an entry is in.
+/// Returns the shard of an entry.
 ///
 /// ```
 /// assert!(oxbowbend_core::ledger::shard_of("key", 64) < 64);
@@ -268,7 +267,7 @@
     (xxh3::xxh3_64(key.as_bytes()) % u64::from(shards.max(1))) as u32
 }
 
-/// Digest of an account and an idempotency key.
+/// Returns the ledger key of a client account and idempotency key.
 ///
 /// ```
 /// use oxbowbend_core::ledger::ledger_key;
