--- a/oxbowbend-core/src/ledger.rs
+++ b/oxbowbend-core/src/ledger.rs
@@ -1,9 +1,9 @@
 //! The ledger, by which a request with an idempotency key runs at most once.
 //!
 //! The ledger is stored in the platform's key-value service, split into shards. A shard is one
-//! value that changes only by compare-and-swap, which gives all steps on it a total order. Each step
-//! carries the id of its run: repeating a step after a lost reply has the same result, and a holder
-//! that was paused during a takeover gets [`StepResult::NotOwner`].
+//! value that changes only by compare-and-swap, which gives all steps on it a total order. Each
+//! step carries the id of its run: repeating a step after a lost reply has the same result, and a
+//! holder that was paused during a takeover gets [`StepResult::NotOwner`].
 //!
 //! Each step writes its whole shard, but concurrent steps share one write. `docs/CAPACITY.md` lists
 //! the size at which the number of shards must be raised.
--- a/oxbowbend-core/src/queue.rs
+++ b/oxbowbend-core/src/queue.rs
@@ -194,8 +194,8 @@
 
     /// Advances the account's virtual time.
     ///
-    /// An account without waiting requests may be missing in `flows`. It is added again, so that its
-    /// virtual time is kept.
+    /// An account without waiting requests may be missing in `flows`. It is added again, so that
+    /// its virtual time is kept.
     fn charge(&mut self, account: &ids::AccountId, request: &QueuedRequest) {
         let tier_time = self.virtual_time;
         let flow = self.flows.entry(account.clone()).or_default();
