--- a/oxbowbend-core/tests/harness/mod.rs
+++ b/oxbowbend-core/tests/harness/mod.rs
@@ -1,7 +1,6 @@
-//! Drives some nodes by hand: every message, tick and fault is the test's.
+//! Simulation of several nodes in which the test controls messages, time and faults.
 //!
-//! There is no network and no platform here, only queues of messages, a list that the test sets,
-//! and a note of what runs at each endpoint, against which the limits are checked at every instant.
+//! Runs are recorded and checked against the limits whenever one starts.
 
 #![allow(dead_code)]
 
@@ -19,10 +18,10 @@
 
 pub use setup::{request_info, topology, POOL};
 
-/// Time within which a daemon sends a granted request, or asks for another grant.
+/// Time within which a daemon must dispatch a grant. Later it requeues the request.
 pub const DISPATCH_WITHIN: Duration = Duration::from_secs(2);
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 pub struct Envelope {
     pub from: InstanceId,
@@ -30,13 +29,13 @@
     pub message: Message,
 }
 
-/// What a request has come to.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestOutcome {
     Pending,
     Completed,
     Refused(RefusalReason),
-    /// Its entry instance died.
+    /// The ingress instance crashed.
     Lost,
 }
 
@@ -57,20 +56,20 @@
     finished_while_paused: Vec<RequestId>,
 }
 
-/// Decides what becomes of a message about to be delivered.
+/// Decides on the delivery of each message and may inject faults.
 pub type Filter = Box<dyn FnMut(&Envelope, &mut Vec<Fault>) -> Delivery>;
 
-/// What becomes of a message.
+/// Delivery of a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Delivery {
     Deliver,
     Drop,
     Duplicate,
-    /// Kept back until [`Cluster::deliver_delayed`].
+    /// Delayed until [`Cluster::deliver_delayed`].
     Delay,
 }
 
-/// A fault that a filter asks for.
+/// A fault injected by a filter.
 #[derive(Clone, Debug)]
 pub enum Fault {
     Crash(InstanceId),
@@ -92,14 +91,14 @@
     pub requests: BTreeMap<RequestId, (InstanceId, RequestInfo)>,
     pub run_duration: Duration,
     pub filter: Option<Filter>,
-    /// Waiting requests of the lower tiers at instances that the list dropped.
+    /// Waiting requests of lower tiers at instances that were removed from the list.
     pub presumed_lost: BTreeSet<RequestId>,
     pub violations: Vec<String>,
     pub messages_sent: usize,
 }
 
 impl Cluster {
-    /// Creates nodes that are all listed and have settled who owns what.
+    /// Creates a cluster in which all nodes are listed and own their permits.
     pub fn new(names: &[&str], topology: Topology) -> Cluster {
         let mut cluster = Cluster::unsettled(names, topology);
         cluster.advance(Duration::from_secs(20));
@@ -132,7 +131,7 @@
         cluster
     }
 
-    /// Starts an instance and enters it into the list.
+    /// Starts an instance and adds it to the list.
     pub fn join(&mut self, name: &str) {
         let id: InstanceId = name.into();
         let seed = self.instances.len() as u64 * 1_000_000;
@@ -170,7 +169,7 @@
         self.instances.get(id).is_some_and(|i| i.alive && !i.paused)
     }
 
-    /// Ends an instance at once. Its runs go on at the endpoints; the list still names it.
+    /// Crashes an instance. Its runs continue at the endpoints, and it stays in the list.
     pub fn crash(&mut self, id: &InstanceId) {
         let Some(instance) = self.instances.get_mut(id) else { return };
         if !instance.alive {
@@ -185,7 +184,7 @@
         }
     }
 
-    /// The platform notices that an instance is gone.
+    /// Removes an instance from the platform's list.
     pub fn remove_from_list(&mut self, id: &InstanceId) {
         if self.list.members.remove(id).is_none() {
             return;
@@ -212,8 +211,8 @@
         }
     }
 
-    /// Lets a frozen instance go on. What it had decided to dispatch, it dispatches if that was
-    /// not too long ago.
+    /// Resumes a paused instance. Its delayed dispatches start if they are recent, and are requeued
+    /// otherwise.
     pub fn resume(&mut self, id: &InstanceId) {
         let Some(instance) = self.instances.get_mut(id) else { return };
         instance.paused = false;
@@ -255,7 +254,7 @@
         self.feed(&ingress, Event::Arrive(info));
     }
 
-    /// Feeds an event to a node and carries out what it decides.
+    /// Passes an event to a node, performs its actions and delivers all messages.
     pub fn feed(&mut self, id: &InstanceId, event: Event) {
         self.feed_one(id, event);
         self.deliver_all();
@@ -279,7 +278,7 @@
                 self.queue.push_back(Envelope { from: id.clone(), to, message });
             }
             Action::Dispatch(grant) => {
-                let instance = self.instances.get_mut(id).expect("a place that acts is there");
+                let instance = self.instances.get_mut(id).expect("an instance with actions exists");
                 if instance.paused {
                     instance.delayed_dispatches.push((self.now, grant));
                 } else {
@@ -311,7 +310,8 @@
             self.violations.push(format!("{request} ran after {:?}", self.outcomes[&request]));
         }
         if self.presumed_lost.contains(&request) {
-            self.violations.push(format!("{request} ran after its instance was dropped"));
+            self.violations
+                .push(format!("{request} ran after its instance was removed from the list"));
         }
         let account = self.requests[&request].1.account.to_string();
         let ends_at = self.now + self.run_duration;
@@ -320,7 +320,7 @@
         self.check_limits();
     }
 
-    /// The limits, against what really runs.
+    /// Checks the limits against the current runs.
     fn check_limits(&mut self) {
         let pool = &self.topology.pools[POOL];
         for (id, declared) in &pool.endpoints {
@@ -333,14 +333,14 @@
         let limit = self.topology.accounts.values().next().and_then(|a| a.max_running);
         let n = self.runs.values().filter(|r| !r.ended).count();
         if limit.is_some_and(|limit| n > limit as usize) {
-            self.violations.push(format!("{n} runs of an account that may have {limit:?}"));
+            self.violations.push(format!("{n} runs of an account limited to {limit:?}"));
         }
     }
 
     fn refused(&mut self, request: &RequestId, reason: RefusalReason) {
         let (_, info) = self.requests[request].clone();
         if self.runs.contains_key(request) {
-            self.violations.push(format!("{request} was refused though it ran"));
+            self.violations.push(format!("{request} was refused after it ran"));
         }
         self.outcomes.insert(request.clone(), RequestOutcome::Refused(reason));
         if reason == RefusalReason::Shed {
@@ -348,19 +348,19 @@
         }
     }
 
-    /// Nothing of a lower tier may wait at any instance that lives.
+    /// Checks that no request of a lower tier is waiting at a live instance.
     fn check_shed(&mut self, request: &str, tier: u8) {
         let lower = self.requests.iter().find(|(id, (ingress, r))| {
             let open =
                 self.outcomes[*id] == RequestOutcome::Pending && !self.runs.contains_key(*id);
             let held = self.instances[ingress].node.ingress().attempt(id).is_some();
-            // An instance that the list has dropped counts as dead.
+            // An instance that was removed from the list counts as failed.
             let listed = self.list.members.contains_key(ingress);
             open && held && listed && self.instances[ingress].alive && r.tier > tier
         });
         if let Some((id, (_, r))) = lower {
             let found =
-                format!("{request} of tier {tier} was shed while {id} of {} is kept", r.tier);
+                format!("{request} of tier {tier} was shed while {id} of tier {} is kept", r.tier);
             self.violations.push(found);
         }
     }
@@ -378,12 +378,12 @@
         self.feed(ingress, Event::Finish { request: request.clone(), report });
     }
 
-    /// Delivers messages until none is on its way.
+    /// Delivers messages until none are left.
     pub fn deliver_all(&mut self) {
         let mut steps = 0;
         while let Some(envelope) = self.queue.pop_front() {
             steps += 1;
-            assert!(steps < 100_000, "messages without end, the last {envelope:?}");
+            assert!(steps < 100_000, "messages do not settle, the last is {envelope:?}");
             self.deliver(envelope);
         }
     }
@@ -416,7 +416,7 @@
         let Envelope { from, to, message } = envelope;
         let sender_up = self.is_up(&from);
         if !sender_up || !self.instances.contains_key(&to) {
-            // A frozen sender's message is still in its own queue.
+            // The message of a paused sender has not left it yet.
             if self.instances.get(&from).is_some_and(|i| i.alive) {
                 self.delayed.push(Envelope { from, to, message });
             }
@@ -436,7 +436,7 @@
         self.feed_one(&to, Event::Peer { from, message });
     }
 
-    /// Lets time pass.
+    /// Advances the time in ticks.
     pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -467,7 +467,7 @@
             if let Some(run) = self.runs.get_mut(&request) {
                 run.ended = true;
             }
-            let instance = self.instances.get_mut(&ingress).expect("entries stay known");
+            let instance = self.instances.get_mut(&ingress).expect("instances are never removed");
             if instance.paused {
                 instance.finished_while_paused.push(request);
             } else if instance.alive {
@@ -476,7 +476,7 @@
         }
     }
 
-    /// The instance that schedules the pool, by the word of `of`.
+    /// The scheduler of the pool as known to `of`.
     pub fn scheduler(&self, of: &str) -> InstanceId {
         self.node(of).ingress().scheduler(POOL).cloned().expect("a scheduler is known")
     }
@@ -485,7 +485,7 @@
         self.outcomes.values().filter(|f| *f == outcome).count()
     }
 
-    /// Permits that are free at instances that live, by key.
+    /// Free permits at live instances by key.
     pub fn free_permits(&self) -> BTreeMap<String, u32> {
         let mut free = BTreeMap::new();
         for instance in self.instances.values().filter(|i| i.alive) {
--- a/oxbowbend-core/tests/harness/setup.rs
+++ b/oxbowbend-core/tests/harness/setup.rs
@@ -1,13 +1,13 @@
-//! What most tests start from: one pool, one account, equal endpoints and requests.
+//! Common fixtures: one pool, one account, and equal endpoints and requests.
 
 use std::time::Duration;
 
 use oxbowbend_core::message::RequestInfo;
 use oxbowbend_core::topology::{Account, Endpoint, Pool, Topology};
 
-/// The one pool of most tests.
+/// The pool of [`topology`].
 pub const POOL: &str = "p/m";
-/// Longest run in tests.
+/// Maximum run time.
 pub const MAX_RUN: Duration = Duration::from_secs(60);
 
 pub fn endpoint(slots: u32) -> Endpoint {
--- a/oxbowbend-core/tests/ledger_exploration.rs
+++ b/oxbowbend-core/tests/ledger_exploration.rs
@@ -1,25 +1,24 @@
-//! Exhaustive exploration of the ledger: three runs of one keyed request, each crashing, pausing
-//! or losing replies at any point, in every order.
+//! Exhaustive exploration of the ledger for three runs with the same key.
 //!
-//! The bound: three runs, each of which may have one write whose reply is lost and which takes
-//! effect at any later time, and any of which may crash once.
+//! Each run may crash once. Up to two replies are lost, in which case the write takes effect at
+//! once, later or never.
 
 use std::collections::{HashSet, VecDeque};
 
 use oxbowbend_core::ledger::{Shard, Step, StepAction, StepResult};
 
-/// Where a run's instance stands.
+/// State of one run at its ingress instance.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 enum RunState {
     Start,
     Held,
     Dispatched,
     Sent,
-    /// The caller was told that the request did not run.
+    /// The caller was told that the request was not run.
     ReportedNotRun,
-    /// The caller was told that its fate is not known, or to look elsewhere.
+    /// The caller was told that the outcome is unknown or that another run has the request.
     ReportedUnknown,
-    /// The caller got the answer.
+    /// The caller received the response.
     Answered,
     Crashed,
 }
@@ -28,13 +27,13 @@
 struct State {
     shard: String,
     runs: Vec<RunState>,
-    /// Writes on their way whose reply nobody waits for any more: run and step.
+    /// Writes that have not arrived yet and whose reply is lost, as run and action.
     delayed_writes: Vec<(usize, Action)>,
-    /// Requests that reached the endpoint, by run.
+    /// Runs that reached the endpoint.
     executed: Vec<usize>,
     /// Replies lost so far.
     lost_replies: u8,
-    /// Whether a caller was told "not run" when some copy of the request had run already.
+    /// Whether a caller was told that the request was not run after a run had reached the endpoint.
     reported_after_run: bool,
 }
 
@@ -46,17 +45,17 @@
     Release,
 }
 
-/// Mechanisms that can be broken on purpose, to show that the exploration would notice.
+/// Deliberate errors that the exploration must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutation {
     Unmodified,
-    /// A holder sends without entering the dispatch.
+    /// A holder sends without a dispatch step.
     SendWithoutDispatch,
-    /// A write whose reply is lost is taken to have failed.
+    /// A write whose reply is lost is considered failed.
     LostReplyMeansFailure,
-    /// A holder that was taken over may still dispatch.
+    /// A holder may dispatch after a takeover.
     NoRunInStep,
-    /// "Not run" is said without releasing the entry.
+    /// A caller is told that the request was not run while the entry is still held.
     NotRunWithoutRelease,
 }
 
@@ -85,11 +84,11 @@
     result
 }
 
-/// Where a run goes on a verdict.
+/// Returns the state of a run after a step.
 fn state_after(action: Action, result: &StepResult) -> RunState {
     match (action, result) {
         (Action::Hold | Action::TakeOver, StepResult::Applied) => RunState::Held,
-        // A holder may be dead: the copy tries to take over.
+        // The holder may have failed, so the run may take over.
         (Action::Hold, StepResult::HeldBy { .. }) => RunState::Start,
         (Action::Dispatch, StepResult::Applied) => RunState::Dispatched,
         (Action::Release, StepResult::Applied) => RunState::ReportedNotRun,
@@ -160,8 +159,8 @@
     if state.lost_replies >= MAX_LOST_REPLIES {
         return;
     }
-    // The reply is lost: the write takes effect now, later, or never. The daemon asks again, or
-    // gives up and says "unknown".
+    // The reply is lost, and the write takes effect now, later or never. The daemon retries, or
+    // reports an unknown outcome.
     for when in ["now", "later", "never"] {
         let mut lost = state.clone();
         lost.lost_replies += 1;
@@ -175,7 +174,7 @@
             }
             _ => {}
         }
-        // Asking again means to stay where it is.
+        // A retry starts from the unchanged run state.
         next.push(lost.clone());
         lost.runs[run] = match (mutation, action) {
             (Mutation::LostReplyMeansFailure, Action::Dispatch | Action::Release) => {
@@ -194,7 +193,7 @@
     sent
 }
 
-/// Notes it if a step told a caller "not run" of a request that had run.
+/// Records whether a step reported a request as not run that had reached the endpoint.
 fn check_report(before: &State, mut after: State) -> State {
     let reported =
         |s: &State| s.runs.iter().filter(|run| **run == RunState::ReportedNotRun).count();
@@ -204,17 +203,17 @@
 
 fn violation(state: &State) -> Option<String> {
     if state.reported_after_run {
-        return Some("a caller was told that a request did not run that had run".to_owned());
+        return Some("a request was reported as not run after it had run".to_owned());
     }
     if state.executed.len() > 1 {
-        return Some(format!("ran {} times", state.executed.len()));
+        return Some(format!("the request ran {} times", state.executed.len()));
     }
     let reported = (0..RUNS)
         .find(|run| state.runs[*run] == RunState::ReportedNotRun && state.executed.contains(run));
-    reported.map(|run| format!("run {run} ran though its caller was told that it did not"))
+    reported.map(|run| format!("run {run} was reported as not run but did run"))
 }
 
-/// Explores breadth first; returns the number of states, or what was found.
+/// Explores breadth-first; returns the number of states, or the first violation.
 fn explore(mutation: Mutation) -> Result<usize, String> {
     let start = State {
         shard: serde_json::to_string(&Shard::default()).expect("shards are JSON"),
@@ -242,13 +241,13 @@
 
 #[test]
 fn no_order_of_events_runs_a_request_twice() {
-    let states = explore(Mutation::Unmodified).expect("nothing is violated");
-    // The number is part of the proof: a smaller one would mean that less was explored.
+    let states = explore(Mutation::Unmodified).expect("there is no violation");
+    // A smaller number means that the exploration was incomplete.
     assert_eq!(states, STATES);
     println!("{states} states");
 }
 
-/// States within the bound.
+/// Number of reachable states.
 const STATES: usize = 63061;
 
 #[test]
@@ -260,6 +259,6 @@
         Mutation::NotRunWithoutRelease,
     ] {
         let found = explore(mutation);
-        assert!(found.is_err(), "{mutation:?} was not noticed");
+        assert!(found.is_err(), "{mutation:?} was not detected");
     }
 }
--- a/oxbowbend-core/tests/nodes.rs
+++ b/oxbowbend-core/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes that work together, without faults and with some that were found to hurt.
+//! Tests of several nodes, without faults and for single faults that caused errors before.
 
 mod harness;
 
@@ -74,8 +74,8 @@
     assert_eq!(cluster.free_permits().values().copied().collect::<Vec<_>>(), [10, 40]);
 }
 
-/// A scheduler with a stale list had a permit reserved for an entry that the owner knew to be
-/// dropped; nobody ever gave it back.
+/// A permit reserved for an unlisted ingress instance, at the request of a scheduler with a stale
+/// list, was never released.
 #[test]
 fn nothing_is_reserved_for_an_unlisted_ingress_instance() {
     let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 6)], None));
@@ -95,8 +95,8 @@
     assert_eq!(cluster.free_permits().values().sum::<u32>(), 6);
 }
 
-/// An endpoint that said itself that it leaves is passed over also by a scheduler that takes the pool
-/// over afterwards, so that its requests go elsewhere at once.
+/// A new scheduler of a pool must not grant requests to an endpoint that announced its shutdown to
+/// the instances before.
 #[test]
 fn a_new_scheduler_knows_which_endpoints_leave() {
     let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 2), ("e2", 2)], None));
@@ -112,19 +112,20 @@
         cluster.submit(&others[0], request_info(&format!("r{n}"), 0));
         assert!(
             cluster.runs.contains_key(format!("r{n}").as_str()),
-            "r{n} was not granted at once"
+            "r{n} was not granted immediately"
         );
     }
     assert!(cluster.runs.values().all(|r| r.endpoint == "e2"));
 }
 
-/// Finds the instance that owns the one slot.
+/// Returns the instance that owns the only slot.
 fn owner(cluster: &Cluster) -> oxbowbend_core::ids::InstanceId {
     let owns = |id: &oxbowbend_core::ids::InstanceId| cluster.node(id).permits().owned() > 0;
-    cluster.ids().into_iter().find(owns).expect("somebody owns the slot")
+    cluster.ids().into_iter().find(owns).expect("some instance owns the slot")
 }
 
-/// The run of an entry that dies with its owner goes on; nobody who lives knows of it.
+/// The run of an ingress instance that fails together with the owner continues at the endpoint,
+/// and its slot must not be granted again before it ends.
 #[test]
 fn an_orphaned_run_keeps_its_slot_after_its_owner_dies() {
     let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 1)], None));
@@ -134,7 +135,8 @@
     assert!(cluster.runs.contains_key("orphan"));
     cluster.crash(&owner);
     cluster.remove_from_list(&owner);
-    let other = cluster.ids().into_iter().find(|id| *id != owner).expect("there are three");
+    let other =
+        cluster.ids().into_iter().find(|id| *id != owner).expect("there are three instances");
     cluster.submit(&other, request_info("next", 0));
     cluster.advance(Duration::from_secs(25));
     assert!(!cluster.runs.contains_key("next"));
@@ -143,14 +145,14 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// The owner dies while another instance's request runs on its permit; the new owner learns of it
-/// and takes the permit back as soon as the run ends.
+/// The new owner must learn of a run that another instance started on the failed owner's permit.
 #[test]
 fn a_slot_in_use_passes_to_the_new_owner() {
     let mut cluster = Cluster::new(&INSTANCES, topology(&[("e1", 1)], None));
     cluster.run_duration = Duration::from_secs(20);
     let owner = owner(&cluster);
-    let ingress = cluster.ids().into_iter().find(|id| *id != owner).expect("there are three");
+    let ingress =
+        cluster.ids().into_iter().find(|id| *id != owner).expect("there are three instances");
     cluster.submit(&ingress, request_info("long", 0));
     assert!(cluster.runs.contains_key("long"));
     cluster.crash(&owner);
@@ -164,8 +166,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// An instance joins while every permit is in use: the owners keep what is used, and afterwards
-/// each permit is there once.
+/// A joining instance must not be given permits in use, and every permit must have one owner
+/// afterwards.
 #[test]
 fn a_joining_instance_takes_nothing_that_is_in_use() {
     let mut cluster = Cluster::new(&["a", "b"], topology(&[("e1", 20)], None));
--- a/oxbowbend-core/tests/permit_exploration.rs
+++ b/oxbowbend-core/tests/permit_exploration.rs
@@ -1,10 +1,9 @@
-//! Exploration of who owns and uses one slot: every order of grants, claims, answers, deaths and
-//! list updates among three instances, to a stated bound.
+//! Exploration of the ownership and use of one slot by three instances, in every order of grants,
+//! claims, replies, crashes and list updates up to a bound.
 //!
-//! The bound: one slot, two requests, one instance that joins, one death, one lost message and two
-//! steps of time. Messages of the scheduler's bookkeeping are delivered at once, since no decision
-//! of a scheduler can pass a limit; grants, claims and releases are delivered in every order that
-//! keeps the order between the same two instances.
+//! The bound is two requests, one crash, one lost message and a few time steps. Grants, releases
+//! and claims are delivered in every order that preserves the order between two instances. Other
+//! messages are delivered at once, since schedulers cannot exceed a limit.
 
 mod harness;
 
@@ -20,9 +19,9 @@
 use oxbowbend_core::message::{Message, RunReport};
 use oxbowbend_core::node::{Action, Event, Node, MAX_LIST_LAG};
 
-/// States after which the exploration ends.
+/// Bound on the states of the exploration with a lost message.
 const MAX_STATES: usize = 60_000;
-/// A step of time: long enough for questions and claims to be sent again.
+/// Longer than the intervals at which usage queries and claims are repeated.
 const TIME_STEP: Duration = Duration::from_millis(2100);
 
 #[derive(Clone, Debug)]
@@ -41,17 +40,17 @@
 }
 
 impl State {
-    /// Three instances, of which one owns the slot, another schedules the pool, and the third has a
-    /// request; the scheduler has the other request.
+    /// Returns a state in which one instance owns the slot, another schedules the pool and has a
+    /// request, and the third has the other request.
     fn initial(losses_left: u8, time_steps_left: u8) -> State {
         let start = Instant::now();
         let endpoints = (0..50).map(|n| format!("e{n}"));
         let mut starts = endpoints.map(|e| State::settled(start, &e, losses_left, time_steps_left));
         let distinct = starts.find(|s| s.owner() != s.scheduler());
-        let mut state = distinct.expect("some slot is not the scheduler's");
+        let mut state = distinct.expect("some slot is not owned by the scheduler");
         let (owner, scheduler) = (state.owner(), state.scheduler());
         let third = state.nodes.keys().find(|id| **id != owner && **id != scheduler);
-        let third = third.expect("there are three").clone();
+        let third = third.expect("there are three instances").clone();
         state.feed(&third, Event::Arrive(request_info("r1", 0)));
         state.feed(&scheduler, Event::Arrive(request_info("r2", 0)));
         state
@@ -60,7 +59,7 @@
     fn owner(&self) -> InstanceId {
         let owns = |n: &Node| n.permits().owned() > 0;
         let found = self.nodes.iter().find(|(_, n)| owns(n));
-        found.expect("somebody owns the slot").0.clone()
+        found.expect("some instance owns the slot").0.clone()
     }
 
     fn scheduler(&self) -> InstanceId {
@@ -89,7 +88,7 @@
             state.nodes.insert(id.clone(), node);
             state.add_to_list(&id);
         }
-        // They settle before the endpoint is declared, so that its slot is free at once.
+        // The list settles before the endpoint is declared, so that its slot is free at once.
         for name in ["a", "b", "c"] {
             state.feed(&name.into(), Event::List(state.list.clone()));
         }
@@ -126,7 +125,7 @@
         if self.crashed.contains(id) {
             return;
         }
-        let node = self.nodes.get_mut(id).expect("nodes stay known");
+        let node = self.nodes.get_mut(id).expect("nodes are never removed");
         let actions = node.handle(self.now, event);
         for action in actions {
             self.perform(id, action);
@@ -149,7 +148,7 @@
                 }
                 self.running.insert(grant.request, id.clone());
                 if self.running.len() > 1 {
-                    self.violation = Some(format!("one slot, running: {:?}", self.running));
+                    self.violation = Some(format!("several runs at one slot: {:?}", self.running));
                 }
             }
             Action::QueryRun { grant, .. } if !self.running.contains_key(&grant.0) => {
@@ -241,7 +240,7 @@
     )
 }
 
-/// Explores breadth first until nothing is left or there are `limit` states; returns how many.
+/// Explores breadth-first up to `limit` states; returns the number of states.
 fn explore(start: State, limit: usize) -> usize {
     let mut seen = HashSet::from([start.state_hash()]);
     let mut queue = VecDeque::from([start]);
@@ -260,20 +259,19 @@
     explored
 }
 
-/// One death and two steps of time, in every order.
+/// One crash and two time steps, without a limit on the states.
 #[test]
 fn no_interleaving_with_a_crash_uses_one_slot_twice() {
     let explored = explore(State::initial(0, 2), usize::MAX);
-    // Nothing is cut off at this bound. The number guards against exploring less by mistake; it
-    // is not exact, since states are told apart by their printed form, in which the order of a
-    // hash map's entries may differ.
+    // The count detects an exploration that is cut short. It is not exact, since states are
+    // compared by their `Debug` output, which depends on the iteration order of hash maps.
     assert!(explored >= MIN_STATES, "only {explored} states");
 }
 
-/// States with one death and two steps of time, at the least.
+/// Minimum number of states with one crash and two time steps.
 const MIN_STATES: usize = 60_000;
 
-/// One death, one lost message and four steps of time, as far as the bound.
+/// One crash, one lost message and four time steps, up to `MAX_STATES`.
 #[test]
 fn no_interleaving_with_a_crash_and_a_loss_uses_one_slot_twice() {
     assert_eq!(explore(State::initial(1, 4), MAX_STATES), MAX_STATES);
--- a/oxbowbend-core/tests/properties.rs
+++ b/oxbowbend-core/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold for any input.
+//! Property tests.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -30,7 +30,7 @@
 }
 
 quickcheck! {
-    /// Everything that is pushed is served once, and never after a lower tier.
+    /// Every queued request is served once, in order of tiers.
     fn the_queue_serves_all_by_tier(input: Vec<(u8, u8, u16)>) -> bool {
         let mut queue = fill(&input);
         let mut served = Vec::new();
@@ -41,7 +41,7 @@
         served.len() == input.len() && served.windows(2).all(|w| w[0] <= w[1]) && queue.is_empty()
     }
 
-    /// The victim is of the lowest tier there is, and shedding ends with an empty queue.
+    /// The victim is always of the lowest waiting tier, and shedding ends with an empty queue.
     fn the_queue_sheds_the_lowest_tier_first(input: Vec<(u8, u8, u16)>) -> bool {
         let mut queue = fill(&input);
         let mut last = u8::MAX;
@@ -55,18 +55,18 @@
         queue.is_empty() && queue.work_at_or_above(u8::MAX) == 0
     }
 
-    /// Two accounts with work waiting are served equal work, up to one request of each.
+    /// Two accounts with waiting requests are served the same work, up to one request of each.
     fn accounts_share_by_work(one: Vec<u16>, two: Vec<u16>) -> TestResult {
         if one.is_empty() || two.is_empty() {
             return TestResult::discard();
         }
         let both = one.iter().map(|w| (0, 0, *w)).chain(two.iter().map(|w| (1, 0, *w)));
         let mut queue = fill(&both.collect::<Vec<_>>());
-        let largest = u64::from(*one.iter().chain(&two).max().expect("not empty")) + 1;
+        let largest = u64::from(*one.iter().chain(&two).max().expect("the lists are not empty")) + 1;
         let mut served: BTreeMap<String, u64> = BTreeMap::new();
         let mut left = [one.len(), two.len()];
         while left.iter().all(|n| *n > 0) {
-            let next = queue.peek(|_| true).cloned().expect("both wait");
+            let next = queue.peek(|_| true).cloned().expect("both accounts have waiting requests");
             queue.serve(&next.id);
             *served.entry(next.account.to_string()).or_default() += next.work;
             left[usize::from(&*next.account == "a1")] -= 1;
@@ -78,8 +78,8 @@
         TestResult::passed()
     }
 
-    /// A cache claims no more of a prompt than it was given, and not more than it holds.
-    fn a_cache_claims_only_what_it_was_given(prompts: Vec<Vec<u64>>, blocks: u8) -> bool {
+    /// A cache reports no more tokens than the prompt has.
+    fn a_cache_reports_at_most_the_prompt(prompts: Vec<Vec<u64>>, blocks: u8) -> bool {
         let capacity = u64::from(blocks) * u64::from(BLOCK_TOKENS);
         let mut cache = PrefixCache::new(capacity);
         prompts.iter().all(|prompt| {
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Taking a member out moves only what was its own.
+    /// Removing a member moves only the keys that it was picked for.
     fn rendezvous_moves_only_keys_of_the_removed_member(keys: Vec<String>, gone: u8) -> bool {
         let members: Vec<String> = (0..7).map(|n| format!("m{n}")).collect();
         let gone = &members[usize::from(gone) % members.len()];
@@ -101,7 +101,7 @@
         })
     }
 
-    /// However many retries are asked for, they stay a tenth of first attempts and the savings.
+    /// Retries are limited to a tenth of the first attempts plus the initial budget.
     fn retries_stay_within_their_budget(asked: Vec<bool>) -> bool {
         let mut budget = RetryBudget::default();
         let (mut first, mut retries) = (0, 0);
@@ -116,7 +116,7 @@
         retries <= 20 + first / 10 + 1
     }
 
-    /// An open breaker always lets somebody through in the end.
+    /// An open breaker allows a request after a bounded time.
     fn a_breaker_opens_for_a_bounded_time(failures: u8) -> bool {
         let now = Instant::now();
         let mut breaker = Breaker::default();
@@ -124,7 +124,7 @@
         breaker.allows(now + Duration::from_secs(16))
     }
 
-    /// Predictions stay finite and positive, whatever is reported.
+    /// Predictions are finite and not negative for any reports.
     fn predictions_stay_finite(reports: Vec<(u16, u16, u16, u16)>) -> bool {
         let now = Instant::now();
         let mut speed = Speed::new(1000.0, 10.0);
