--- a/oxbowbend-core/tests/fault_matrix.rs
+++ b/oxbowbend-core/tests/fault_matrix.rs
@@ -174,10 +174,10 @@
             _ => Delivery::Deliver,
         }
     }));
-    load(&mut cluster, "x");
+    submit_burst(&mut cluster, "x");
     cluster.advance(Duration::from_millis(700));
     cluster.join("d");
-    load(&mut cluster, "y");
+    submit_burst(&mut cluster, "y");
     cluster.advance(Duration::from_millis(1000));
     cluster.feed(&"b".into(), oxbowbend_core::node::Event::Drain);
     cluster.advance(Duration::from_millis(300));
@@ -193,7 +193,7 @@
     }
 }
 
-fn load(cluster: &mut Cluster, name: &str) {
+fn submit_burst(cluster: &mut Cluster, name: &str) {
     for n in 0..18 {
         let ingress = ["a", "b", "c"][n % 3];
         if cluster.is_up(ingress) {
@@ -204,10 +204,10 @@
 
 fn recover(cluster: &mut Cluster, affected: &RefCell<Affected>) {
     // Faults may still strike in here, so what was struck is looked up anew at each stage.
-    let now = || affected.borrow().clone();
-    cluster.stale_lists.extend(now().stale);
+    let current = || affected.borrow().clone();
+    cluster.stale_lists.extend(current().stale);
     cluster.advance(Duration::from_secs(2));
-    let Affected { paused, delisted, .. } = now();
+    let Affected { paused, delisted, .. } = current();
     for id in paused.iter().filter(|id| !delisted.contains(id)) {
         cluster.resume(id);
     }
@@ -218,7 +218,7 @@
     cluster.advance(Duration::from_secs(2));
     // From here on no further fault strikes.
     cluster.filter = None;
-    let Affected { crashed, paused, delisted, .. } = now();
+    let Affected { crashed, paused, delisted, .. } = current();
     for id in crashed.iter().chain(&delisted) {
         cluster.remove_from_list(id);
     }
@@ -344,8 +344,8 @@
     let scenarios: Vec<Vec<Injection>> = pairs.collect();
     let outcomes = run_all(&scenarios);
     let failed = failures(&scenarios, &outcomes);
-    let some: Vec<_> = failed.iter().take(10).cloned().collect();
-    assert!(failed.is_empty(), "{} pairs:\n{}", failed.len(), some.join("\n"));
+    let first_few: Vec<_> = failed.iter().take(10).cloned().collect();
+    assert!(failed.is_empty(), "{} pairs:\n{}", failed.len(), first_few.join("\n"));
 }
 
 fn table(outcomes: &[Outcome]) -> String {
