--- a/oxbowbend-core/tests/fault_matrix.rs
+++ b/oxbowbend-core/tests/fault_matrix.rs
@@ -1,7 +1,7 @@
-//! Every fault at every step of the protocol between instances, enumerated, and pairs of them.
+//! Every fault at every step of the protocol between instances, and pairs of faults.
 //!
-//! The table is printed into `docs/FAULT-MATRIX.md`; with `OXBOW_UPDATE_DOCS` set the page is
-//! written, otherwise it must be up to date.
+//! The results must match the table in `docs/FAULT-MATRIX.md`. With `OXBOW_UPDATE_DOCS` set, the
+//! table is written first.
 
 mod harness;
 
@@ -17,33 +17,33 @@
 
 type Matches = fn(&Envelope) -> bool;
 
-/// Steps: messages at whose first delivery the fault strikes.
+/// Protocol steps. A fault is injected at the first delivery of a matching message.
 const STEPS: [(&str, Matches); 22] = [
     ("enqueue", |e| matches!(e.message, Message::Enqueue(_))),
-    ("report", |e| matches!(e.message, Message::Snapshot { .. })),
+    ("snapshot", |e| matches!(e.message, Message::Snapshot { .. })),
     ("offer", |e| matches!(e.message, Message::Offer(_))),
     ("grant to account owner", |e| grant_to(e, 0)),
     ("grant to slot owner", |e| grant_to(e, 1)),
-    ("grant to entry", |e| grant_to(e, 2)),
-    ("taken", |e| matches!(e.message, Message::Accepted { .. })),
-    ("used", |e| matches!(e.message, Message::InUse { .. })),
+    ("grant to ingress instance", |e| grant_to(e, 2)),
+    ("accepted", |e| matches!(e.message, Message::Accepted { .. })),
+    ("in use", |e| matches!(e.message, Message::InUse { .. })),
     ("denied", |e| matches!(e.message, Message::Denied { .. })),
     ("done", |e| matches!(e.message, Message::Done { .. })),
     ("release of account", |e| release_of(e, false)),
     ("release of slot", |e| release_of(e, true)),
-    ("inquire", |e| matches!(e.message, Message::QueryUsage { .. })),
-    ("not used", |e| matches!(e.message, Message::NotInUse { .. })),
+    ("usage query", |e| matches!(e.message, Message::QueryUsage { .. })),
+    ("not in use", |e| matches!(e.message, Message::NotInUse { .. })),
     ("refuse", |e| matches!(e.message, Message::Refuse { .. })),
     ("withdraw", |e| matches!(e.message, Message::Withdraw { .. })),
-    ("floor", |e| matches!(e.message, Message::ShedThreshold { .. })),
-    ("beat", |e| matches!(e.message, Message::Heartbeat { .. })),
-    ("beat ack", |e| matches!(e.message, Message::HeartbeatAck { .. })),
+    ("shed threshold", |e| matches!(e.message, Message::ShedThreshold { .. })),
+    ("heartbeat", |e| matches!(e.message, Message::Heartbeat { .. })),
+    ("heartbeat ack", |e| matches!(e.message, Message::HeartbeatAck { .. })),
     ("claim", |e| matches!(e.message, Message::Claim { .. })),
     ("claim reply", |e| matches!(e.message, Message::ClaimReply { .. })),
     ("leaving", |e| matches!(e.message, Message::Leaving)),
 ];
 
-/// Faults that can strike a message's sender, receiver, link or the message itself.
+/// Faults of a message, its sender, its receiver or the link between them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum FaultKind {
     CrashSender,
@@ -62,24 +62,24 @@
 }
 
 const FAULTS: [(&str, FaultKind); 13] = [
-    ("kill sender", FaultKind::CrashSender),
-    ("kill receiver", FaultKind::CrashReceiver),
-    ("freeze sender 2 s", FaultKind::PauseSender),
-    ("freeze receiver 2 s", FaultKind::PauseReceiver),
-    ("freeze sender, dropped from list, wake", FaultKind::PauseSenderLong),
-    ("freeze receiver, dropped from list, wake", FaultKind::PauseReceiverLong),
-    ("cut 8 s", FaultKind::Partition),
-    ("one-way cut forth 8 s", FaultKind::PartitionForward),
-    ("one-way cut back 8 s", FaultKind::PartitionBackward),
-    ("lose", FaultKind::Drop),
-    ("deliver twice", FaultKind::Duplicate),
-    ("deliver 4 s late", FaultKind::Delay),
-    ("stale list at sender, kill receiver", FaultKind::StaleListThenCrash),
+    ("crash sender", FaultKind::CrashSender),
+    ("crash receiver", FaultKind::CrashReceiver),
+    ("pause sender 2 s", FaultKind::PauseSender),
+    ("pause receiver 2 s", FaultKind::PauseReceiver),
+    ("pause sender, remove it from the list, resume", FaultKind::PauseSenderLong),
+    ("pause receiver, remove it from the list, resume", FaultKind::PauseReceiverLong),
+    ("partition 8 s", FaultKind::Partition),
+    ("one-way partition to receiver 8 s", FaultKind::PartitionForward),
+    ("one-way partition to sender 8 s", FaultKind::PartitionBackward),
+    ("drop", FaultKind::Drop),
+    ("duplicate", FaultKind::Duplicate),
+    ("delay 4 s", FaultKind::Delay),
+    ("stale list at sender, crash receiver", FaultKind::StaleListThenCrash),
 ];
 
 fn grant_to(e: &Envelope, hops_done: usize) -> bool {
     let Message::Grant(grant) = &e.message else { return false };
-    // Grants within one instance never reach the queue, so each hop is told by what is reserved.
+    // Grants within one instance are not messages, so the step is told by the reserved permits.
     grant.hops.iter().filter(|h| h.index.is_some()).count() == hops_done
 }
 
@@ -90,7 +90,7 @@
 
 type Injection = (usize, FaultKind);
 
-/// Which instances were struck, to be woken or dropped from the list later.
+/// Instances with an injected fault, which are later resumed or removed from the list.
 #[derive(Clone, Default)]
 struct Affected {
     crashed: Vec<InstanceId>,
@@ -153,11 +153,11 @@
     Failed(Vec<String>),
 }
 
-/// Plays one history: a burst that overfills the queue, an instance that joins, one that leaves,
+/// Runs one scenario: a burst that overfills the queue, an instance that joins, one that leaves,
 /// and the faults at their steps.
 fn run_scenario(injections: &[Injection]) -> Outcome {
     let mut topology = topology(&[("e1", 3), ("e2", 2)], Some(4));
-    topology.pools.get_mut(harness::POOL).expect("the pool is there").queue_bound = 6;
+    topology.pools.get_mut(harness::POOL).expect("the pool exists").queue_bound = 6;
     let mut cluster = Cluster::new(&["a", "b", "c"], topology);
     let affected = Rc::new(RefCell::new(Affected::default()));
     let injected = Rc::new(Cell::new(0));
@@ -203,7 +203,7 @@
 }
 
 fn recover(cluster: &mut Cluster, affected: &RefCell<Affected>) {
-    // Faults may still strike in here, so what was struck is looked up anew at each stage.
+    // Faults may still be injected here, so the affected instances are read again at each stage.
     let current = || affected.borrow().clone();
     cluster.stale_lists.extend(current().stale);
     cluster.advance(Duration::from_secs(2));
@@ -216,7 +216,7 @@
     cluster.advance(Duration::from_secs(4));
     cluster.heal();
     cluster.advance(Duration::from_secs(2));
-    // From here on no further fault strikes.
+    // No more faults are injected.
     cluster.filter = None;
     let Affected { crashed, paused, delisted, .. } = current();
     for id in crashed.iter().chain(&delisted) {
@@ -237,13 +237,13 @@
     cluster.advance(Duration::from_secs(10));
 }
 
-/// After everything has healed, nothing may be left open and no capacity lost.
+/// Checks that every request has an outcome and that all permits are free again.
 fn final_checks(cluster: &mut Cluster, affected: &Affected) {
     cluster.advance(harness::setup::MAX_RUN + Duration::from_secs(10));
     let open: Vec<_> =
         cluster.outcomes.iter().filter(|(_, f)| **f == RequestOutcome::Pending).collect();
     if !open.is_empty() {
-        let found = format!("never answered: {open:?}");
+        let found = format!("requests without an outcome: {open:?}");
         cluster.violations.push(found);
     }
     let survivors = ["a", "c", "d"];
@@ -261,7 +261,7 @@
     }
 }
 
-/// Plays every history on several threads and returns the results in order.
+/// Runs the scenarios on several threads; returns the outcomes in order.
 fn run_all(scenarios: &[Vec<Injection>]) -> Vec<Outcome> {
     let next = Mutex::new(0);
     let results: Mutex<Vec<Option<Outcome>>> = Mutex::new(scenarios.iter().map(|_| None).collect());
@@ -281,12 +281,12 @@
         }
     });
     let results = results.into_inner().expect("no panic under lock");
-    results.into_iter().map(|r| r.expect("every history was played")).collect()
+    results.into_iter().map(|r| r.expect("every scenario was run")).collect()
 }
 
 fn describe(injections: &[Injection]) -> String {
     let name = |(step, kind): &Injection| {
-        let fault = FAULTS.iter().find(|f| f.1 == *kind).expect("faults are listed").0;
+        let fault = FAULTS.iter().find(|f| f.1 == *kind).expect("every fault is listed").0;
         format!("{fault} at {}", STEPS[*step].0)
     };
     injections.iter().map(name).collect::<Vec<_>>().join(", then ")
@@ -316,15 +316,15 @@
     check_page(&table(&outcomes));
 }
 
-/// An owner asks about a grant only if the entry has not answered, so a grant is lost first.
+/// Owners query the usage of a grant only if it was not confirmed, so a grant is dropped first.
 fn injections_for(step: usize, kind: FaultKind) -> Vec<Injection> {
     match STEPS[step].0 {
-        "inquire" | "not used" => vec![(5, FaultKind::Drop), (step, kind)],
+        "usage query" | "not in use" => vec![(5, FaultKind::Drop), (step, kind)],
         _ => vec![(step, kind)],
     }
 }
 
-/// Pairs of the faults that take an instance or a link away, at the steps that move permits.
+/// Pairs of faults of instances and links, at the steps that transfer permits.
 #[test]
 fn pairs_of_faults() {
     let steps = [1, 4, 5, 9, 11, 19, 20];
@@ -351,24 +351,24 @@
 fn table(outcomes: &[Outcome]) -> String {
     let mut text = String::from(
         "# Fault matrix\n\nEvery fault at the first delivery of every message between instances, \
-         in a history with a burst\nthat overfills the queue, an instance that joins and one that \
-         leaves. *held*: at no instant did a\nlimit break, no request ran twice or after a \
-         refusal, nothing was shed while a lower tier was kept,\nevery request got its answer, and \
-         all capacity came back. *-*: the message does not occur after\nthe fault. Written by \
+         in a scenario with a burst\nthat overfills the queue, an instance that joins and one that \
+         leaves. *passed*: no limit was ever\nexceeded, no request ran twice or after a refusal, \
+         none was shed while one of a lower tier was kept,\nevery request had an outcome, and all \
+         permits were free at the end. *-*: the message did not occur\nin the scenario. Written by \
          `OXBOW_UPDATE_DOCS=1 cargo test -p oxbowbend-core --test fault_matrix`.\n\n| step |",
     );
     for (name, _) in FAULTS {
-        write!(text, " {name} |").expect("strings take text");
+        write!(text, " {name} |").expect("writing to a string cannot fail");
     }
     text.push_str("\n|---|");
     text.push_str(&"---|".repeat(FAULTS.len()));
     for (row, (step, _)) in outcomes.chunks(FAULTS.len()).zip(STEPS) {
-        write!(text, "\n| {step} |").expect("strings take text");
+        write!(text, "\n| {step} |").expect("writing to a string cannot fail");
         for outcome in row {
             text.push_str(match outcome {
-                Outcome::Passed => " held |",
+                Outcome::Passed => " passed |",
                 Outcome::NotReached => " - |",
-                Outcome::Failed(_) => " not proved |",
+                Outcome::Failed(_) => " failed |",
             });
         }
     }
@@ -379,7 +379,7 @@
 fn check_page(text: &str) {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/FAULT-MATRIX.md");
     if std::env::var_os("OXBOW_UPDATE_DOCS").is_some() {
-        std::fs::write(page, text).expect("the page can be written");
+        std::fs::write(page, text).expect("the page is writable");
     }
     let written = std::fs::read_to_string(page).unwrap_or_default();
     assert!(written == text, "docs/FAULT-MATRIX.md is out of date");
