--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -88,7 +88,7 @@
         let retry_after_ms = self.retry_after().as_millis() as u64;
         self.queue.remove(id);
         let Some(tracked) = self.requests.get_mut(id) else { return };
-        tracked.state = State::Refused { reason, retry_after_ms, at: now };
+        tracked.state = State::Refused { reason, retry_after_ms, sent_at: now };
         self.unanswered.insert((now, id.clone()));
         let (request, attempt) = (id.clone(), tracked.info.attempt);
         let message = message::Message::Refuse { request, attempt, reason, retry_after_ms };
@@ -108,8 +108,8 @@
 
     /// Repeats refusals that were not answered and requeues requests whose grant was not answered.
     fn retry_unanswered(&mut self, now: Instant, out: &mut Vec<node::Action>) {
-        while let Some((at, id)) = self.unanswered.first().cloned() {
-            if now.saturating_duration_since(at) < REPLY_TIMEOUT {
+        while let Some((sent_at, id)) = self.unanswered.first().cloned() {
+            if now.saturating_duration_since(sent_at) < REPLY_TIMEOUT {
                 break;
             }
             self.unanswered.pop_first();
@@ -248,7 +248,7 @@
         self.unanswered.insert((now, id.clone()));
         if let Some(tracked) = self.requests.get_mut(id) {
             tracked.account_owner = account_owner;
-            tracked.state = State::Granted { index, owner, seq, at: now };
+            tracked.state = State::Granted { index, owner, seq, sent_at: now };
         }
     }
 
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq)]
 enum State {
     Queued,
-    Granted { index: usize, owner: ids::InstanceId, seq: u64, at: Instant },
+    Granted { index: usize, owner: ids::InstanceId, seq: u64, sent_at: Instant },
     Running { index: usize },
-    Refused { reason: message::RefusalReason, retry_after_ms: u64, at: Instant },
+    Refused { reason: message::RefusalReason, retry_after_ms: u64, sent_at: Instant },
 }
 
 #[derive(Clone, Debug)]
@@ -236,14 +236,14 @@
 
     fn clear_state(&mut self, tracked: &TrackedRequest) {
         match &tracked.state {
-            State::Granted { index, owner, seq, at } => {
-                self.unanswered.remove(&(*at, tracked.info.id.clone()));
+            State::Granted { index, owner, seq, sent_at } => {
+                self.unanswered.remove(&(*sent_at, tracked.info.id.clone()));
                 self.remove_in_flight(*index, owner, *seq);
                 self.endpoints[*index].running -= 1;
             }
             State::Running { index } => self.endpoints[*index].running -= 1,
-            State::Refused { at, .. } => {
-                self.unanswered.remove(&(*at, tracked.info.id.clone()));
+            State::Refused { sent_at, .. } => {
+                self.unanswered.remove(&(*sent_at, tracked.info.id.clone()));
             }
             State::Queued => {}
         }
@@ -273,8 +273,8 @@
             return;
         }
         let Some(tracked) = self.requests.get(&grant_id.0).cloned() else { return };
-        let State::Granted { index, at, .. } = tracked.state else { return };
-        self.unanswered.remove(&(at, tracked.info.id.clone()));
+        let State::Granted { index, sent_at, .. } = tracked.state else { return };
+        self.unanswered.remove(&(sent_at, tracked.info.id.clone()));
         self.deadlines.remove(&(tracked.deadline, tracked.info.id.clone()));
         self.toggle_digest(&tracked.ingress, &tracked.info, false);
         self.toggle_digest(&tracked.ingress, &tracked.info, true);
