--- a/oxbowbend-core/src/ingress.rs
+++ b/oxbowbend-core/src/ingress.rs
@@ -77,6 +77,7 @@
     me: ids::InstanceId,
     requests: HashMap<ids::RequestId, Request>,
     pools: BTreeMap<ids::PoolId, PoolState>,
+    /// Requests whose last grant was invalid.
     resubmit_at_tick: BTreeSet<ids::RequestId>,
 }
 
--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -151,6 +151,7 @@
     }
 }
 
+/// Heartbeats exchanged with another instance.
 #[derive(Clone, Debug)]
 struct Peer {
     heartbeats_since: Instant,
@@ -212,6 +213,7 @@
     actions: Vec<Action>,
     dirty_pools: BTreeSet<ids::PoolId>,
     desired: BTreeSet<message::Permit>,
+    /// Number of permits of each key that others may have used before this instance joined.
     preexisting: HashMap<message::PermitKey, u32>,
     listed_since: Option<Instant>,
     next_claim: Option<Instant>,
@@ -221,6 +223,8 @@
     heartbeat_seq: u64,
     last_event: Option<Instant>,
     next_in_doubt_check: Option<Instant>,
+    /// Set after a pause, until the list names this instance. A fenced node accepts no grants and
+    /// makes no claims.
     fenced: bool,
     draining: bool,
 }
--- a/oxbowbend-core/src/permits/mod.rs
+++ b/oxbowbend-core/src/permits/mod.rs
@@ -50,6 +50,7 @@
     InDoubt { since: Instant },
 }
 
+/// The owned permits of one key.
 #[derive(Clone, Debug, Default)]
 struct PermitSet {
     states: BTreeMap<u32, PermitState>,
@@ -87,6 +88,7 @@
     by_grant: HashMap<message::GrantId, Vec<message::Permit>>,
     claim: Option<PendingClaim>,
     next_nonce: u64,
+    /// Permits that another instance may have owned since this instance joined.
     owned_elsewhere: HashSet<message::Permit>,
     changed: BTreeSet<ids::EndpointId>,
 }
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -91,6 +91,7 @@
     choose: C,
     requests: HashMap<ids::RequestId, TrackedRequest>,
     queue: queue::Queue,
+    /// Never shrinks, so that indices stay valid.
     endpoints: Vec<EndpointState>,
     ingress_states: BTreeMap<ids::InstanceId, IngressState>,
     grant_seq: BTreeMap<ids::InstanceId, u64>,
@@ -98,6 +99,7 @@
     deadlines: BTreeSet<(Instant, ids::RequestId)>,
     shed_threshold: Option<ShedThreshold>,
     last_threshold_seq: u64,
+    /// Requests with a grant or refusal that was not answered, by the time it was sent.
     unanswered: BTreeSet<(Instant, ids::RequestId)>,
     endpoint_index: HashMap<ids::EndpointId, usize>,
     /// Indices of endpoints with free permits, the only ones considered for a grant.
@@ -220,7 +222,7 @@
         ingress_state.digest ^= ingress::request_digest(&info.id, info.attempt, running);
     }
 
-    /// Removes a request together with its permits and its part of the ingress digest.
+    /// Removes a request and all state that depends on it.
     fn remove(&mut self, id: &str) -> Option<TrackedRequest> {
         let tracked = self.requests.remove(id)?;
         self.queue.remove(id);
