--- a/oxbowbend-core/tests/properties.rs
+++ b/oxbowbend-core/tests/properties.rs
@@ -62,7 +62,7 @@
         }
         let both = one.iter().map(|w| (0, 0, *w)).chain(two.iter().map(|w| (1, 0, *w)));
         let mut queue = fill(&both.collect::<Vec<_>>());
-        let largest = u64::from(*one.iter().chain(&two).max().expect("the lists are not empty")) + 1;
+        let largest = u64::from(*one.iter().chain(&two).max().expect("there are requests")) + 1;
         let mut served: BTreeMap<String, u64> = BTreeMap::new();
         let mut left = [one.len(), two.len()];
         while left.iter().all(|n| *n > 0) {
