--- a/oxbowbend-core/src/queue.rs
+++ b/oxbowbend-core/src/queue.rs
@@ -1,27 +1,28 @@
-//! The order of waiting requests in one pool.
+//! Queue of the requests waiting in one pool.
 //!
-//! Tiers are strict. Within a tier, client accounts share by work: each account has a virtual time
-//! that advances by `work / weight` of what it was served, and the account with the smallest one
-//! goes next (start-time fair queueing). An account that was idle starts at the current virtual
-//! time, so that it gains nothing by waiting and loses nothing by having been away.
+//! Tiers have strict priority. Within a tier, client accounts share the service by start-time fair
+//! queueing: an account's virtual time advances by `work / weight` of each request served, and the
+//! account with the smallest virtual time goes next. An account that was idle starts at the
+//! tier's current virtual time, so it neither gains nor loses by having been idle.
 //!
-//! Traded away: exact shortest-first order inside an account. Each operation costs `O(log n)`.
+//! Requests of an account are served in order of arrival, not shortest first. Each operation takes
+//! `O(log n)` time.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::ids;
 
-/// Virtual time advances by work times this, divided by the weight, to keep integer precision.
+/// Factor of the virtual time, which keeps precision in the integer division by the weight.
 const VIRTUAL_SCALE: u64 = 1 << 10;
 
-/// What the queue needs to know of a request.
+/// A waiting request, as seen by the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Item {
+pub struct QueuedRequest {
     /// The request.
     pub id: ids::RequestId,
-    /// Its account.
+    /// Client account of the request.
     pub account: ids::AccountId,
-    /// Its tier.
+    /// Tier of the request.
     pub tier: ids::TierLevel,
     /// Weight of the account, at least 1.
     pub weight: u32,
@@ -31,36 +32,36 @@
 
 #[derive(Clone, Debug, Default)]
 struct Flow {
-    items: BTreeMap<u64, Item>,
+    requests: BTreeMap<u64, QueuedRequest>,
     virtual_time: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Tier {
+struct TierQueue {
     flows: HashMap<ids::AccountId, Flow>,
     ready: BTreeSet<(u64, ids::AccountId)>,
-    by_size: BTreeSet<(u32, u64, ids::RequestId)>,
+    by_size_class: BTreeSet<(u32, u64, ids::RequestId)>,
     virtual_time: u64,
     work: u64,
-    sweep_at: usize,
+    next_sweep_len: usize,
 }
 
-/// Waiting requests in the order in which they should be served.
+/// Waiting requests in the order in which they are served.
 ///
 /// ```
-/// use oxbowbend_core::queue::{Item, Queue};
-/// let item = |id: &str, tier| Item {
+/// use oxbowbend_core::queue::{QueuedRequest, Queue};
+/// let request = |id: &str, tier| QueuedRequest {
 ///     id: id.into(), account: "a".into(), tier, weight: 1, work: 10,
 /// };
 /// let mut q = Queue::default();
-/// q.push(item("low", 2));
-/// q.push(item("high", 0));
-/// assert_eq!(&*q.next(|_| true).unwrap().id, "high");
+/// q.push(request("low", 2));
+/// q.push(request("high", 0));
+/// assert_eq!(&*q.peek(|_| true).unwrap().id, "high");
 /// assert_eq!(&*q.victim().unwrap().id, "low");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    tiers: BTreeMap<ids::TierLevel, Tier>,
+    tiers: BTreeMap<ids::TierLevel, TierQueue>,
     index: HashMap<ids::RequestId, (ids::TierLevel, ids::AccountId, u64)>,
     next_seq: u64,
 }
@@ -71,150 +72,158 @@
         self.index.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
 
-    /// Whether `id` waits here.
+    /// Whether the request is in the queue.
     pub fn contains(&self, id: &str) -> bool {
         self.index.contains_key(id)
     }
 
-    /// Adds a request; one that is already here is left as it is.
-    pub fn push(&mut self, item: Item) {
-        if self.index.contains_key(&item.id) {
+    /// Adds a request. Has no effect if it is in the queue already.
+    pub fn push(&mut self, request: QueuedRequest) {
+        if self.index.contains_key(&request.id) {
             return;
         }
         let seq = self.next_seq;
         self.next_seq += 1;
-        self.index.insert(item.id.clone(), (item.tier, item.account.clone(), seq));
-        self.tiers.entry(item.tier).or_default().push(seq, item);
+        self.index.insert(request.id.clone(), (request.tier, request.account.clone(), seq));
+        self.tiers.entry(request.tier).or_default().push(seq, request);
     }
 
-    /// Removes a request wherever it stands.
-    pub fn remove(&mut self, id: &str) -> Option<Item> {
-        let (level, account, seq) = self.index.remove(id)?;
-        let tier = self.tiers.get_mut(&level)?;
-        let item = tier.remove(&account, seq);
-        if tier.flows.is_empty() && tier.by_size.is_empty() {
+    /// Removes a request without charging its account.
+    pub fn remove(&mut self, id: &str) -> Option<QueuedRequest> {
+        let (tier_level, account, seq) = self.index.remove(id)?;
+        let tier = self.tiers.get_mut(&tier_level)?;
+        let request = tier.remove(&account, seq);
+        if tier.flows.is_empty() && tier.by_size_class.is_empty() {
             tier.virtual_time = 0;
         }
-        item
+        request
     }
 
-    /// The request to serve next among the accounts for which `eligible` holds.
-    pub fn next(&self, eligible: impl Fn(&Item) -> bool) -> Option<&Item> {
-        self.tiers.values().find_map(|t| t.next(&eligible))
+    /// Returns the next request to serve among those for which `eligible` holds.
+    pub fn peek(&self, eligible: impl Fn(&QueuedRequest) -> bool) -> Option<&QueuedRequest> {
+        self.tiers.values().find_map(|t| t.peek(&eligible))
     }
 
-    /// The request to serve next within one tier.
-    pub fn next_in(&self, tier: ids::TierLevel, eligible: impl Fn(&Item) -> bool) -> Option<&Item> {
-        self.tiers.get(&tier)?.next(&eligible)
+    /// Returns the next request to serve within one tier.
+    pub fn peek_tier(
+        &self,
+        tier: ids::TierLevel,
+        eligible: impl Fn(&QueuedRequest) -> bool,
+    ) -> Option<&QueuedRequest> {
+        self.tiers.get(&tier)?.peek(&eligible)
     }
 
-    /// The first `most` requests of an account in a tier, in order of arrival.
-    pub fn first_of(
+    /// Returns up to `limit` of the oldest requests of an account in a tier.
+    pub fn oldest_of_account(
         &self,
         tier: ids::TierLevel,
         account: &str,
-        most: usize,
-    ) -> impl Iterator<Item = &Item> {
+        limit: usize,
+    ) -> impl Iterator<Item = &QueuedRequest> {
         let flow = self.tiers.get(&tier).and_then(|t| t.flows.get(account));
-        flow.into_iter().flat_map(|f| f.items.values()).take(most)
+        flow.into_iter().flat_map(|f| f.requests.values()).take(limit)
     }
 
-    /// Tiers that have requests waiting, the highest first.
-    pub fn levels(&self) -> Vec<ids::TierLevel> {
-        self.tiers.iter().filter(|(_, t)| !t.by_size.is_empty()).map(|(l, _)| *l).collect()
+    /// Returns the tiers with waiting requests, the highest first.
+    pub fn waiting_tiers(&self) -> Vec<ids::TierLevel> {
+        self.tiers.iter().filter(|(_, t)| !t.by_size_class.is_empty()).map(|(l, _)| *l).collect()
     }
 
-    /// Takes a request out to be served and charges its account.
-    pub fn serve(&mut self, id: &str) -> Option<Item> {
-        let (level, account, _) = self.index.get(id)?.clone();
-        let item = self.remove(id)?;
-        if let Some(tier) = self.tiers.get_mut(&level) {
-            tier.charge(&account, &item);
+    /// Removes a request to be served and charges its account.
+    pub fn serve(&mut self, id: &str) -> Option<QueuedRequest> {
+        let (tier_level, account, _) = self.index.get(id)?.clone();
+        let request = self.remove(id)?;
+        if let Some(tier) = self.tiers.get_mut(&tier_level) {
+            tier.charge(&account, &request);
         }
-        Some(item)
+        Some(request)
     }
 
-    /// The request to shed first: of the lowest tier, among the largest the newest.
-    pub fn victim(&self) -> Option<&Item> {
-        let tier = self.tiers.values().rev().find(|t| !t.by_size.is_empty())?;
-        let (_, _, id) = tier.by_size.iter().next_back()?;
+    /// Returns the next request to shed: the newest of the largest requests in the lowest tier.
+    pub fn victim(&self) -> Option<&QueuedRequest> {
+        let tier = self.tiers.values().rev().find(|t| !t.by_size_class.is_empty())?;
+        let (_, _, id) = tier.by_size_class.iter().next_back()?;
         let (_, account, seq) = self.index.get(id)?;
-        tier.flows.get(account)?.items.get(seq)
+        tier.flows.get(account)?.requests.get(seq)
     }
 
-    /// Work waiting in `tier` and every higher one, in tokens.
-    pub fn work_down_to(&self, tier: ids::TierLevel) -> u64 {
+    /// Work waiting in `tier` and all higher tiers, in tokens.
+    pub fn work_at_or_above(&self, tier: ids::TierLevel) -> u64 {
         self.tiers.range(..=tier).map(|(_, t)| t.work).sum()
     }
 }
 
-impl Tier {
-    fn push(&mut self, seq: u64, item: Item) {
-        self.work += item.work;
-        self.by_size.insert((size_class(item.work), seq, item.id.clone()));
-        let floor = self.virtual_time;
-        let flow = self.flows.entry(item.account.clone()).or_default();
-        if flow.items.is_empty() {
-            flow.virtual_time = flow.virtual_time.max(floor);
-            self.ready.insert((flow.virtual_time, item.account.clone()));
+impl TierQueue {
+    fn push(&mut self, seq: u64, request: QueuedRequest) {
+        self.work += request.work;
+        self.by_size_class.insert((size_class(request.work), seq, request.id.clone()));
+        let tier_time = self.virtual_time;
+        let flow = self.flows.entry(request.account.clone()).or_default();
+        if flow.requests.is_empty() {
+            flow.virtual_time = flow.virtual_time.max(tier_time);
+            self.ready.insert((flow.virtual_time, request.account.clone()));
         }
-        flow.items.insert(seq, item);
+        flow.requests.insert(seq, request);
     }
 
-    fn remove(&mut self, account: &ids::AccountId, seq: u64) -> Option<Item> {
+    fn remove(&mut self, account: &ids::AccountId, seq: u64) -> Option<QueuedRequest> {
         let flow = self.flows.get_mut(account)?;
-        let item = flow.items.remove(&seq)?;
-        self.work -= item.work;
-        self.by_size.remove(&(size_class(item.work), seq, item.id.clone()));
-        if flow.items.is_empty() {
+        let request = flow.requests.remove(&seq)?;
+        self.work -= request.work;
+        self.by_size_class.remove(&(size_class(request.work), seq, request.id.clone()));
+        if flow.requests.is_empty() {
             self.ready.remove(&(flow.virtual_time, account.clone()));
             if flow.virtual_time <= self.virtual_time {
                 self.flows.remove(account);
             }
         }
-        Some(item)
+        Some(request)
     }
 
-    fn next(&self, eligible: &impl Fn(&Item) -> bool) -> Option<&Item> {
+    fn peek(&self, eligible: &impl Fn(&QueuedRequest) -> bool) -> Option<&QueuedRequest> {
         self.ready
             .iter()
-            .filter_map(|(_, account)| self.flows.get(account)?.items.values().next())
-            .find(|item| eligible(item))
+            .filter_map(|(_, account)| self.flows.get(account)?.requests.values().next())
+            .find(|request| eligible(request))
     }
 
-    /// Advances the account's virtual time. The account may have left `flows` when its last
-    /// request was taken out, and is then put back to remember what it owes.
-    fn charge(&mut self, account: &ids::AccountId, item: &Item) {
-        let floor = self.virtual_time;
+    /// Advances the account's virtual time.
+    ///
+    /// An account without waiting requests may be missing in `flows`. It is added again, so that
+    /// its virtual time is kept.
+    fn charge(&mut self, account: &ids::AccountId, request: &QueuedRequest) {
+        let tier_time = self.virtual_time;
         let flow = self.flows.entry(account.clone()).or_default();
-        let waiting = !flow.items.is_empty();
-        let start = flow.virtual_time.max(floor);
+        let waiting = !flow.requests.is_empty();
+        let start = flow.virtual_time.max(tier_time);
         if waiting {
             self.ready.remove(&(flow.virtual_time, account.clone()));
         }
-        flow.virtual_time = start + item.work * VIRTUAL_SCALE / u64::from(item.weight.max(1));
+        flow.virtual_time = start + request.work * VIRTUAL_SCALE / u64::from(request.weight.max(1));
         if waiting {
             self.ready.insert((flow.virtual_time, account.clone()));
         }
         self.virtual_time = start;
-        self.forget_settled();
+        self.remove_idle_flows();
     }
 
-    /// Drops idle accounts that owe nothing any more. The next sweep waits until the number of
-    /// accounts has doubled, so that the cost per served request stays constant on average.
-    fn forget_settled(&mut self) {
-        const SMALLEST_SWEEP: usize = 64;
-        if self.flows.len() < self.sweep_at.max(SMALLEST_SWEEP) {
+    /// Removes idle accounts whose virtual time has passed.
+    ///
+    /// The next sweep follows when the number of accounts has doubled, which makes the cost per
+    /// served request amortized constant.
+    fn remove_idle_flows(&mut self) {
+        const MIN_SWEEP_LEN: usize = 64;
+        if self.flows.len() < self.next_sweep_len.max(MIN_SWEEP_LEN) {
             return;
         }
         let now = self.virtual_time;
-        self.flows.retain(|_, f| !f.items.is_empty() || f.virtual_time > now);
-        self.sweep_at = 2 * self.flows.len();
+        self.flows.retain(|_, f| !f.requests.is_empty() || f.virtual_time > now);
+        self.next_sweep_len = 2 * self.flows.len();
     }
 }
 
--- a/oxbowbend-core/tests/harness/mod.rs
+++ b/oxbowbend-core/tests/harness/mod.rs
@@ -1,7 +1,6 @@
-//! Drives some nodes by hand: every message, tick and fault is the test's.
+//! Simulation of several nodes in which the test controls messages, time and faults.
 //!
-//! There is no network and no platform here, only queues of messages, a list that the test sets,
-//! and a note of what runs at each endpoint, against which the limits are checked at every instant.
+//! Runs are recorded and checked against the limits whenever one starts.
 
 #![allow(dead_code)]
 
@@ -11,18 +10,18 @@
 
 use oxbowbend_core::ids::{InstanceId, RequestId};
 use oxbowbend_core::membership::{InstanceList, Member};
-use oxbowbend_core::message::{Grant, Message, Record, Refusal, RunEnd, RunReport};
-use oxbowbend_core::node::{Action, Event, Node, TICK};
+use oxbowbend_core::message::{Grant, Message, RefusalReason, RequestInfo, RunOutcome, RunReport};
+use oxbowbend_core::node::{Action, Event, Node, TICK_INTERVAL};
 use oxbowbend_core::topology::Topology;
 
 pub mod setup;
 
-pub use setup::{record, topology, POOL};
+pub use setup::{request_info, topology, POOL};
 
-/// Time within which a daemon sends a granted request, or asks for another grant.
+/// Time within which a daemon must dispatch a grant. Later it requeues the request.
 pub const DISPATCH_WITHIN: Duration = Duration::from_secs(2);
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 pub struct Envelope {
     pub from: InstanceId,
@@ -30,120 +29,120 @@
     pub message: Message,
 }
 
-/// What a request has come to.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fate {
-    Open,
-    Done,
-    Refused(Refusal),
-    /// Its entry instance died.
+pub enum RequestOutcome {
+    Pending,
+    Completed,
+    Refused(RefusalReason),
+    /// The ingress instance crashed.
     Lost,
 }
 
 #[derive(Clone, Debug)]
 pub struct Run {
     pub endpoint: String,
-    pub entry: InstanceId,
+    pub ingress: InstanceId,
     pub account: String,
-    pub ends: Instant,
-    pub over: bool,
+    pub ends_at: Instant,
+    pub ended: bool,
 }
 
-struct Place {
+struct Instance {
     node: Node,
     alive: bool,
-    frozen: bool,
-    held_dispatches: Vec<(Instant, Grant)>,
-    finished_while_frozen: Vec<RequestId>,
+    paused: bool,
+    delayed_dispatches: Vec<(Instant, Grant)>,
+    finished_while_paused: Vec<RequestId>,
 }
 
-/// Decides what becomes of a message about to be delivered.
+/// Decides on the delivery of each message and may inject faults.
 pub type Filter = Box<dyn FnMut(&Envelope, &mut Vec<Fault>) -> Delivery>;
 
-/// What becomes of a message.
+/// Delivery of a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Delivery {
-    Pass,
-    Lose,
-    Twice,
-    /// Kept back until [`World::release_held`].
-    Hold,
+    Deliver,
+    Drop,
+    Duplicate,
+    /// Delayed until [`Cluster::deliver_delayed`].
+    Delay,
 }
 
-/// A fault that a filter asks for.
+/// A fault injected by a filter.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    Kill(InstanceId),
-    Freeze(InstanceId),
-    Cut(InstanceId, InstanceId),
+    Crash(InstanceId),
+    Pause(InstanceId),
+    Partition(InstanceId, InstanceId),
 }
 
-pub struct World {
+pub struct Cluster {
     pub now: Instant,
-    places: BTreeMap<InstanceId, Place>,
+    instances: BTreeMap<InstanceId, Instance>,
     queue: VecDeque<Envelope>,
-    held: Vec<Envelope>,
-    cuts: BTreeSet<(InstanceId, InstanceId)>,
+    delayed: Vec<Envelope>,
+    partitions: BTreeSet<(InstanceId, InstanceId)>,
     pub list: InstanceList,
-    pub lists_frozen: BTreeSet<InstanceId>,
+    pub stale_lists: BTreeSet<InstanceId>,
     pub topology: Arc<Topology>,
     pub runs: BTreeMap<RequestId, Run>,
-    pub fates: BTreeMap<RequestId, Fate>,
-    pub records: BTreeMap<RequestId, (InstanceId, Record)>,
-    pub run_time: Duration,
+    pub outcomes: BTreeMap<RequestId, RequestOutcome>,
+    pub requests: BTreeMap<RequestId, (InstanceId, RequestInfo)>,
+    pub run_duration: Duration,
     pub filter: Option<Filter>,
-    /// Waiting requests of the lower tiers at instances that the list dropped.
-    pub written_off: BTreeSet<RequestId>,
-    pub broken: Vec<String>,
-    pub sent: usize,
+    /// Waiting requests of lower tiers at instances that were removed from the list.
+    pub presumed_lost: BTreeSet<RequestId>,
+    pub violations: Vec<String>,
+    pub messages_sent: usize,
 }
 
-impl World {
-    /// Creates nodes that are all listed and have settled who owns what.
-    pub fn new(names: &[&str], topology: Topology) -> World {
-        let mut world = World::unsettled(names, topology);
-        world.run_for(Duration::from_secs(20));
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
-        world
+impl Cluster {
+    /// Creates a cluster in which all nodes are listed and own their permits.
+    pub fn new(names: &[&str], topology: Topology) -> Cluster {
+        let mut cluster = Cluster::unsettled(names, topology);
+        cluster.advance(Duration::from_secs(20));
+        assert!(cluster.violations.is_empty(), "{:?}", cluster.violations);
+        cluster
     }
 
-    pub fn unsettled(names: &[&str], topology: Topology) -> World {
-        let mut world = World {
+    pub fn unsettled(names: &[&str], topology: Topology) -> Cluster {
+        let mut cluster = Cluster {
             now: Instant::now(),
-            places: BTreeMap::new(),
+            instances: BTreeMap::new(),
             queue: VecDeque::new(),
-            held: Vec::new(),
-            cuts: BTreeSet::new(),
+            delayed: Vec::new(),
+            partitions: BTreeSet::new(),
             list: InstanceList::default(),
-            lists_frozen: BTreeSet::new(),
+            stale_lists: BTreeSet::new(),
             topology: Arc::new(topology),
             runs: BTreeMap::new(),
-            fates: BTreeMap::new(),
-            records: BTreeMap::new(),
-            run_time: Duration::from_secs(1),
+            outcomes: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            run_duration: Duration::from_secs(1),
             filter: None,
-            written_off: BTreeSet::new(),
-            broken: Vec::new(),
-            sent: 0,
+            presumed_lost: BTreeSet::new(),
+            violations: Vec::new(),
+            messages_sent: 0,
         };
         for name in names {
-            world.join(name);
+            cluster.join(name);
         }
-        world
+        cluster
     }
 
-    /// Starts an instance and enters it into the list.
+    /// Starts an instance and adds it to the list.
     pub fn join(&mut self, name: &str) {
         let id: InstanceId = name.into();
-        let seed = self.places.len() as u64 * 1_000_000;
-        let place = Place {
+        let seed = self.instances.len() as u64 * 1_000_000;
+        let instance = Instance {
             node: Node::new(id.clone(), "z".into(), seed),
             alive: true,
-            frozen: false,
-            held_dispatches: Vec::new(),
-            finished_while_frozen: Vec::new(),
+            paused: false,
+            delayed_dispatches: Vec::new(),
+            finished_while_paused: Vec::new(),
         };
-        self.places.insert(id.clone(), place);
+        self.instances.insert(id.clone(), instance);
         let member = Member { zone: "z".into(), address: name.to_owned(), leaving: false };
         self.list.members.insert(id.clone(), member);
         self.list.version += 1;
@@ -159,70 +158,71 @@
     }
 
     pub fn ids(&self) -> Vec<InstanceId> {
-        self.places.keys().cloned().collect()
+        self.instances.keys().cloned().collect()
     }
 
     pub fn node(&self, name: &str) -> &Node {
-        &self.places[name].node
+        &self.instances[name].node
     }
 
     pub fn is_up(&self, id: &str) -> bool {
-        self.places.get(id).is_some_and(|p| p.alive && !p.frozen)
+        self.instances.get(id).is_some_and(|i| i.alive && !i.paused)
     }
 
-    /// Ends an instance at once. Its runs go on at the endpoints; the list still names it.
-    pub fn kill(&mut self, id: &InstanceId) {
-        let Some(place) = self.places.get_mut(id) else { return };
-        if !place.alive {
+    /// Crashes an instance. Its runs continue at the endpoints, and it stays in the list.
+    pub fn crash(&mut self, id: &InstanceId) {
+        let Some(instance) = self.instances.get_mut(id) else { return };
+        if !instance.alive {
             return;
         }
-        place.alive = false;
+        instance.alive = false;
         self.queue.retain(|e| e.from != *id && e.to != *id);
-        for (request, (entry, _)) in &self.records {
-            if entry == id && self.fates[request] == Fate::Open {
-                self.fates.insert(request.clone(), Fate::Lost);
+        for (request, (ingress, _)) in &self.requests {
+            if ingress == id && self.outcomes[request] == RequestOutcome::Pending {
+                self.outcomes.insert(request.clone(), RequestOutcome::Lost);
             }
         }
     }
 
-    /// The platform notices that an instance is gone.
-    pub fn unlist(&mut self, id: &InstanceId) {
+    /// Removes an instance from the platform's list.
+    pub fn remove_from_list(&mut self, id: &InstanceId) {
         if self.list.members.remove(id).is_none() {
             return;
         }
         self.list.version += 1;
-        for (request, (entry, record)) in &self.records {
-            let waits = self.fates[request] == Fate::Open && !self.runs.contains_key(request);
-            if entry == id && waits && record.tier > 0 {
-                self.written_off.insert(request.clone());
+        for (request, (ingress, info)) in &self.requests {
+            let waits = self.outcomes[request] == RequestOutcome::Pending
+                && !self.runs.contains_key(request);
+            if ingress == id && waits && info.tier > 0 {
+                self.presumed_lost.insert(request.clone());
             }
         }
     }
 
-    pub fn relist(&mut self, id: &InstanceId) {
+    pub fn add_to_list(&mut self, id: &InstanceId) {
         let member = Member { zone: "z".into(), address: id.to_string(), leaving: false };
         self.list.members.insert(id.clone(), member);
         self.list.version += 1;
     }
 
-    pub fn freeze(&mut self, id: &InstanceId) {
-        if let Some(place) = self.places.get_mut(id) {
-            place.frozen = true;
+    pub fn pause(&mut self, id: &InstanceId) {
+        if let Some(instance) = self.instances.get_mut(id) {
+            instance.paused = true;
         }
     }
 
-    /// Lets a frozen instance go on. What it had decided to dispatch, it dispatches if that was
-    /// not too long ago.
-    pub fn wake(&mut self, id: &InstanceId) {
-        let Some(place) = self.places.get_mut(id) else { return };
-        place.frozen = false;
-        let dispatches = std::mem::take(&mut place.held_dispatches);
-        let finished = std::mem::take(&mut place.finished_while_frozen);
+    /// Resumes a paused instance. Its delayed dispatches start if they are recent, and are requeued
+    /// otherwise.
+    pub fn resume(&mut self, id: &InstanceId) {
+        let Some(instance) = self.instances.get_mut(id) else { return };
+        instance.paused = false;
+        let dispatches = std::mem::take(&mut instance.delayed_dispatches);
+        let finished = std::mem::take(&mut instance.finished_while_paused);
         for (at, grant) in dispatches {
             if self.now.duration_since(at) < DISPATCH_WITHIN {
                 self.start_run(id.clone(), grant);
             } else {
-                let report = RunReport { end: RunEnd::Failed, ..RunReport::default() };
+                let report = RunReport { outcome: RunOutcome::Failed, ..RunReport::default() };
                 self.feed(id, Event::Requeue { request: grant.request, report });
             }
         }
@@ -231,41 +231,41 @@
         }
     }
 
-    pub fn cut(&mut self, a: &InstanceId, b: &InstanceId) {
-        self.cuts.insert((a.clone(), b.clone()));
+    pub fn partition(&mut self, a: &InstanceId, b: &InstanceId) {
+        self.partitions.insert((a.clone(), b.clone()));
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
-        self.release_held();
+        self.partitions.clear();
+        self.deliver_delayed();
     }
 
-    pub fn release_held(&mut self) {
-        let held = std::mem::take(&mut self.held);
-        self.queue.extend(held);
-        self.settle();
+    pub fn deliver_delayed(&mut self) {
+        let delayed = std::mem::take(&mut self.delayed);
+        self.queue.extend(delayed);
+        self.deliver_all();
     }
 
-    pub fn arrive(&mut self, entry: &str, record: Record) {
-        let entry: InstanceId = entry.into();
-        let id = record.id.clone();
-        self.records.insert(id.clone(), (entry.clone(), record.clone()));
-        self.fates.insert(id, Fate::Open);
-        self.feed(&entry, Event::Arrive(record));
+    pub fn submit(&mut self, ingress: &str, info: RequestInfo) {
+        let ingress: InstanceId = ingress.into();
+        let id = info.id.clone();
+        self.requests.insert(id.clone(), (ingress.clone(), info.clone()));
+        self.outcomes.insert(id, RequestOutcome::Pending);
+        self.feed(&ingress, Event::Arrive(info));
     }
 
-    /// Feeds an event to a node and carries out what it decides.
+    /// Passes an event to a node, performs its actions and delivers all messages.
     pub fn feed(&mut self, id: &InstanceId, event: Event) {
         self.feed_one(id, event);
-        self.settle();
+        self.deliver_all();
     }
 
     fn feed_one(&mut self, id: &InstanceId, event: Event) {
-        let Some(place) = self.places.get_mut(id) else { return };
-        if !place.alive {
+        let Some(instance) = self.instances.get_mut(id) else { return };
+        if !instance.alive {
             return;
         }
-        let actions = place.node.handle(self.now, event);
+        let actions = instance.node.handle(self.now, event);
         for action in actions {
             self.perform(id, action);
         }
@@ -274,113 +274,116 @@
     fn perform(&mut self, id: &InstanceId, action: Action) {
         match action {
             Action::Send { to, message } => {
-                self.sent += 1;
+                self.messages_sent += 1;
                 self.queue.push_back(Envelope { from: id.clone(), to, message });
             }
             Action::Dispatch(grant) => {
-                let place = self.places.get_mut(id).expect("a place that acts is there");
-                if place.frozen {
-                    place.held_dispatches.push((self.now, grant));
+                let instance = self.instances.get_mut(id).expect("an instance with actions exists");
+                if instance.paused {
+                    instance.delayed_dispatches.push((self.now, grant));
                 } else {
                     self.start_run(id.clone(), grant);
                 }
             }
             Action::Refuse { request, reason, .. } => self.refused(&request, reason),
-            Action::AskRun { endpoint, grant } => {
-                let over = self.runs.get(&grant.0).is_none_or(|r| r.over);
-                if over && !endpoint.is_empty() {
-                    self.feed_one(id, Event::RunOver(grant));
+            Action::QueryRun { endpoint, grant } => {
+                let ended = self.runs.get(&grant.0).is_none_or(|r| r.ended);
+                if ended && !endpoint.is_empty() {
+                    self.feed_one(id, Event::RunEnded(grant));
                 }
             }
-            Action::AskLoad(endpoint) => {
-                let on = |r: &&Run| !r.over && *r.endpoint == *endpoint;
+            Action::QueryLoad(endpoint) => {
+                let on = |r: &&Run| !r.ended && *r.endpoint == *endpoint;
                 let running = self.runs.values().filter(on).count() as u32;
-                let asked_at = self.now;
-                self.feed_one(id, Event::Load { endpoint, running, asked_at });
+                let requested_at = self.now;
+                self.feed_one(id, Event::Load { endpoint, running, requested_at });
             }
         }
     }
 
-    fn start_run(&mut self, entry: InstanceId, grant: Grant) {
+    fn start_run(&mut self, ingress: InstanceId, grant: Grant) {
         let (request, endpoint) = (grant.request.clone(), grant.endpoint.to_string());
         if self.runs.contains_key(&request) {
-            self.broken.push(format!("{request} was dispatched twice"));
+            self.violations.push(format!("{request} was dispatched twice"));
         }
-        if !matches!(self.fates[&request], Fate::Open) {
-            self.broken.push(format!("{request} ran after {:?}", self.fates[&request]));
+        if !matches!(self.outcomes[&request], RequestOutcome::Pending) {
+            self.violations.push(format!("{request} ran after {:?}", self.outcomes[&request]));
         }
-        if self.written_off.contains(&request) {
-            self.broken.push(format!("{request} ran after its instance was dropped"));
+        if self.presumed_lost.contains(&request) {
+            self.violations
+                .push(format!("{request} ran after its instance was removed from the list"));
         }
-        let account = self.records[&request].1.account.to_string();
-        let ends = self.now + self.run_time;
-        let run = Run { endpoint: endpoint.clone(), entry, account, ends, over: false };
+        let account = self.requests[&request].1.account.to_string();
+        let ends_at = self.now + self.run_duration;
+        let run = Run { endpoint: endpoint.clone(), ingress, account, ends_at, ended: false };
         self.runs.insert(request, run);
         self.check_limits();
     }
 
-    /// The limits, against what really runs.
+    /// Checks the limits against the current runs.
     fn check_limits(&mut self) {
         let pool = &self.topology.pools[POOL];
         for (id, declared) in &pool.endpoints {
-            let n = self.runs.values().filter(|r| !r.over && *r.endpoint == **id).count();
+            let n = self.runs.values().filter(|r| !r.ended && *r.endpoint == **id).count();
             if n > declared.slots as usize {
-                self.broken.push(format!("{n} runs at {id}, which has {} slots", declared.slots));
+                self.violations
+                    .push(format!("{n} runs at {id}, which has {} slots", declared.slots));
             }
         }
         let limit = self.topology.accounts.values().next().and_then(|a| a.max_running);
-        let n = self.runs.values().filter(|r| !r.over).count();
+        let n = self.runs.values().filter(|r| !r.ended).count();
         if limit.is_some_and(|limit| n > limit as usize) {
-            self.broken.push(format!("{n} runs of an account that may have {limit:?}"));
+            self.violations.push(format!("{n} runs of an account limited to {limit:?}"));
         }
     }
 
-    fn refused(&mut self, request: &RequestId, reason: Refusal) {
-        let (_, record) = self.records[request].clone();
+    fn refused(&mut self, request: &RequestId, reason: RefusalReason) {
+        let (_, info) = self.requests[request].clone();
         if self.runs.contains_key(request) {
-            self.broken.push(format!("{request} was refused though it ran"));
+            self.violations.push(format!("{request} was refused after it ran"));
         }
-        self.fates.insert(request.clone(), Fate::Refused(reason));
-        if reason == Refusal::Shed {
-            self.check_shed(request, record.tier);
+        self.outcomes.insert(request.clone(), RequestOutcome::Refused(reason));
+        if reason == RefusalReason::Shed {
+            self.check_shed(request, info.tier);
         }
     }
 
-    /// Nothing of a lower tier may wait at any instance that lives.
+    /// Checks that no request of a lower tier is waiting at a live instance.
     fn check_shed(&mut self, request: &str, tier: u8) {
-        let lower = self.records.iter().find(|(id, (entry, r))| {
-            let open = self.fates[*id] == Fate::Open && !self.runs.contains_key(*id);
-            let held = self.places[entry].node.entry().attempt(id).is_some();
-            // An instance that the list has dropped counts as dead.
-            let listed = self.list.members.contains_key(entry);
-            open && held && listed && self.places[entry].alive && r.tier > tier
+        let lower = self.requests.iter().find(|(id, (ingress, r))| {
+            let open =
+                self.outcomes[*id] == RequestOutcome::Pending && !self.runs.contains_key(*id);
+            let held = self.instances[ingress].node.ingress().attempt(id).is_some();
+            // An instance that was removed from the list counts as failed.
+            let listed = self.list.members.contains_key(ingress);
+            open && held && listed && self.instances[ingress].alive && r.tier > tier
         });
         if let Some((id, (_, r))) = lower {
             let found =
-                format!("{request} of tier {tier} was shed while {id} of {} is kept", r.tier);
-            self.broken.push(found);
+                format!("{request} of tier {tier} was shed while {id} of tier {} is kept", r.tier);
+            self.violations.push(found);
         }
     }
 
-    fn finish(&mut self, entry: &InstanceId, request: &RequestId) {
-        self.fates.insert(request.clone(), Fate::Done);
+    fn finish(&mut self, ingress: &InstanceId, request: &RequestId) {
+        self.outcomes.insert(request.clone(), RequestOutcome::Completed);
         let report = RunReport {
-            end: RunEnd::Complete,
+            outcome: RunOutcome::Complete,
             first_token_ms: Some(10),
             total_ms: 110,
             prompt_tokens: 100,
             cached_tokens: 0,
             output_tokens: 10,
         };
-        self.feed(entry, Event::Finish { request: request.clone(), report });
+        self.feed(ingress, Event::Finish { request: request.clone(), report });
     }
 
-    /// Delivers messages until none is on its way.
-    pub fn settle(&mut self) {
+    /// Delivers messages until none are left.
+    pub fn deliver_all(&mut self) {
         let mut steps = 0;
         while let Some(envelope) = self.queue.pop_front() {
             steps += 1;
-            assert!(steps < 100_000, "messages without end, the last {envelope:?}");
+            assert!(steps < 100_000, "messages do not settle, the last is {envelope:?}");
             self.deliver(envelope);
         }
     }
@@ -389,61 +392,61 @@
         let mut faults = Vec::new();
         let delivery = match &mut self.filter {
             Some(filter) => filter(&envelope, &mut faults),
-            None => Delivery::Pass,
+            None => Delivery::Deliver,
         };
         for fault in faults {
             match fault {
-                Fault::Kill(id) => self.kill(&id),
-                Fault::Freeze(id) => self.freeze(&id),
-                Fault::Cut(a, b) => self.cut(&a, &b),
+                Fault::Crash(id) => self.crash(&id),
+                Fault::Pause(id) => self.pause(&id),
+                Fault::Partition(a, b) => self.partition(&a, &b),
             }
         }
         match delivery {
-            Delivery::Pass => self.hand_over(envelope),
-            Delivery::Lose => {}
-            Delivery::Twice => {
-                self.hand_over(envelope.clone());
-                self.hand_over(envelope);
+            Delivery::Deliver => self.deliver_now(envelope),
+            Delivery::Drop => {}
+            Delivery::Duplicate => {
+                self.deliver_now(envelope.clone());
+                self.deliver_now(envelope);
             }
-            Delivery::Hold => self.held.push(envelope),
+            Delivery::Delay => self.delayed.push(envelope),
         }
     }
 
-    fn hand_over(&mut self, envelope: Envelope) {
+    fn deliver_now(&mut self, envelope: Envelope) {
         let Envelope { from, to, message } = envelope;
         let sender_up = self.is_up(&from);
-        if !sender_up || !self.places.contains_key(&to) {
-            // A frozen sender's message is still in its own queue.
-            if self.places.get(&from).is_some_and(|p| p.alive) {
-                self.held.push(Envelope { from, to, message });
+        if !sender_up || !self.instances.contains_key(&to) {
+            // The message of a paused sender has not left it yet.
+            if self.instances.get(&from).is_some_and(|i| i.alive) {
+                self.delayed.push(Envelope { from, to, message });
             }
             return;
         }
-        if self.cuts.contains(&(from.clone(), to.clone())) {
+        if self.partitions.contains(&(from.clone(), to.clone())) {
             return;
         }
-        if !self.places[&to].alive {
+        if !self.instances[&to].alive {
             self.feed_one(&from, Event::PeerDown(to));
             return;
         }
-        if self.places[&to].frozen {
-            self.held.push(Envelope { from, to, message });
+        if self.instances[&to].paused {
+            self.delayed.push(Envelope { from, to, message });
             return;
         }
         self.feed_one(&to, Event::Peer { from, message });
     }
 
-    /// Lets time pass.
-    pub fn run_for(&mut self, time: Duration) {
+    /// Advances the time in ticks.
+    pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_INTERVAL;
             self.end_runs();
             for id in self.ids() {
                 if !self.is_up(&id) {
                     continue;
                 }
-                if !self.lists_frozen.contains(&id) {
+                if !self.stale_lists.contains(&id) {
                     let list = self.list.clone();
                     self.feed(&id, Event::List(list));
                 }
@@ -457,36 +460,36 @@
         let due: Vec<(RequestId, InstanceId)> = self
             .runs
             .iter()
-            .filter(|(_, r)| !r.over && r.ends <= now)
-            .map(|(id, r)| (id.clone(), r.entry.clone()))
+            .filter(|(_, r)| !r.ended && r.ends_at <= now)
+            .map(|(id, r)| (id.clone(), r.ingress.clone()))
             .collect();
-        for (request, entry) in due {
+        for (request, ingress) in due {
             if let Some(run) = self.runs.get_mut(&request) {
-                run.over = true;
+                run.ended = true;
             }
-            let place = self.places.get_mut(&entry).expect("entries stay known");
-            if place.frozen {
-                place.finished_while_frozen.push(request);
-            } else if place.alive {
-                self.finish(&entry, &request);
+            let instance = self.instances.get_mut(&ingress).expect("instances are never removed");
+            if instance.paused {
+                instance.finished_while_paused.push(request);
+            } else if instance.alive {
+                self.finish(&ingress, &request);
             }
         }
     }
 
-    /// The instance that schedules the pool, by the word of `of`.
+    /// The scheduler of the pool as known to `of`.
     pub fn scheduler(&self, of: &str) -> InstanceId {
-        self.node(of).entry().scheduler(POOL).cloned().expect("a scheduler is known")
+        self.node(of).ingress().scheduler(POOL).cloned().expect("a scheduler is known")
     }
 
-    pub fn count(&self, fate: &Fate) -> usize {
-        self.fates.values().filter(|f| *f == fate).count()
+    pub fn count(&self, outcome: &RequestOutcome) -> usize {
+        self.outcomes.values().filter(|f| *f == outcome).count()
     }
 
-    /// Permits that are free at instances that live, by key.
+    /// Free permits at live instances by key.
     pub fn free_permits(&self) -> BTreeMap<String, u32> {
         let mut free = BTreeMap::new();
-        for place in self.places.values().filter(|p| p.alive) {
-            let permits = place.node.permits();
+        for instance in self.instances.values().filter(|i| i.alive) {
+            let permits = instance.node.permits();
             for key in permits.keys() {
                 *free.entry(format!("{key:?}")).or_default() += permits.count(key).0;
             }
--- a/oxbowbend-standin/examples/capacity.rs
+++ b/oxbowbend-standin/examples/capacity.rs
@@ -70,8 +70,8 @@
     }
 }
 
-fn record(n: usize, blocks: u64) -> message::Record {
-    message::Record {
+fn record(n: usize, blocks: u64) -> message::RequestInfo {
+    message::RequestInfo {
         id: format!("r-{n:032x}").as_str().into(),
         attempt: 1,
         pool: POOL.into(),
@@ -97,26 +97,26 @@
         |s: &mut scheduler::Scheduler<choose::Predicted>, n: usize, free: u32, seen: u64| {
             let endpoint = format!("engine-{}", n % endpoints);
             let endpoint = endpoint.as_str().into();
-            s.offer(
+            s.handle_offer(
                 &entry,
-                &message::Offer { pool: POOL.into(), endpoint, free, owned: 4, asks_seen: seen },
+                &message::Offer { pool: POOL.into(), endpoint, free, owned: 4, last_seq: seen },
             );
         };
     let mut out = Vec::new();
     let mut seen = 0;
     let mut granted = 0;
     let rounds = 2000;
-    let records: Vec<message::Record> = (0..rounds).map(|n| record(queue + n, 16)).collect();
+    let records: Vec<message::RequestInfo> = (0..rounds).map(|n| record(queue + n, 16)).collect();
     let began = Instant::now();
     for (n, record) in records.into_iter().enumerate() {
         s.enqueue(now, &entry, record);
         offer(&mut s, n, 1, seen);
-        s.pump(now, &policy::Alone, &mut out);
+        s.schedule(now, &policy::Alone, &mut out);
         for action in out.drain(..) {
             if let node::Action::Send { message: message::Message::Grant(grant), .. } = &action {
-                seen = seen.max(grant.ask);
+                seen = seen.max(grant.seq);
                 granted += 1;
-                s.taken(&(grant.request.clone(), grant.attempt));
+                s.handle_accepted(&(grant.request.clone(), grant.attempt));
             }
             black_box(&action);
         }
@@ -190,9 +190,12 @@
         (0..pools).map(|n| (format!("p{n}").as_str().into(), config.clone())).collect();
     node.handle(now, node::Event::Topology(Arc::new(topology)));
     node.handle(now, node::Event::List(list(7)));
-    let beats =
-        |n: usize| message::PoolBeat { pool: format!("p{n}").as_str().into(), digest: 0, floor: 0 };
-    let message = message::Message::Beat { seq: 1, pools: (0..pools).map(beats).collect() };
+    let digests = |n: usize| message::PoolDigest {
+        pool: format!("p{n}").as_str().into(),
+        digest: 0,
+        threshold_seq: 0,
+    };
+    let message = message::Message::Heartbeat { seq: 1, pools: (0..pools).map(digests).collect() };
     let from: ids::InstanceId = "entry-001-0123abcd".into();
     let rounds = 2000;
     let began = Instant::now();
@@ -260,9 +263,9 @@
         run: format!("r-{n:032x}").as_str().into(),
         action: ledger::StepAction::Hold {
             holder: ENTRY.into(),
-            body: 1,
+            body_digest: 1,
             takeover: false,
-            window: 900,
+            retention_s: 900,
         },
     };
     (0..entries).for_each(|n| {
@@ -329,22 +332,28 @@
         attempt: 1,
         pool: POOL.into(),
         endpoint: "engine-12".into(),
-        entry: entry.clone(),
+        ingress: entry.clone(),
         scheduler: entry.clone(),
-        ask: 12_345,
+        seq: 12_345,
         hops: vec![
             hop(message::PermitKey::Account("account-1".into())),
             hop(message::PermitKey::Endpoint("engine-12".into())),
         ],
     };
-    let beat = message::PoolBeat { pool: POOL.into(), digest: u64::MAX, floor: 0 };
+    let digest = message::PoolDigest { pool: POOL.into(), digest: u64::MAX, threshold_seq: 0 };
     let table: BTreeMap<&str, usize> = [
         ("enqueue, 16 blocks", bytes(&message::Message::Enqueue(record(1, 16)))),
         ("enqueue, no blocks", bytes(&message::Message::Enqueue(record(1, 0)))),
         ("grant, 2 hops", bytes(&message::Message::Grant(grant))),
-        ("beat, 1 pool", bytes(&message::Message::Beat { seq: 1000, pools: vec![beat.clone()] })),
-        ("beat, 21 pools", bytes(&message::Message::Beat { seq: 1000, pools: vec![beat; 21] })),
-        ("beat ack", bytes(&message::Message::BeatAck { seq: 1000, resync: Vec::new() })),
+        (
+            "beat, 1 pool",
+            bytes(&message::Message::Heartbeat { seq: 1000, pools: vec![digest.clone()] }),
+        ),
+        (
+            "beat, 21 pools",
+            bytes(&message::Message::Heartbeat { seq: 1000, pools: vec![digest; 21] }),
+        ),
+        ("beat ack", bytes(&message::Message::HeartbeatAck { seq: 1000, resync: Vec::new() })),
         ("claim of 100, list of 137", claim_bytes(137)),
         ("claim of 100, list of 410", claim_bytes(410)),
     ]
