--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -19,22 +19,22 @@
 use crate::seam::{Ask, Wire};
 
 /// Largest body that is read before a configuration is known.
-const MAX_UNKNOWN_BODY: usize = 4 << 20;
+const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
 /// Tiers that a rank leaves room for below an account's.
-const TIERS: u16 = 256;
+const ROUTE_TIERS: u16 = 256;
 
 /// Tokens of a prompt that engines read between two tokens of the other requests; the usual size of
 /// such a chunk, and borne out by the pauses seen at slow endpoints.
-const READ_CHUNK: u32 = 1024;
+const PREFILL_CHUNK_TOKENS: u32 = 1024;
 
 /// Time for which a request waits for an instance that has just started to know what the store holds.
 /// That takes 8 to 20 ms, in which a restarted fleet of six meets 260 callers that have been trying to
 /// connect, most of them for the last time.
-const LOADING: Duration = Duration::from_millis(120);
+const INITIAL_CONFIG_TIMEOUT: Duration = Duration::from_millis(120);
 /// When to come back to an instance that is being told the configuration.
-const STARTING: Duration = Duration::from_millis(200);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Spread of the time to come back, so that refused callers do not return as one.
-const SPREAD: std::ops::Range<f64> = 0.8..1.2;
+const RETRY_AFTER_JITTER: std::ops::Range<f64> = 0.8..1.2;
 
 type Refused = (String, Refusal);
 
@@ -48,7 +48,7 @@
     ) -> Result<Job, Refused> {
         let (head, body) = req.into_parts();
         let table = self.shared.table();
-        let limit = table.as_ref().map_or(MAX_UNKNOWN_BODY, |t| t.limits().body);
+        let limit = table.as_ref().map_or(DEFAULT_MAX_BODY_BYTES, |t| t.limits().body);
         let ask = self.wire.read(&head);
         let id = ask.as_ref().map_or("-", |ask| &ask.id).to_owned();
         let refused = |refusal| (id.clone(), refusal);
@@ -65,7 +65,9 @@
     /// Waits a moment for what the store holds, after a start.
     async fn await_table(&self, arrived: Instant) -> Result<Arc<Table>, Refusal> {
         let is_store_away = self.shared.lock().world.is_store_away();
-        if !is_store_away && future::timeout(LOADING, self.shared.loaded()).await.is_ok() {
+        if !is_store_away
+            && future::timeout(INITIAL_CONFIG_TIMEOUT, self.shared.loaded()).await.is_ok()
+        {
             if let Some(table) = self.shared.table() {
                 return Ok(table);
             }
@@ -77,11 +79,13 @@
     fn not_ready(&self, now: Instant) -> Refusal {
         let state = self.shared.lock();
         let come_back = match state.cell.live_reports(now).any(|r| r.version > 0) {
-            true => STARTING,
+            true => NOT_READY_RETRY_AFTER,
             false => state.world.come_back(now),
         };
         drop(state);
-        Refusal::NotReady { retry_after: come_back.mul_f64(rand::rng().random_range(SPREAD)) }
+        Refusal::NotReady {
+            retry_after: come_back.mul_f64(rand::rng().random_range(RETRY_AFTER_JITTER)),
+        }
     }
 
     fn check(
@@ -114,7 +118,7 @@
         drop(state);
         let patience = ask.patience.unwrap_or(Duration::MAX).min(route.timeout);
         let tier = account.and_then(|a| a.tier).map_or(0, u16::from);
-        let rank = tier * TIERS + u16::from(route.tier);
+        let rank = tier * ROUTE_TIERS + u16::from(route.tier);
         log::info!(
             "event=admitted id={} fingerprint={fingerprint:016x} route={} service={service} account={} \
              version={} units={units} prompt={} output={} patience_ms={} age_ms={} rank={rank}",
@@ -129,7 +133,7 @@
         );
         let tokens_per_event = table.service(&service).map_or(0, |s| s.tokens_per_event);
         let stall = Stall {
-            tokens: ask.prompt.min(tokens_per_event.saturating_mul(READ_CHUNK)),
+            tokens: ask.prompt.min(tokens_per_event.saturating_mul(PREFILL_CHUNK_TOKENS)),
             pause_ms: route.pause.map_or(0, |p| p.as_millis() as u32),
         };
         Ok(Job {
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -35,14 +35,14 @@
 
 /// Sends of one request that ended with the word, or the certainty, that it did not run. Each is a
 /// repeat at the service, so this bounds what one request may use of the allowance.
-const MAX_UNRUN: u32 = 3;
+const MAX_UNEXECUTED_ATTEMPTS: u32 = 3;
 /// Part of the objective for which a request waits for a place.
-const HOLD_SHARE: f64 = 0.8;
+const QUEUE_TIMEOUT_FRACTION: f64 = 0.8;
 /// Least time for which a request that was sent before waits for another place.
-const HOLD_AGAIN: Duration = Duration::from_millis(200);
+const MIN_RETRY_QUEUE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Part of the time that a caller has left up to which it waits when told to come back.
-const HONOURED_SHARE: f64 = 0.33;
+const MAX_RETRY_DELAY_FRACTION: f64 = 0.33;
 
 /// Body of an answer: whole, or a stream as it comes.
 pub(crate) type Body<S> = Either<h1::Whole, StreamBody<S>>;
@@ -123,7 +123,7 @@
                 }
                 Err(failure) if failure.is_not_run() => {
                     tries.unrun += 1;
-                    let may = tries.unrun < MAX_UNRUN
+                    let may = tries.unrun < MAX_UNEXECUTED_ATTEMPTS
                         && (!failure.has_arrived() || self.may_repeat(job, "not_run"));
                     if !may {
                         return tries.settle(self.busy(job, false));
@@ -174,9 +174,9 @@
     async fn place(&self, job: &Job, tries: &Tries) -> Result<Assignment, Refusal> {
         let now = clock::now();
         let left = job.limit.saturating_duration_since(now);
-        let earliest = if tries.avoid.is_empty() { now } else { now + HOLD_AGAIN };
+        let earliest = if tries.avoid.is_empty() { now } else { now + MIN_RETRY_QUEUE_TIMEOUT };
         let objective = job.route.objective;
-        let in_time = objective.saturating_sub(job.age).mul_f64(HOLD_SHARE);
+        let in_time = objective.saturating_sub(job.age).mul_f64(QUEUE_TIMEOUT_FRACTION);
         let hold = (job.arrived + in_time.max(objective / 8)).max(earliest);
         let hold = hold.saturating_duration_since(now).min(left);
         // A stop ends whatever waits; without an answer the caller could not tell that it has not run.
@@ -237,7 +237,7 @@
         let now = clock::now();
         let patience = Patience {
             objective: job.route.objective,
-            longest: job.limit.saturating_duration_since(now).mul_f64(HONOURED_SHARE),
+            longest: job.limit.saturating_duration_since(now).mul_f64(MAX_RETRY_DELAY_FRACTION),
             spread: rand::random(),
         };
         let mut state = self.shared.lock();
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -16,7 +16,7 @@
 
 /// Time for which an answer is waited for. A new connection takes some 4 ms across zones; whoever was
 /// served there is sent elsewhere after it.
-const LIMIT: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl<W> Relay<W> {
     /// Lets a request pass to an endpoint, or not; `true` if that is the trial of its quarantine. Its time may have
@@ -59,7 +59,7 @@
 
 async fn check(shared: Shared, pool: h1::Pool, endpoint: Endpoint) {
     let began = clock::now();
-    let verdict = match future::timeout(LIMIT, pool.connect(endpoint.address)).await {
+    let verdict = match future::timeout(PROBE_TIMEOUT, pool.connect(endpoint.address)).await {
         Ok(Ok(conn)) => {
             pool.put(conn);
             "accepted"
--- a/oxbowbend-gateway/src/relay/refusal.rs
+++ b/oxbowbend-gateway/src/relay/refusal.rs
@@ -12,7 +12,7 @@
 use oxbowbend_http::h1;
 
 /// When to come back to another instance, if this one stops.
-const STOPPING: Duration = Duration::from_millis(200);
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Why a request is not answered by an endpoint.
 #[derive(Clone, Debug, PartialEq)]
@@ -67,7 +67,7 @@
 
     fn retry_after(&self) -> Option<Duration> {
         match self {
-            Refusal::Stopping => Some(STOPPING),
+            Refusal::Stopping => Some(STOPPING_RETRY_AFTER),
             Refusal::NotReady { retry_after } | Refusal::Quarantined { retry_after, .. } => {
                 Some(*retry_after)
             }
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -26,7 +26,7 @@
 use crate::shared::Shared;
 
 /// Units of work of an event of a stream, roughly: what is compared are answers on the same route.
-const EVENT_UNITS: u32 = 1000;
+const WORK_UNITS_PER_EVENT: u32 = 1000;
 
 /// An endpoint's answer.
 pub(crate) enum Sent {
@@ -175,7 +175,7 @@
     /// The time that it has taken, for each unit of work.
     fn took(&self) -> Answer {
         let units = self.prompt.saturating_add(self.backlog).saturating_add(FIXED_UNITS);
-        let units = units.saturating_add(self.events.saturating_mul(EVENT_UNITS));
+        let units = units.saturating_add(self.events.saturating_mul(WORK_UNITS_PER_EVENT));
         let ns = clock::since(self.began).as_nanos() as f64;
         Answer::Good { ns_per_unit: ns / f64::from(units) }
     }
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -14,7 +14,7 @@
 use super::events::Events;
 use super::job::Job;
 use super::run::{log_answered, Failure, Run, Sent};
-use super::{until, Relay, Tries, MAX_UNRUN};
+use super::{until, Relay, Tries, MAX_UNEXECUTED_ATTEMPTS};
 use crate::seam::Wire;
 
 /// The stream cannot be brought to its end; the caller's connection is broken off, so that it does
@@ -140,7 +140,10 @@
         }
         self.events.drop_rest();
         let mut unrun = 0;
-        while self.job.route.resumable && self.sends < self.job.route.sends && unrun < MAX_UNRUN {
+        while self.job.route.resumable
+            && self.sends < self.job.route.sends
+            && unrun < MAX_UNEXECUTED_ATTEMPTS
+        {
             if !self.relay.may_repeat(&self.job, "stream_broken") {
                 return false;
             }
