--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -13,8 +13,8 @@
 use oxbowbend_core::routes::{Account, Route, Table};
 use rand::Rng;
 
-use super::job::Job;
 use super::refusal::Refusal;
+use super::request::AdmittedRequest;
 use super::Relay;
 use crate::seam::{Ask, Wire};
 
@@ -45,7 +45,7 @@
         &self,
         req: Request<Incoming>,
         arrived: Instant,
-    ) -> Result<Job, Refused> {
+    ) -> Result<AdmittedRequest, Refused> {
         let (head, body) = req.into_parts();
         let table = self.shared.table();
         let limit = table.as_ref().map_or(DEFAULT_MAX_BODY_BYTES, |t| t.limits().body);
@@ -58,8 +58,8 @@
             Some(table) => table,
             None => self.await_table(arrived).await.map_err(refused)?,
         };
-        let job = self.check(&table, head, ask, body, arrived).map_err(refused)?;
-        Ok(job)
+        let request = self.check(&table, head, ask, body, arrived).map_err(refused)?;
+        Ok(request)
     }
 
     /// Waits a moment for what the store holds, after a start.
@@ -95,7 +95,7 @@
         ask: Ask,
         body: Bytes,
         arrived: Instant,
-    ) -> Result<Job, Refusal> {
+    ) -> Result<AdmittedRequest, Refusal> {
         let route = table.route(&ask.host, head.uri.path()).ok_or(Refusal::NoRoute)?.clone();
         let account = account(table, &route, &ask)?;
         let service = route.target(rand::random()).cloned().ok_or(Refusal::NoRoute)?;
@@ -136,7 +136,7 @@
             tokens: ask.prompt.min(tokens_per_event.saturating_mul(PREFILL_CHUNK_TOKENS)),
             pause_ms: route.pause.map_or(0, |p| p.as_millis() as u32),
         };
-        Ok(Job {
+        Ok(AdmittedRequest {
             method: head.method,
             uri: head.uri,
             headers: head.headers,
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -6,9 +6,9 @@
 
 mod admit;
 mod events;
-mod job;
 mod quarantine;
 mod refusal;
+mod request;
 mod run;
 mod stream;
 
@@ -29,8 +29,8 @@
 use crate::observe;
 use crate::seam::Wire;
 use crate::shared::Shared;
-use job::Job;
 use refusal::Refusal;
+use request::AdmittedRequest;
 use run::{Failure, Sent};
 
 /// Sends of one request that ended with the word, or the certainty, that it did not run. Each is a
@@ -76,65 +76,68 @@
         req: Request<Incoming>,
     ) -> Response<Body<impl Stream<Item = Result<Frame<Bytes>, stream::BrokenOff>>>> {
         let arrived = clock::now();
-        let job = match self.admit(req, arrived).await {
-            Ok(job) => Arc::new(job),
+        let request = match self.admit(req, arrived).await {
+            Ok(request) => Arc::new(request),
             Err((id, refusal)) => {
                 refusal.log(&id, "-", arrived);
                 observe::answered("-", refusal.outcome(), clock::since(arrived));
                 return refusal.into_answer().map(Either::Left);
             }
         };
-        match self.clone().fulfil(&job).await {
+        match self.clone().fulfil(&request).await {
             Ok(Sent::Whole(answer)) => answer.map(|body| Either::Left(h1::Whole::new(body))),
             Ok(Sent::Stream(head, streaming)) => {
-                let body = StreamBody::new(stream::frames(self, job, streaming));
+                let body = StreamBody::new(stream::frames(self, request, streaming));
                 Response::from_parts(head, Either::Right(body))
             }
             Err(refusal) => {
                 if refusal.is_not_run() {
-                    self.give_back(&job);
+                    self.give_back(&request);
                 }
-                refusal.log(&job.ask.id, &job.route.name, arrived);
-                observe::answered(&job.route.name, refusal.outcome(), clock::since(arrived));
+                refusal.log(&request.ask.id, &request.route.name, arrived);
+                observe::answered(&request.route.name, refusal.outcome(), clock::since(arrived));
                 refusal.into_answer().map(Either::Left)
             }
         }
     }
 
     /// Sends a request to endpoints until one has answered or no more may be tried.
-    async fn fulfil(self, job: &Arc<Job>) -> Result<Sent, Refusal> {
+    async fn fulfil(self, request: &Arc<AdmittedRequest>) -> Result<Sent, Refusal> {
         let mut tries = Tries::default();
         loop {
-            let place =
-                match self.place(job, &tries).await.and_then(|p| self.check_shutdown(job, p)) {
-                    Ok(place) => place,
-                    Err(refusal) => return tries.settle(refusal),
-                };
+            let place = match self
+                .place(request, &tries)
+                .await
+                .and_then(|p| self.check_shutdown(request, p))
+            {
+                Ok(place) => place,
+                Err(refusal) => return tries.settle(refusal),
+            };
             let endpoint = place.endpoint.id.clone();
-            match self.send(job, place, job.ask.after).await {
-                Ok(Sent::Whole(answer)) if self.is_worth_another(job, &answer, &mut tries) => {
+            match self.send(request, place, request.ask.after).await {
+                Ok(Sent::Whole(answer)) if self.is_worth_another(request, &answer, &mut tries) => {
                     tries.kept = Some(answer);
                 }
                 Ok(sent) => return Ok(sent),
                 Err(Failure::Quarantined(left)) => {
-                    let fingerprint = job.fingerprint;
+                    let fingerprint = request.fingerprint;
                     let refusal = Refusal::Quarantined { fingerprint, retry_after: left };
                     return tries.settle(refusal);
                 }
                 Err(failure) if failure.is_not_run() => {
                     tries.unrun += 1;
                     let may = tries.unrun < MAX_UNEXECUTED_ATTEMPTS
-                        && (!failure.has_arrived() || self.may_repeat(job, "not_run"));
+                        && (!failure.has_arrived() || self.may_repeat(request, "not_run"));
                     if !may {
-                        return tries.settle(self.busy(job, false));
+                        return tries.settle(self.busy(request, false));
                     }
                 }
                 Err(failure) => {
                     tries.maybe_run += 1;
-                    let may = job.is_repeatable()
+                    let may = request.is_repeatable()
                         && !failure.is_timeout()
-                        && tries.maybe_run < job.route.sends
-                        && self.may_repeat(job, "failed");
+                        && tries.maybe_run < request.route.sends
+                        && self.may_repeat(request, "failed");
                     if !may {
                         return tries.settle(failure.into_refusal());
                     }
@@ -145,68 +148,73 @@
     }
 
     /// Whether an endpoint's own failure should be tried elsewhere; it is kept meanwhile.
-    fn is_worth_another(&self, job: &Job, answer: &Response<Bytes>, tries: &mut Tries) -> bool {
-        if !answer.status().is_server_error() || !job.is_repeatable() || tries.kept.is_some() {
+    fn is_worth_another(
+        &self,
+        request: &AdmittedRequest,
+        answer: &Response<Bytes>,
+        tries: &mut Tries,
+    ) -> bool {
+        if !answer.status().is_server_error() || !request.is_repeatable() || tries.kept.is_some() {
             return false;
         }
         tries.maybe_run += 1;
-        tries.maybe_run < job.route.sends && self.may_repeat(job, "error")
+        tries.maybe_run < request.route.sends && self.may_repeat(request, "error")
     }
 
     /// Whether the allowance has a repeat left; takes it.
-    fn may_repeat(&self, job: &Job, why: &'static str) -> bool {
+    fn may_repeat(&self, request: &AdmittedRequest, why: &'static str) -> bool {
         let mut state = self.shared.lock();
         let instances = state.instances;
-        let may = state.repeats.repeat(clock::now(), &job.service, instances);
+        let may = state.repeats.repeat(clock::now(), &request.service, instances);
         drop(state);
         if may {
             observe::sent_again(why);
         }
         log::info!(
             "event=repeat id={} service={} why={why} allowed={may} instances={instances}",
-            job.ask.id,
-            job.service
+            request.ask.id,
+            request.service
         );
         may
     }
 
     /// Waits for a place.
-    async fn place(&self, job: &Job, tries: &Tries) -> Result<Assignment, Refusal> {
+    async fn place(&self, request: &AdmittedRequest, tries: &Tries) -> Result<Assignment, Refusal> {
         let now = clock::now();
-        let left = job.limit.saturating_duration_since(now);
+        let left = request.limit.saturating_duration_since(now);
         let earliest = if tries.avoid.is_empty() { now } else { now + MIN_RETRY_QUEUE_TIMEOUT };
-        let objective = job.route.objective;
-        let in_time = objective.saturating_sub(job.age).mul_f64(QUEUE_TIMEOUT_FRACTION);
-        let hold = (job.arrived + in_time.max(objective / 8)).max(earliest);
+        let objective = request.route.objective;
+        let in_time = objective.saturating_sub(request.age).mul_f64(QUEUE_TIMEOUT_FRACTION);
+        let hold = (request.arrived + in_time.max(objective / 8)).max(earliest);
         let hold = hold.saturating_duration_since(now).min(left);
         // A stop ends whatever waits; without an answer the caller could not tell that it has not run.
         let shutdown = self.shared.lock().shutdown;
         let hold = shutdown.map_or(hold, |s| s.hold(now, hold));
-        let service = self.shared.lock().deal(&job.service, tries.avoid.is_empty());
+        let service = self.shared.lock().deal(&request.service, tries.avoid.is_empty());
         // Waiting is of no use where no endpoint wants a request in time.
         if self.shared.lock().cell.opens_in(now, &service).is_some_and(|opens_in| opens_in > hold) {
-            return Err(self.busy(job, true));
+            return Err(self.busy(request, true));
         }
         let waiting = self.shared.arrive(Want {
             service,
-            rank: job.rank,
-            prompt: job.ask.prompt,
-            output: job.ask.output.unwrap_or(0),
-            stall: job.stall,
-            arrived: job.arrived,
-            objective: job.route.objective.saturating_sub(job.age),
+            rank: request.rank,
+            prompt: request.ask.prompt,
+            output: request.ask.output.unwrap_or(0),
+            stall: request.stall,
+            arrived: request.arrived,
+            objective: request.route.objective.saturating_sub(request.age),
             avoid: tries.avoid.clone(),
         });
         if waiting.should_shed() {
-            return Err(self.busy(job, true));
+            return Err(self.busy(request, true));
         }
-        let place = waiting.place(hold).await.ok_or_else(|| self.busy(job, false))?;
+        let place = waiting.place(hold).await.ok_or_else(|| self.busy(request, false))?;
         let waited = clock::since(now);
-        observe::placed(&job.route.name, waited, place.withheld > 0);
+        observe::placed(&request.route.name, waited, place.withheld > 0);
         log::info!(
             "event=placed id={} endpoint={} load={} slots={} backlog={} expected_ms={} \
              waited_ms={} withheld={}",
-            job.ask.id,
+            request.ask.id,
             place.endpoint.id,
             place.load,
             place.endpoint.slots,
@@ -220,10 +228,15 @@
 
     /// Makes sure that a request is not begun that a stop would cut off. Streams that have begun are
     /// continued in any case.
-    fn check_shutdown(&self, job: &Job, place: Assignment) -> Result<Assignment, Refusal> {
+    fn check_shutdown(
+        &self,
+        request: &AdmittedRequest,
+        place: Assignment,
+    ) -> Result<Assignment, Refusal> {
         let now = clock::now();
         let state = self.shared.lock();
-        let expected = if job.route.stream { place.whole } else { Some(job.route.objective) };
+        let expected =
+            if request.route.stream { place.whole } else { Some(request.route.objective) };
         let admits = |s: Shutdown| s.admits(now, expected, state.are_others_ready(now));
         if state.shutdown.is_none_or(admits) {
             return Ok(place);
@@ -233,15 +246,15 @@
         Err(Refusal::Stopping)
     }
 
-    fn busy(&self, job: &Job, on_arrival: bool) -> Refusal {
+    fn busy(&self, request: &AdmittedRequest, on_arrival: bool) -> Refusal {
         let now = clock::now();
         let patience = Patience {
-            objective: job.route.objective,
-            longest: job.limit.saturating_duration_since(now).mul_f64(MAX_RETRY_DELAY_FRACTION),
+            objective: request.route.objective,
+            longest: request.limit.saturating_duration_since(now).mul_f64(MAX_RETRY_DELAY_FRACTION),
             spread: rand::random(),
         };
         let mut state = self.shared.lock();
-        let retry_after = state.cell.refuse(now, &job.service, job.rank, patience);
+        let retry_after = state.cell.refuse(now, &request.service, request.rank, patience);
         drop(state);
         if retry_after.is_withheld {
             observe::withheld("refused");
@@ -249,9 +262,9 @@
         Refusal::Busy { retry_after, on_arrival }
     }
 
-    fn give_back(&self, job: &Job) {
-        if let Some(account) = &job.account {
-            self.shared.lock().admission.give_back(account, job.units);
+    fn give_back(&self, request: &AdmittedRequest) {
+        if let Some(account) = &request.account {
+            self.shared.lock().admission.give_back(account, request.units);
         }
     }
 }
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -8,7 +8,7 @@
 use oxbowbend_core::routes::Endpoint;
 use oxbowbend_http::h1;
 
-use super::job::Job;
+use super::request::AdmittedRequest;
 use super::run::Failure;
 use super::{until, Relay};
 use crate::observe;
@@ -21,17 +21,17 @@
 impl<W> Relay<W> {
     /// Lets a request pass to an endpoint, or not; `true` if that is the trial of its quarantine. Its time may have
     /// run out in a suspension, which no timer has told.
-    pub(super) fn pass_gate(&self, job: &Job) -> Result<bool, Failure> {
-        if until(job.limit).is_zero() {
+    pub(super) fn pass_gate(&self, request: &AdmittedRequest) -> Result<bool, Failure> {
+        if until(request.limit).is_zero() {
             return Err(Failure::Timeout);
         }
-        let gate = self.shared.gate(job.fingerprint);
+        let gate = self.shared.gate(request.fingerprint);
         if let Gate::Closed(left) = gate {
             observe::send_held();
             log::info!(
                 "event=send_held id={} fingerprint={:016x} left_ms={}",
-                job.ask.id,
-                job.fingerprint,
+                request.ask.id,
+                request.fingerprint,
                 left.as_millis()
             );
             return Err(Failure::Quarantined(left));
@@ -40,16 +40,21 @@
     }
 
     /// Notes that a request had a whole answer: it does not end endpoints.
-    pub(super) fn note_answer(&self, job: &Job) {
-        self.shared.request_answered(job.fingerprint);
+    pub(super) fn note_answer(&self, request: &AdmittedRequest) {
+        self.shared.request_answered(request.fingerprint);
     }
 
     /// Finds out whether an endpoint at which a run broke off has ended, or only a connection to it: an endpoint that
     /// has ended refuses a new one. One that is accepted is kept for the next request.
     ///
     /// It goes on if the caller leaves meanwhile.
-    pub(super) async fn check_end(&self, job: &Job, endpoint: &Endpoint, is_quiet: bool) {
-        let run = Run { fingerprint: job.fingerprint, is_quiet };
+    pub(super) async fn check_end(
+        &self,
+        request: &AdmittedRequest,
+        endpoint: &Endpoint,
+        is_quiet: bool,
+    ) {
+        let run = Run { fingerprint: request.fingerprint, is_quiet };
         if self.shared.run_broke_off(endpoint, run) {
             let (shared, pool) = (self.shared.clone(), self.pool.clone());
             task::spawn(check(shared, pool, endpoint.clone())).await;
--- a/oxbowbend-gateway/src/relay/job.rs
+++ b/oxbowbend-gateway/src/relay/request.rs
@@ -13,7 +13,7 @@
 use crate::seam::Ask;
 
 /// One request.
-pub(crate) struct Job {
+pub(crate) struct AdmittedRequest {
     pub(crate) ask: Ask,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
@@ -33,7 +33,7 @@
     pub(crate) limit: Instant,
 }
 
-impl Job {
+impl AdmittedRequest {
     /// Whether the request may run more than once.
     pub(crate) fn is_repeatable(&self) -> bool {
         match self.route.stream {
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -17,8 +17,8 @@
 use oxbowbend_http::h1;
 use thiserror::Error;
 
-use super::job::Job;
 use super::refusal::Refusal;
+use super::request::AdmittedRequest;
 use super::stream::Streaming;
 use super::{until, Relay};
 use crate::observe;
@@ -120,8 +120,8 @@
 }
 
 impl Run {
-    fn new(shared: &Shared, job: &Job, place: Assignment) -> Run {
-        let (shared, id) = (shared.clone(), job.ask.id.clone());
+    fn new(shared: &Shared, request: &AdmittedRequest, place: Assignment) -> Run {
+        let (shared, id) = (shared.clone(), request.ask.id.clone());
         shared.run_began(&place.endpoint);
         Run {
             shared,
@@ -135,7 +135,7 @@
             pause: Duration::ZERO,
             last_event: clock::now(),
             events: 0,
-            route: job.route.clone(),
+            route: request.route.clone(),
             is_over: false,
         }
     }
@@ -200,20 +200,20 @@
     /// Sends a request to the endpoint that it was given.
     pub(super) async fn send(
         &self,
-        job: &Job,
+        request: &AdmittedRequest,
         place: Assignment,
         after: Option<u64>,
     ) -> Result<Sent, Failure> {
         let (load, expected) = (place.load, place.expected);
-        let mut run = Run::new(&self.shared, job, place);
+        let mut run = Run::new(&self.shared, request, place);
         let is_crowded = load > run.endpoint.slots;
-        let result = self.exchange(job, &mut run, expected, after).await;
+        let result = self.exchange(request, &mut run, expected, after).await;
         let failure = match result {
             Ok(Begun::Whole(answer)) => {
                 let is_bad = answer.status().is_server_error();
                 let outcome = if is_bad { Outcome::Bad } else { Outcome::Good };
-                log_answered(job, &run, answer.status().as_u16(), answer.body().len());
-                self.note_answer(job);
+                log_answered(request, &run, answer.status().as_u16(), answer.body().len());
+                self.note_answer(request);
                 run.end_clean(&self.pool, outcome);
                 return Ok(Sent::Whole(answer));
             }
@@ -235,8 +235,8 @@
         log::warn!(
             "event=send_failed id={} fingerprint={:016x} endpoint={} load={load} after_ms={} \
              blame={outcome:?} failure=\"{failure}\"",
-            job.ask.id,
-            job.fingerprint,
+            request.ask.id,
+            request.fingerprint,
             run.endpoint.id,
             clock::since(run.began).as_millis()
         );
@@ -245,7 +245,7 @@
         }
         run.end(outcome);
         match &failure {
-            Failure::Broken(_) => self.check_end(job, &run.endpoint, true).await,
+            Failure::Broken(_) => self.check_end(request, &run.endpoint, true).await,
             Failure::Unsent(e) if e.is_refused() => self.shared.endpoint_ended(&run.endpoint),
             _ => {}
         }
@@ -254,40 +254,45 @@
 
     async fn exchange(
         &self,
-        job: &Job,
+        request: &AdmittedRequest,
         run: &mut Run,
         expected: Duration,
         after: Option<u64>,
     ) -> Result<Begun, Failure> {
-        let due = silence::due(expected, job.route.objective);
-        let limit = until(job.limit);
+        let due = silence::due(expected, request.route.objective);
+        let limit = until(request.limit);
         let (endpoint, began) = (run.endpoint.key(), run.began);
-        let beginning = self.begin(job, run, after);
+        let beginning = self.begin(request, run, after);
         pin_mut!(beginning);
         if let Ok(begun) = future::timeout(due.min(limit), &mut beginning).await {
             return begun;
         }
-        match silence::judge(due, limit, job.is_repeatable()) {
+        match silence::judge(due, limit, request.is_repeatable()) {
             Silence::TimedOut => return Err(Failure::Timeout),
             Silence::GivenUp => return Err(Failure::Hanging),
             Silence::Suspected => {
                 self.shared.lock().cell.suspect(clock::now(), endpoint, began);
             }
         }
-        match future::timeout(until(job.limit), beginning).await {
+        match future::timeout(until(request.limit), beginning).await {
             Ok(begun) => begun,
             Err(_) => Err(Failure::Timeout),
         }
     }
 
     /// Sends the request; returns with the whole answer, or with the first event of a stream.
-    async fn begin(&self, job: &Job, run: &mut Run, after: Option<u64>) -> Result<Begun, Failure> {
-        let answer = self.ask(job, run, after).await?;
+    async fn begin(
+        &self,
+        request: &AdmittedRequest,
+        run: &mut Run,
+        after: Option<u64>,
+    ) -> Result<Begun, Failure> {
+        let answer = self.ask(request, run, after).await?;
         let (mut head, mut body) = answer.into_parts();
-        let verdict = self.wire.judge(&head, &job.ask.id);
+        let verdict = self.wire.judge(&head, &request.ask.id);
         if matches!(verdict, Verdict::Answer | Verdict::NotRun) {
             let signals = self.wire.signals(&head);
-            self.shared.endpoint_said(&run.endpoint, &job.ask.id, run.began, signals);
+            self.shared.endpoint_said(&run.endpoint, &request.ask.id, run.began, signals);
             if let (Verdict::NotRun, Some(rest)) = (verdict, signals.backoff.value()) {
                 return Err(Failure::TurnedAway(rest));
             }
@@ -302,7 +307,7 @@
         }
         self.wire.back(&mut head.headers);
         let broken = |e: hyper::Error| Failure::Broken(e.to_string());
-        if job.route.stream && head.status.is_success() {
+        if request.route.stream && head.status.is_success() {
             let first = match body.frame().await {
                 Some(frame) => Some(frame.map_err(broken)?),
                 None => None,
@@ -310,7 +315,7 @@
             run.note_event();
             run.first = clock::since(run.began);
             self.shared.began(run.endpoint.key(), run.prompt, run.backlog, run.first);
-            observe::began(&job.route.name, clock::since(job.arrived));
+            observe::began(&request.route.name, clock::since(request.arrived));
             return Ok(Begun::Stream(head, first, body));
         }
         let whole = body.collect().await.map_err(broken)?.to_bytes();
@@ -323,7 +328,7 @@
 
     async fn ask(
         &self,
-        job: &Job,
+        request: &AdmittedRequest,
         run: &mut Run,
         after: Option<u64>,
     ) -> Result<Response<Incoming>, Failure> {
@@ -334,14 +339,14 @@
             self.pool.put(conn);
             return Err(Failure::Unwanted);
         }
-        let is_trial = self.pass_gate(job)?;
-        let mut result = conn.send(self.request(job, run, after)).await;
+        let is_trial = self.pass_gate(request)?;
+        let mut result = conn.send(self.build_request(request, run, after)).await;
         if conn.is_reused() && matches!(&result, Err(e) if e.is_unsent()) {
             conn = self.pool.connect(address).await.map_err(Failure::Unsent)?;
             if !is_trial {
-                self.pass_gate(job)?;
+                self.pass_gate(request)?;
             }
-            result = conn.send(self.request(job, run, after)).await;
+            result = conn.send(self.build_request(request, run, after)).await;
         }
         run.conn = Some(conn);
         result.map_err(|e| match e.is_unsent() {
@@ -350,17 +355,22 @@
         })
     }
 
-    fn request(&self, job: &Job, run: &Run, after: Option<u64>) -> Request<Bytes> {
+    fn build_request(
+        &self,
+        request: &AdmittedRequest,
+        run: &Run,
+        after: Option<u64>,
+    ) -> Request<Bytes> {
         let onward = Onward {
-            left: until(job.limit),
+            left: until(request.limit),
             endpoint: &run.endpoint.id,
-            account: job.account.as_ref(),
+            account: request.account.as_ref(),
             after,
         };
-        let mut req = Request::new(job.body.clone());
-        *req.method_mut() = job.method.clone();
-        *req.uri_mut() = path_only(&job.uri);
-        *req.headers_mut() = self.wire.forward(&job.headers, onward);
+        let mut req = Request::new(request.body.clone());
+        *req.method_mut() = request.method.clone();
+        *req.uri_mut() = path_only(&request.uri);
+        *req.headers_mut() = self.wire.forward(&request.headers, onward);
         req
     }
 }
@@ -378,16 +388,16 @@
 }
 
 /// Logs an answer that is complete.
-pub(crate) fn log_answered(job: &Job, run: &Run, status: u16, bytes: usize) {
-    observe::answered(&job.route.name, "answered", clock::since(job.arrived));
+pub(crate) fn log_answered(request: &AdmittedRequest, run: &Run, status: u16, bytes: usize) {
+    observe::answered(&request.route.name, "answered", clock::since(request.arrived));
     log::info!(
         "event=answered id={} endpoint={} status={status} bytes={bytes} first_ms={} pause_ms={} at_endpoint_ms={} \
          total_ms={}",
-        job.ask.id,
+        request.ask.id,
         run.endpoint.id,
         run.first.as_millis(),
         run.pause.as_millis(),
         clock::since(run.began).as_millis(),
-        clock::since(job.arrived).as_millis()
+        clock::since(request.arrived).as_millis()
     );
 }
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 
 use super::events::Events;
-use super::job::Job;
+use super::request::AdmittedRequest;
 use super::run::{log_answered, Failure, Run, Sent};
 use super::{until, Relay, Tries, MAX_UNEXECUTED_ATTEMPTS};
 use crate::seam::Wire;
@@ -46,7 +46,7 @@
 
 struct State<W> {
     relay: Relay<W>,
-    job: Arc<Job>,
+    request: Arc<AdmittedRequest>,
     streaming: Option<Box<Streaming>>,
     events: Events,
     avoid: Vec<EndpointId>,
@@ -57,13 +57,13 @@
 /// The frames for the caller.
 pub(crate) fn frames<W: Wire>(
     relay: Relay<W>,
-    job: Arc<Job>,
+    request: Arc<AdmittedRequest>,
     streaming: Box<Streaming>,
 ) -> impl Stream<Item = Result<Frame<Bytes>, BrokenOff>> {
     let state = State {
         relay,
-        events: Events::after(job.ask.after),
-        job,
+        events: Events::after(request.ask.after),
+        request,
         streaming: Some(streaming),
         avoid: Vec::new(),
         sends: 1,
@@ -82,9 +82,9 @@
     async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
         loop {
             let streaming = self.streaming.as_mut()?;
-            match receive(streaming, &self.job).await {
+            match receive(streaming, &self.request).await {
                 Next::Data(data) => {
-                    let data = match self.job.route.resumable {
+                    let data = match self.request.route.resumable {
                         true => self.events.push(&data),
                         false => data,
                     };
@@ -110,8 +110,8 @@
     fn end(&mut self) -> Option<Result<Bytes, BrokenOff>> {
         let streaming = self.streaming.take()?;
         let rest = self.events.finish();
-        log_answered(&self.job, &streaming.run, 200, self.bytes);
-        self.relay.note_answer(&self.job);
+        log_answered(&self.request, &streaming.run, 200, self.bytes);
+        self.relay.note_answer(&self.request);
         streaming.run.end_clean(&self.relay.pool, Outcome::Good);
         (!rest.is_empty()).then_some(Ok(rest))
     }
@@ -121,8 +121,8 @@
         log::warn!(
             "event=stream_broken id={} fingerprint={:016x} endpoint={} last_event={:?} bytes={} blame={outcome:?} \
              why=\"{why}\"",
-            self.job.ask.id,
-            self.job.fingerprint,
+            self.request.ask.id,
+            self.request.fingerprint,
             streaming.run.endpoint.id,
             self.events.last(),
             self.bytes
@@ -136,26 +136,26 @@
         let endpoint = self.streaming.as_ref().map(|s| s.run.endpoint.clone());
         self.give_up(&why, Outcome::Bad);
         if let Some(endpoint) = endpoint {
-            self.relay.check_end(&self.job, &endpoint, false).await;
+            self.relay.check_end(&self.request, &endpoint, false).await;
         }
         self.events.drop_rest();
         let mut unrun = 0;
-        while self.job.route.resumable
-            && self.sends < self.job.route.sends
+        while self.request.route.resumable
+            && self.sends < self.request.route.sends
             && unrun < MAX_UNEXECUTED_ATTEMPTS
         {
-            if !self.relay.may_repeat(&self.job, "stream_broken") {
+            if !self.relay.may_repeat(&self.request, "stream_broken") {
                 return false;
             }
             let tries = Tries { avoid: self.avoid.clone(), ..Tries::default() };
-            let Ok(place) = self.relay.place(&self.job, &tries).await else { return false };
+            let Ok(place) = self.relay.place(&self.request, &tries).await else { return false };
             let endpoint = place.endpoint.id.clone();
-            match self.relay.send(&self.job, place, self.events.last()).await {
+            match self.relay.send(&self.request, place, self.events.last()).await {
                 Ok(Sent::Stream(_, streaming)) => {
                     self.sends += 1;
                     log::info!(
                         "event=stream_resumed id={} endpoint={endpoint} after={:?}",
-                        self.job.ask.id,
+                        self.request.ask.id,
                         self.events.last()
                     );
                     self.streaming = Some(streaming);
@@ -172,11 +172,11 @@
     }
 }
 
-async fn receive(streaming: &mut Streaming, job: &Job) -> Next {
+async fn receive(streaming: &mut Streaming, request: &AdmittedRequest) -> Next {
     if let Some(frame) = streaming.first.take() {
         return Next::Data(frame.into_data().unwrap_or_default());
     }
-    match future::timeout(until(job.limit), streaming.body.frame()).await {
+    match future::timeout(until(request.limit), streaming.body.frame()).await {
         Err(_) => Next::Timeout,
         Ok(None) => Next::End,
         Ok(Some(Ok(frame))) => {
