--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -44,26 +44,26 @@
     pub(super) async fn admit(
         &self,
         req: Request<Incoming>,
-        arrived: Instant,
+        arrived_at: Instant,
     ) -> Result<AdmittedRequest, Refused> {
         let (head, body) = req.into_parts();
         let table = self.shared.table();
         let limit = table.as_ref().map_or(DEFAULT_MAX_BODY_BYTES, |t| t.limits().body);
-        let ask = self.wire.read(&head);
-        let id = ask.as_ref().map_or("-", |ask| &ask.id).to_owned();
+        let metadata = self.wire.read(&head);
+        let id = metadata.as_ref().map_or("-", |metadata| &metadata.id).to_owned();
         let refused = |refusal| (id.clone(), refusal);
         let body = read_body(body, limit).await.map_err(refused)?;
-        let ask = ask.map_err(|e| refused(Refusal::Unreadable(e.0)))?;
+        let metadata = metadata.map_err(|e| refused(Refusal::Unreadable(e.0)))?;
         let table = match table {
             Some(table) => table,
-            None => self.await_table(arrived).await.map_err(refused)?,
+            None => self.await_table(arrived_at).await.map_err(refused)?,
         };
-        let request = self.check(&table, head, ask, body, arrived).map_err(refused)?;
+        let request = self.check(&table, head, metadata, body, arrived_at).map_err(refused)?;
         Ok(request)
     }
 
     /// Waits a moment for what the store holds, after a start.
-    async fn await_table(&self, arrived: Instant) -> Result<Arc<Table>, Refusal> {
+    async fn await_table(&self, arrived_at: Instant) -> Result<Arc<Table>, Refusal> {
         let is_store_away = self.shared.lock().world.is_store_away();
         if !is_store_away
             && future::timeout(INITIAL_CONFIG_TIMEOUT, self.shared.loaded()).await.is_ok()
@@ -72,7 +72,7 @@
                 return Ok(table);
             }
         }
-        Err(self.not_ready(arrived))
+        Err(self.not_ready(arrived_at))
     }
 
     /// Nothing can be served yet. Where another instance knows the configuration, this one soon will.
@@ -92,48 +92,50 @@
         &self,
         table: &Table,
         head: request::Parts,
-        ask: Ask,
+        metadata: Ask,
         body: Bytes,
-        arrived: Instant,
+        arrived_at: Instant,
     ) -> Result<AdmittedRequest, Refusal> {
-        let route = table.route(&ask.host, head.uri.path()).ok_or(Refusal::NoRoute)?.clone();
-        let account = account(table, &route, &ask)?;
+        let route = table.route(&metadata.host, head.uri.path()).ok_or(Refusal::NoRoute)?.clone();
+        let account = account(table, &route, &metadata)?;
         let service = route.target(rand::random()).cloned().ok_or(Refusal::NoRoute)?;
-        let units = account.map_or(0, |a| units(a, &ask));
+        let quota_units = account.map_or(0, |a| quota_units(a, &metadata));
         let fingerprint = identify(account, &head, &body);
         let mut state = self.shared.lock();
-        if let Some(left) = state.quarantine.closed_for(arrived, fingerprint) {
+        if let Some(left) = state.quarantine.closed_for(arrived_at, fingerprint) {
             return Err(Refusal::Quarantined { fingerprint, retry_after: left });
         }
         let admitted = match account {
-            Some(account) => state.admission.admit(arrived, &account.name, units, route.tier),
+            Some(account) => {
+                state.admission.admit(arrived_at, &account.name, quota_units, route.tier)
+            }
             None => Ok(()),
         };
         admitted.map_err(|exceeded| {
             let account = account.map(|a| a.name.clone()).unwrap_or_default();
-            Refusal::OverQuota { account, exceeded, units }
+            Refusal::OverQuota { account, exceeded, quota_units }
         })?;
-        state.repeats.requested(arrived, &service);
-        let age = state.ages.age(&route.name, ask.patience, route.timeout);
+        state.repeats.requested(arrived_at, &service);
+        let age = state.ages.age(&route.name, metadata.patience, route.timeout);
         drop(state);
-        let patience = ask.patience.unwrap_or(Duration::MAX).min(route.timeout);
+        let patience = metadata.patience.unwrap_or(Duration::MAX).min(route.timeout);
         let tier = account.and_then(|a| a.tier).map_or(0, u16::from);
         let rank = tier * ROUTE_TIERS + u16::from(route.tier);
         log::info!(
             "event=admitted id={} fingerprint={fingerprint:016x} route={} service={service} account={} \
-             version={} units={units} prompt={} output={} patience_ms={} age_ms={} rank={rank}",
-            ask.id,
+             version={} units={quota_units} prompt={} output={} patience_ms={} age_ms={} rank={rank}",
+            metadata.id,
             route.name,
             account.map_or("-", |a| &a.name),
             table.version(),
-            ask.prompt,
-            ask.output.map_or(-1, i64::from),
+            metadata.prompt,
+            metadata.output.map_or(-1, i64::from),
             patience.as_millis(),
             age.as_millis()
         );
         let tokens_per_event = table.service(&service).map_or(0, |s| s.tokens_per_event);
-        let stall = Stall {
-            tokens: ask.prompt.min(tokens_per_event.saturating_mul(PREFILL_CHUNK_TOKENS)),
+        let prefill_stall = Stall {
+            tokens: metadata.prompt.min(tokens_per_event.saturating_mul(PREFILL_CHUNK_TOKENS)),
             pause_ms: route.pause.map_or(0, |p| p.as_millis() as u32),
         };
         Ok(AdmittedRequest {
@@ -144,20 +146,24 @@
             fingerprint,
             service,
             account: account.map(|a| a.name.clone()),
-            units,
+            quota_units,
             rank,
-            stall,
+            prefill_stall,
             age,
-            arrived,
-            limit: arrived + patience,
+            arrived_at,
+            deadline: arrived_at + patience,
             route,
-            ask,
+            metadata,
         })
     }
 }
 
-fn account<'a>(table: &'a Table, route: &Route, ask: &Ask) -> Result<Option<&'a Account>, Refusal> {
-    let account = ask.key.as_ref().and_then(|key| table.account_of(key));
+fn account<'a>(
+    table: &'a Table,
+    route: &Route,
+    metadata: &Ask,
+) -> Result<Option<&'a Account>, Refusal> {
+    let account = metadata.key.as_ref().and_then(|key| table.account_of(key));
     match account {
         Some(account) => Ok(Some(account)),
         None if route.public || !table.has_accounts() => Ok(None),
@@ -170,9 +176,9 @@
     fingerprint(account.map(|a| &a.name), head.method.as_str(), path, body)
 }
 
-fn units(account: &Account, ask: &Ask) -> u64 {
+fn quota_units(account: &Account, metadata: &Ask) -> u64 {
     match account.by_tokens {
-        true => ask.units.unwrap_or(account.plain_units),
+        true => metadata.units.unwrap_or(account.plain_units),
         false => 1,
     }
 }
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -75,12 +75,12 @@
         self,
         req: Request<Incoming>,
     ) -> Response<Body<impl Stream<Item = Result<Frame<Bytes>, stream::BrokenOff>>>> {
-        let arrived = clock::now();
-        let request = match self.admit(req, arrived).await {
+        let arrived_at = clock::now();
+        let request = match self.admit(req, arrived_at).await {
             Ok(request) => Arc::new(request),
             Err((id, refusal)) => {
-                refusal.log(&id, "-", arrived);
-                observe::answered("-", refusal.outcome(), clock::since(arrived));
+                refusal.log(&id, "-", arrived_at);
+                observe::answered("-", refusal.outcome(), clock::since(arrived_at));
                 return refusal.into_answer().map(Either::Left);
             }
         };
@@ -94,8 +94,8 @@
                 if refusal.is_not_run() {
                     self.give_back(&request);
                 }
-                refusal.log(&request.ask.id, &request.route.name, arrived);
-                observe::answered(&request.route.name, refusal.outcome(), clock::since(arrived));
+                refusal.log(&request.metadata.id, &request.route.name, arrived_at);
+                observe::answered(&request.route.name, refusal.outcome(), clock::since(arrived_at));
                 refusal.into_answer().map(Either::Left)
             }
         }
@@ -114,7 +114,7 @@
                 Err(refusal) => return tries.settle(refusal),
             };
             let endpoint = place.endpoint.id.clone();
-            match self.send(request, place, request.ask.after).await {
+            match self.send(request, place, request.metadata.after).await {
                 Ok(Sent::Whole(answer)) if self.is_worth_another(request, &answer, &mut tries) => {
                     tries.kept = Some(answer);
                 }
@@ -134,7 +134,7 @@
                 }
                 Err(failure) => {
                     tries.maybe_run += 1;
-                    let may = request.is_repeatable()
+                    let may = request.is_retryable()
                         && !failure.is_timeout()
                         && tries.maybe_run < request.route.sends
                         && self.may_repeat(request, "failed");
@@ -154,7 +154,7 @@
         answer: &Response<Bytes>,
         tries: &mut Tries,
     ) -> bool {
-        if !answer.status().is_server_error() || !request.is_repeatable() || tries.kept.is_some() {
+        if !answer.status().is_server_error() || !request.is_retryable() || tries.kept.is_some() {
             return false;
         }
         tries.maybe_run += 1;
@@ -172,7 +172,7 @@
         }
         log::info!(
             "event=repeat id={} service={} why={why} allowed={may} instances={instances}",
-            request.ask.id,
+            request.metadata.id,
             request.service
         );
         may
@@ -181,11 +181,11 @@
     /// Waits for a place.
     async fn place(&self, request: &AdmittedRequest, tries: &Tries) -> Result<Assignment, Refusal> {
         let now = clock::now();
-        let left = request.limit.saturating_duration_since(now);
+        let left = request.deadline.saturating_duration_since(now);
         let earliest = if tries.avoid.is_empty() { now } else { now + MIN_RETRY_QUEUE_TIMEOUT };
         let objective = request.route.objective;
         let in_time = objective.saturating_sub(request.age).mul_f64(QUEUE_TIMEOUT_FRACTION);
-        let hold = (request.arrived + in_time.max(objective / 8)).max(earliest);
+        let hold = (request.arrived_at + in_time.max(objective / 8)).max(earliest);
         let hold = hold.saturating_duration_since(now).min(left);
         // A stop ends whatever waits; without an answer the caller could not tell that it has not run.
         let shutdown = self.shared.lock().shutdown;
@@ -198,10 +198,10 @@
         let waiting = self.shared.arrive(Want {
             service,
             rank: request.rank,
-            prompt: request.ask.prompt,
-            output: request.ask.output.unwrap_or(0),
-            stall: request.stall,
-            arrived: request.arrived,
+            prompt: request.metadata.prompt,
+            output: request.metadata.output.unwrap_or(0),
+            stall: request.prefill_stall,
+            arrived: request.arrived_at,
             objective: request.route.objective.saturating_sub(request.age),
             avoid: tries.avoid.clone(),
         });
@@ -214,7 +214,7 @@
         log::info!(
             "event=placed id={} endpoint={} load={} slots={} backlog={} expected_ms={} \
              waited_ms={} withheld={}",
-            request.ask.id,
+            request.metadata.id,
             place.endpoint.id,
             place.load,
             place.endpoint.slots,
@@ -250,7 +250,10 @@
         let now = clock::now();
         let patience = Patience {
             objective: request.route.objective,
-            longest: request.limit.saturating_duration_since(now).mul_f64(MAX_RETRY_DELAY_FRACTION),
+            longest: request
+                .deadline
+                .saturating_duration_since(now)
+                .mul_f64(MAX_RETRY_DELAY_FRACTION),
             spread: rand::random(),
         };
         let mut state = self.shared.lock();
@@ -264,7 +267,7 @@
 
     fn give_back(&self, request: &AdmittedRequest) {
         if let Some(account) = &request.account {
-            self.shared.lock().admission.give_back(account, request.units);
+            self.shared.lock().admission.give_back(account, request.quota_units);
         }
     }
 }
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -22,7 +22,7 @@
     /// Lets a request pass to an endpoint, or not; `true` if that is the trial of its quarantine. Its time may have
     /// run out in a suspension, which no timer has told.
     pub(super) fn pass_gate(&self, request: &AdmittedRequest) -> Result<bool, Failure> {
-        if until(request.limit).is_zero() {
+        if until(request.deadline).is_zero() {
             return Err(Failure::Timeout);
         }
         let gate = self.shared.gate(request.fingerprint);
@@ -30,7 +30,7 @@
             observe::send_held();
             log::info!(
                 "event=send_held id={} fingerprint={:016x} left_ms={}",
-                request.ask.id,
+                request.metadata.id,
                 request.fingerprint,
                 left.as_millis()
             );
--- a/oxbowbend-gateway/src/relay/refusal.rs
+++ b/oxbowbend-gateway/src/relay/refusal.rs
@@ -32,7 +32,7 @@
     /// The caller did not send the whole body.
     CutBody,
     /// The client account has used its quota up.
-    OverQuota { account: AccountId, exceeded: QuotaExceeded, units: u64 },
+    OverQuota { account: AccountId, exceeded: QuotaExceeded, quota_units: u64 },
     /// No endpoint had a place in time.
     Busy { retry_after: RetryAfter, on_arrival: bool },
     /// It has ended the endpoints that ran it.
@@ -99,8 +99,8 @@
     fn detail(&self) -> String {
         match self {
             Refusal::Unreadable(e) => e.clone(),
-            Refusal::OverQuota { account, exceeded, units } => {
-                over_quota(account, exceeded, *units)
+            Refusal::OverQuota { account, exceeded, quota_units } => {
+                over_quota(account, exceeded, *quota_units)
             }
             Refusal::Busy { retry_after, on_arrival } => {
                 let RetryAfter { placed, refused, is_withheld, .. } = retry_after;
@@ -115,7 +115,7 @@
     }
 
     /// Logs it.
-    pub(crate) fn log(&self, id: &str, route: &str, arrived: Instant) {
+    pub(crate) fn log(&self, id: &str, route: &str, arrived_at: Instant) {
         let retry_after = self.retry_after().map_or(-1, |d| d.as_millis() as i64);
         log::info!(
             "event=refused id={id} route={route} outcome={} status={} not_run={} after_ms={} \
@@ -123,7 +123,7 @@
             self.outcome(),
             self.status().as_u16(),
             self.is_not_run(),
-            clock::since(arrived).as_millis(),
+            clock::since(arrived_at).as_millis(),
             self.detail()
         );
     }
@@ -143,10 +143,10 @@
 }
 
 /// What a refusal over a quota was decided from.
-fn over_quota(account: &AccountId, exceeded: &QuotaExceeded, units: u64) -> String {
+fn over_quota(account: &AccountId, exceeded: &QuotaExceeded, quota_units: u64) -> String {
     let AccountUsage { live, noted, limit, level, per_s, share } = exceeded.usage;
     format!(
-        "bound={:?} account={account} units={units} live={live:.0} noted={noted:.0} \
+        "bound={:?} account={account} units={quota_units} live={live:.0} noted={noted:.0} \
          limit={limit:.0} level={level:.0} per_s={per_s:.0} share={share:.3}",
         exceeded.bound
     )
--- a/oxbowbend-gateway/src/relay/request.rs
+++ b/oxbowbend-gateway/src/relay/request.rs
@@ -14,7 +14,7 @@
 
 /// One request.
 pub(crate) struct AdmittedRequest {
-    pub(crate) ask: Ask,
+    pub(crate) metadata: Ask,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
@@ -23,19 +23,19 @@
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceId,
     pub(crate) account: Option<AccountId>,
-    pub(crate) units: u64,
+    pub(crate) quota_units: u64,
     pub(crate) rank: u16,
-    pub(crate) stall: Stall,
+    pub(crate) prefill_stall: Stall,
     /// Time since the caller's first try.
     pub(crate) age: Duration,
-    pub(crate) arrived: Instant,
+    pub(crate) arrived_at: Instant,
     /// When the caller or the route gives the request up.
-    pub(crate) limit: Instant,
+    pub(crate) deadline: Instant,
 }
 
 impl AdmittedRequest {
     /// Whether the request may run more than once.
-    pub(crate) fn is_repeatable(&self) -> bool {
+    pub(crate) fn is_retryable(&self) -> bool {
         match self.route.stream {
             true => self.route.resumable,
             false => self.route.repeat == Repeat::Idempotent,
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -121,7 +121,7 @@
 
 impl Run {
     fn new(shared: &Shared, request: &AdmittedRequest, place: Assignment) -> Run {
-        let (shared, id) = (shared.clone(), request.ask.id.clone());
+        let (shared, id) = (shared.clone(), request.metadata.id.clone());
         shared.run_began(&place.endpoint);
         Run {
             shared,
@@ -235,7 +235,7 @@
         log::warn!(
             "event=send_failed id={} fingerprint={:016x} endpoint={} load={load} after_ms={} \
              blame={outcome:?} failure=\"{failure}\"",
-            request.ask.id,
+            request.metadata.id,
             request.fingerprint,
             run.endpoint.id,
             clock::since(run.began).as_millis()
@@ -260,21 +260,21 @@
         after: Option<u64>,
     ) -> Result<Begun, Failure> {
         let due = silence::due(expected, request.route.objective);
-        let limit = until(request.limit);
+        let limit = until(request.deadline);
         let (endpoint, began) = (run.endpoint.key(), run.began);
         let beginning = self.begin(request, run, after);
         pin_mut!(beginning);
         if let Ok(begun) = future::timeout(due.min(limit), &mut beginning).await {
             return begun;
         }
-        match silence::judge(due, limit, request.is_repeatable()) {
+        match silence::judge(due, limit, request.is_retryable()) {
             Silence::TimedOut => return Err(Failure::Timeout),
             Silence::GivenUp => return Err(Failure::Hanging),
             Silence::Suspected => {
                 self.shared.lock().cell.suspect(clock::now(), endpoint, began);
             }
         }
-        match future::timeout(until(request.limit), beginning).await {
+        match future::timeout(until(request.deadline), beginning).await {
             Ok(begun) => begun,
             Err(_) => Err(Failure::Timeout),
         }
@@ -287,12 +287,12 @@
         run: &mut Run,
         after: Option<u64>,
     ) -> Result<Begun, Failure> {
-        let answer = self.ask(request, run, after).await?;
+        let answer = self.send_request(request, run, after).await?;
         let (mut head, mut body) = answer.into_parts();
-        let verdict = self.wire.judge(&head, &request.ask.id);
+        let verdict = self.wire.judge(&head, &request.metadata.id);
         if matches!(verdict, Verdict::Answer | Verdict::NotRun) {
             let signals = self.wire.signals(&head);
-            self.shared.endpoint_said(&run.endpoint, &request.ask.id, run.began, signals);
+            self.shared.endpoint_said(&run.endpoint, &request.metadata.id, run.began, signals);
             if let (Verdict::NotRun, Some(rest)) = (verdict, signals.backoff.value()) {
                 return Err(Failure::TurnedAway(rest));
             }
@@ -315,7 +315,7 @@
             run.note_event();
             run.first = clock::since(run.began);
             self.shared.began(run.endpoint.key(), run.prompt, run.backlog, run.first);
-            observe::began(&request.route.name, clock::since(request.arrived));
+            observe::began(&request.route.name, clock::since(request.arrived_at));
             return Ok(Begun::Stream(head, first, body));
         }
         let whole = body.collect().await.map_err(broken)?.to_bytes();
@@ -326,7 +326,7 @@
         Ok(Begun::Whole(Response::from_parts(head, whole)))
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         request: &AdmittedRequest,
         run: &mut Run,
@@ -362,7 +362,7 @@
         after: Option<u64>,
     ) -> Request<Bytes> {
         let onward = Onward {
-            left: until(request.limit),
+            left: until(request.deadline),
             endpoint: &run.endpoint.id,
             account: request.account.as_ref(),
             after,
@@ -389,15 +389,15 @@
 
 /// Logs an answer that is complete.
 pub(crate) fn log_answered(request: &AdmittedRequest, run: &Run, status: u16, bytes: usize) {
-    observe::answered(&request.route.name, "answered", clock::since(request.arrived));
+    observe::answered(&request.route.name, "answered", clock::since(request.arrived_at));
     log::info!(
         "event=answered id={} endpoint={} status={status} bytes={bytes} first_ms={} pause_ms={} at_endpoint_ms={} \
          total_ms={}",
-        request.ask.id,
+        request.metadata.id,
         run.endpoint.id,
         run.first.as_millis(),
         run.pause.as_millis(),
         clock::since(run.began).as_millis(),
-        clock::since(request.arrived).as_millis()
+        clock::since(request.arrived_at).as_millis()
     );
 }
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -62,7 +62,7 @@
 ) -> impl Stream<Item = Result<Frame<Bytes>, BrokenOff>> {
     let state = State {
         relay,
-        events: Events::after(request.ask.after),
+        events: Events::after(request.metadata.after),
         request,
         streaming: Some(streaming),
         avoid: Vec::new(),
@@ -121,7 +121,7 @@
         log::warn!(
             "event=stream_broken id={} fingerprint={:016x} endpoint={} last_event={:?} bytes={} blame={outcome:?} \
              why=\"{why}\"",
-            self.request.ask.id,
+            self.request.metadata.id,
             self.request.fingerprint,
             streaming.run.endpoint.id,
             self.events.last(),
@@ -155,7 +155,7 @@
                     self.sends += 1;
                     log::info!(
                         "event=stream_resumed id={} endpoint={endpoint} after={:?}",
-                        self.request.ask.id,
+                        self.request.metadata.id,
                         self.events.last()
                     );
                     self.streaming = Some(streaming);
@@ -176,7 +176,7 @@
     if let Some(frame) = streaming.first.take() {
         return Next::Data(frame.into_data().unwrap_or_default());
     }
-    match future::timeout(until(request.limit), streaming.body.frame()).await {
+    match future::timeout(until(request.deadline), streaming.body.frame()).await {
         Err(_) => Next::Timeout,
         Ok(None) => Next::End,
         Ok(Some(Ok(frame))) => {
