--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -36,7 +36,7 @@
 /// Spread of the time to come back, so that refused callers do not return as one.
 const RETRY_AFTER_JITTER: std::ops::Range<f64> = 0.8..1.2;
 
-type Refused = (String, Refusal);
+type AdmitError = (String, Refusal);
 
 impl<W: Wire> Relay<W> {
     /// Admits a request. The body is read before anything is refused, so that a refusal does not
@@ -45,7 +45,7 @@
         &self,
         req: Request<Incoming>,
         arrived_at: Instant,
-    ) -> Result<AdmittedRequest, Refused> {
+    ) -> Result<AdmittedRequest, AdmitError> {
         let (head, body) = req.into_parts();
         let table = self.shared.table();
         let limit = table.as_ref().map_or(DEFAULT_MAX_BODY_BYTES, |t| t.limits().body);
@@ -53,7 +53,7 @@
         let id = metadata.as_ref().map_or("-", |metadata| &metadata.id).to_owned();
         let refused = |refusal| (id.clone(), refusal);
         let body = read_body(body, limit).await.map_err(refused)?;
-        let metadata = metadata.map_err(|e| refused(Refusal::Unreadable(e.0)))?;
+        let metadata = metadata.map_err(|e| refused(Refusal::InvalidHead(e.0)))?;
         let table = match table {
             Some(table) => table,
             None => self.await_table(arrived_at).await.map_err(refused)?,
@@ -167,7 +167,7 @@
     match account {
         Some(account) => Ok(Some(account)),
         None if route.public || !table.has_accounts() => Ok(None),
-        None => Err(Refusal::NoAccount),
+        None => Err(Refusal::UnknownAccount),
     }
 }
 
@@ -186,7 +186,7 @@
 async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
     match Limited::new(body, limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(e) if e.is::<LengthLimitError>() => Err(Refusal::TooLarge),
-        Err(_) => Err(Refusal::CutBody),
+        Err(e) if e.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
+        Err(_) => Err(Refusal::IncompleteBody),
     }
 }
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -81,7 +81,7 @@
             Err((id, refusal)) => {
                 refusal.log(&id, "-", arrived_at);
                 observe::answered("-", refusal.outcome(), clock::since(arrived_at));
-                return refusal.into_answer().map(Either::Left);
+                return refusal.into_response().map(Either::Left);
             }
         };
         match self.clone().fulfil(&request).await {
@@ -91,12 +91,12 @@
                 Response::from_parts(head, Either::Right(body))
             }
             Err(refusal) => {
-                if refusal.is_not_run() {
+                if refusal.is_unexecuted() {
                     self.give_back(&request);
                 }
                 refusal.log(&request.metadata.id, &request.route.name, arrived_at);
                 observe::answered(&request.route.name, refusal.outcome(), clock::since(arrived_at));
-                refusal.into_answer().map(Either::Left)
+                refusal.into_response().map(Either::Left)
             }
         }
     }
@@ -124,7 +124,7 @@
                     let refusal = Refusal::Quarantined { fingerprint, retry_after: left };
                     return tries.settle(refusal);
                 }
-                Err(failure) if failure.is_not_run() => {
+                Err(failure) if failure.is_unexecuted() => {
                     tries.unrun += 1;
                     let may = tries.unrun < MAX_UNEXECUTED_ATTEMPTS
                         && (!failure.has_arrived() || self.may_repeat(request, "not_run"));
@@ -279,7 +279,7 @@
         if let Some(answer) = self.kept.take() {
             return Ok(Sent::Whole(answer));
         }
-        if self.maybe_run > 0 && refusal.is_not_run() {
+        if self.maybe_run > 0 && refusal.is_unexecuted() {
             return Err(Refusal::Failed);
         }
         Err(refusal)
--- a/oxbowbend-gateway/src/relay/refusal.rs
+++ b/oxbowbend-gateway/src/relay/refusal.rs
@@ -22,15 +22,15 @@
     /// This instance is about to end.
     Stopping,
     /// The head contradicts the protocol.
-    Unreadable(String),
+    InvalidHead(String),
     /// No route has that host and path.
     NoRoute,
     /// No client account has that key.
-    NoAccount,
+    UnknownAccount,
     /// The body is larger than the operator allows.
-    TooLarge,
+    BodyTooLarge,
     /// The caller did not send the whole body.
-    CutBody,
+    IncompleteBody,
     /// The client account has used its quota up.
     OverQuota { account: AccountId, exceeded: QuotaExceeded, quota_units: u64 },
     /// No endpoint had a place in time.
@@ -50,10 +50,10 @@
             | Refusal::Stopping
             | Refusal::Busy { .. }
             | Refusal::Quarantined { .. } => StatusCode::SERVICE_UNAVAILABLE,
-            Refusal::Unreadable(_) | Refusal::CutBody => StatusCode::BAD_REQUEST,
+            Refusal::InvalidHead(_) | Refusal::IncompleteBody => StatusCode::BAD_REQUEST,
             Refusal::NoRoute => StatusCode::NOT_FOUND,
-            Refusal::NoAccount => StatusCode::UNAUTHORIZED,
-            Refusal::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Refusal::UnknownAccount => StatusCode::UNAUTHORIZED,
+            Refusal::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Refusal::OverQuota { .. } => StatusCode::TOO_MANY_REQUESTS,
             Refusal::Failed => StatusCode::BAD_GATEWAY,
             Refusal::TimedOut => StatusCode::GATEWAY_TIMEOUT,
@@ -61,7 +61,7 @@
     }
 
     /// Whether the request has certainly not run.
-    pub(crate) fn is_not_run(&self) -> bool {
+    pub(crate) fn is_unexecuted(&self) -> bool {
         !matches!(self, Refusal::Failed | Refusal::TimedOut)
     }
 
@@ -82,11 +82,11 @@
         match self {
             Refusal::NotReady { .. } => "not_ready",
             Refusal::Stopping => "stopping",
-            Refusal::Unreadable(_) => "unreadable",
+            Refusal::InvalidHead(_) => "unreadable",
             Refusal::NoRoute => "no_route",
-            Refusal::NoAccount => "no_account",
-            Refusal::TooLarge => "too_large",
-            Refusal::CutBody => "cut_body",
+            Refusal::UnknownAccount => "no_account",
+            Refusal::BodyTooLarge => "too_large",
+            Refusal::IncompleteBody => "cut_body",
             Refusal::OverQuota { .. } => "over_quota",
             Refusal::Busy { .. } => "busy",
             Refusal::Quarantined { .. } => "quarantined",
@@ -98,9 +98,9 @@
     /// What it was decided from.
     fn detail(&self) -> String {
         match self {
-            Refusal::Unreadable(e) => e.clone(),
+            Refusal::InvalidHead(e) => e.clone(),
             Refusal::OverQuota { account, exceeded, quota_units } => {
-                over_quota(account, exceeded, *quota_units)
+                quota_detail(account, exceeded, *quota_units)
             }
             Refusal::Busy { retry_after, on_arrival } => {
                 let RetryAfter { placed, refused, is_withheld, .. } = retry_after;
@@ -122,14 +122,14 @@
              retry_after_ms={retry_after} detail=\"{}\"",
             self.outcome(),
             self.status().as_u16(),
-            self.is_not_run(),
+            self.is_unexecuted(),
             clock::since(arrived_at).as_millis(),
             self.detail()
         );
     }
 
     /// The answer for the caller.
-    pub(crate) fn into_answer(self) -> Response<h1::Whole> {
+    pub(crate) fn into_response(self) -> Response<h1::Whole> {
         let mut answer = Response::new(h1::Whole::from(format!("{}\n", self.outcome())));
         *answer.status_mut() = self.status();
         if let Some(after) = self.retry_after() {
@@ -143,7 +143,7 @@
 }
 
 /// What a refusal over a quota was decided from.
-fn over_quota(account: &AccountId, exceeded: &QuotaExceeded, quota_units: u64) -> String {
+fn quota_detail(account: &AccountId, exceeded: &QuotaExceeded, quota_units: u64) -> String {
     let AccountUsage { live, noted, limit, level, per_s, share } = exceeded.usage;
     format!(
         "bound={:?} account={account} units={quota_units} live={live:.0} noted={noted:.0} \
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -67,7 +67,7 @@
 
 impl Failure {
     /// Whether the request has certainly not run.
-    pub(crate) fn is_not_run(&self) -> bool {
+    pub(crate) fn is_unexecuted(&self) -> bool {
         matches!(
             self,
             Failure::Unsent(_)
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -163,7 +163,7 @@
                 }
                 Ok(Sent::Whole(_)) => self.sends += 1,
                 Err(Failure::Quarantined(_)) => return false,
-                Err(failure) if failure.is_not_run() => unrun += 1,
+                Err(failure) if failure.is_unexecuted() => unrun += 1,
                 Err(_) => self.sends += 1,
             }
             self.avoid.push(endpoint);
