--- a/oxbowbend-gateway/src/relay/events.rs
+++ b/oxbowbend-gateway/src/relay/events.rs
@@ -7,48 +7,48 @@
 
 /// Cuts a stream of bytes into whole events.
 #[derive(Debug, Default)]
-pub(crate) struct Events {
-    rest: BytesMut,
-    last: Option<u64>,
+pub(crate) struct EventSplitter {
+    partial: BytesMut,
+    last_id: Option<u64>,
 }
 
-impl Events {
+impl EventSplitter {
     /// Starts after an event that the caller already has.
-    pub(crate) fn after(last: Option<u64>) -> Events {
-        Events { rest: BytesMut::new(), last }
+    pub(crate) fn resume_after(last_id: Option<u64>) -> EventSplitter {
+        EventSplitter { partial: BytesMut::new(), last_id }
     }
 
     /// Id of the last whole event.
-    pub(crate) fn last(&self) -> Option<u64> {
-        self.last
+    pub(crate) fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
     /// Takes in bytes; gives out the whole events that they complete.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Bytes {
-        self.rest.extend_from_slice(bytes);
-        let end = match self.rest.windows(2).rposition(|w| w == b"\n\n") {
+        self.partial.extend_from_slice(bytes);
+        let end = match self.partial.windows(2).rposition(|w| w == b"\n\n") {
             Some(at) => at + 2,
             None => return Bytes::new(),
         };
-        let whole = self.rest.split_to(end).freeze();
-        if let Some(id) = last_id(&whole) {
-            self.last = Some(id);
+        let whole = self.partial.split_to(end).freeze();
+        if let Some(id) = parse_last_id(&whole) {
+            self.last_id = Some(id);
         }
         whole
     }
 
     /// Forgets an event that has not been completed.
-    pub(crate) fn drop_rest(&mut self) {
-        self.rest.clear();
+    pub(crate) fn discard_partial(&mut self) {
+        self.partial.clear();
     }
 
     /// What is left at a clean end.
-    pub(crate) fn finish(&mut self) -> Bytes {
-        self.rest.split().freeze()
+    pub(crate) fn take_partial(&mut self) -> Bytes {
+        self.partial.split().freeze()
     }
 }
 
-fn last_id(events: &[u8]) -> Option<u64> {
+fn parse_last_id(events: &[u8]) -> Option<u64> {
     let lines = events.split(|b| *b == b'\n');
     let id = |line: &[u8]| {
         let value = line.strip_prefix(b"id:")?;
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -11,7 +11,7 @@
 use oxbowbend_core::ids::EndpointId;
 use thiserror::Error;
 
-use super::events::Events;
+use super::events::EventSplitter;
 use super::request::AdmittedRequest;
 use super::run::{log_answered, Failure, Run, Sent};
 use super::{until, Relay, Tries, MAX_UNEXECUTED_ATTEMPTS};
@@ -48,7 +48,7 @@
     relay: Relay<W>,
     request: Arc<AdmittedRequest>,
     streaming: Option<Box<Streaming>>,
-    events: Events,
+    events: EventSplitter,
     avoid: Vec<EndpointId>,
     sends: u32,
     bytes: usize,
@@ -62,7 +62,7 @@
 ) -> impl Stream<Item = Result<Frame<Bytes>, BrokenOff>> {
     let state = State {
         relay,
-        events: Events::after(request.metadata.after),
+        events: EventSplitter::resume_after(request.metadata.after),
         request,
         streaming: Some(streaming),
         avoid: Vec::new(),
@@ -109,7 +109,7 @@
 
     fn end(&mut self) -> Option<Result<Bytes, BrokenOff>> {
         let streaming = self.streaming.take()?;
-        let rest = self.events.finish();
+        let rest = self.events.take_partial();
         log_answered(&self.request, &streaming.run, 200, self.bytes);
         self.relay.note_answer(&self.request);
         streaming.run.end_clean(&self.relay.pool, Outcome::Good);
@@ -124,7 +124,7 @@
             self.request.metadata.id,
             self.request.fingerprint,
             streaming.run.endpoint.id,
-            self.events.last(),
+            self.events.last_id(),
             self.bytes
         );
         self.avoid.push(streaming.run.endpoint.id.clone());
@@ -138,7 +138,7 @@
         if let Some(endpoint) = endpoint {
             self.relay.check_end(&self.request, &endpoint, false).await;
         }
-        self.events.drop_rest();
+        self.events.discard_partial();
         let mut unrun = 0;
         while self.request.route.resumable
             && self.sends < self.request.route.sends
@@ -150,13 +150,13 @@
             let tries = Tries { avoid: self.avoid.clone(), ..Tries::default() };
             let Ok(place) = self.relay.place(&self.request, &tries).await else { return false };
             let endpoint = place.endpoint.id.clone();
-            match self.relay.send(&self.request, place, self.events.last()).await {
+            match self.relay.send(&self.request, place, self.events.last_id()).await {
                 Ok(Sent::Stream(_, streaming)) => {
                     self.sends += 1;
                     log::info!(
                         "event=stream_resumed id={} endpoint={endpoint} after={:?}",
                         self.request.metadata.id,
-                        self.events.last()
+                        self.events.last_id()
                     );
                     self.streaming = Some(streaming);
                     return true;
