--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -57,12 +57,12 @@
 
 /// What has been tried for a request.
 #[derive(Default)]
-pub(crate) struct Tries {
-    avoid: Vec<EndpointId>,
-    unrun: u32,
-    maybe_run: u32,
+pub(crate) struct AttemptHistory {
+    excluded_endpoints: Vec<EndpointId>,
+    unexecuted: u32,
+    possibly_executed: u32,
     /// The endpoint's own failure, if there was one: better than one of ours.
-    kept: Option<Response<Bytes>>,
+    endpoint_error: Option<Response<Bytes>>,
 }
 
 impl<W: Wire> Relay<W> {
@@ -103,47 +103,49 @@
 
     /// Sends a request to endpoints until one has answered or no more may be tried.
     async fn fulfil(self, request: &Arc<AdmittedRequest>) -> Result<Sent, Refusal> {
-        let mut tries = Tries::default();
+        let mut history = AttemptHistory::default();
         loop {
             let place = match self
-                .place(request, &tries)
+                .place(request, &history)
                 .await
                 .and_then(|p| self.check_shutdown(request, p))
             {
                 Ok(place) => place,
-                Err(refusal) => return tries.settle(refusal),
+                Err(refusal) => return history.final_result(refusal),
             };
             let endpoint = place.endpoint.id.clone();
             match self.send(request, place, request.metadata.after).await {
-                Ok(Sent::Whole(answer)) if self.is_worth_another(request, &answer, &mut tries) => {
-                    tries.kept = Some(answer);
+                Ok(Sent::Whole(answer))
+                    if self.is_worth_another(request, &answer, &mut history) =>
+                {
+                    history.endpoint_error = Some(answer);
                 }
                 Ok(sent) => return Ok(sent),
                 Err(Failure::Quarantined(left)) => {
                     let fingerprint = request.fingerprint;
                     let refusal = Refusal::Quarantined { fingerprint, retry_after: left };
-                    return tries.settle(refusal);
+                    return history.final_result(refusal);
                 }
                 Err(failure) if failure.is_unexecuted() => {
-                    tries.unrun += 1;
-                    let may = tries.unrun < MAX_UNEXECUTED_ATTEMPTS
+                    history.unexecuted += 1;
+                    let may = history.unexecuted < MAX_UNEXECUTED_ATTEMPTS
                         && (!failure.has_arrived() || self.may_repeat(request, "not_run"));
                     if !may {
-                        return tries.settle(self.busy(request, false));
+                        return history.final_result(self.busy(request, false));
                     }
                 }
                 Err(failure) => {
-                    tries.maybe_run += 1;
+                    history.possibly_executed += 1;
                     let may = request.is_retryable()
                         && !failure.is_timeout()
-                        && tries.maybe_run < request.route.sends
+                        && history.possibly_executed < request.route.sends
                         && self.may_repeat(request, "failed");
                     if !may {
-                        return tries.settle(failure.into_refusal());
+                        return history.final_result(failure.into_refusal());
                     }
                 }
             }
-            tries.avoid.push(endpoint);
+            history.excluded_endpoints.push(endpoint);
         }
     }
 
@@ -152,13 +154,16 @@
         &self,
         request: &AdmittedRequest,
         answer: &Response<Bytes>,
-        tries: &mut Tries,
+        history: &mut AttemptHistory,
     ) -> bool {
-        if !answer.status().is_server_error() || !request.is_retryable() || tries.kept.is_some() {
+        if !answer.status().is_server_error()
+            || !request.is_retryable()
+            || history.endpoint_error.is_some()
+        {
             return false;
         }
-        tries.maybe_run += 1;
-        tries.maybe_run < request.route.sends && self.may_repeat(request, "error")
+        history.possibly_executed += 1;
+        history.possibly_executed < request.route.sends && self.may_repeat(request, "error")
     }
 
     /// Whether the allowance has a repeat left; takes it.
@@ -179,10 +184,15 @@
     }
 
     /// Waits for a place.
-    async fn place(&self, request: &AdmittedRequest, tries: &Tries) -> Result<Assignment, Refusal> {
+    async fn place(
+        &self,
+        request: &AdmittedRequest,
+        history: &AttemptHistory,
+    ) -> Result<Assignment, Refusal> {
         let now = clock::now();
         let left = request.deadline.saturating_duration_since(now);
-        let earliest = if tries.avoid.is_empty() { now } else { now + MIN_RETRY_QUEUE_TIMEOUT };
+        let earliest =
+            if history.excluded_endpoints.is_empty() { now } else { now + MIN_RETRY_QUEUE_TIMEOUT };
         let objective = request.route.objective;
         let in_time = objective.saturating_sub(request.age).mul_f64(QUEUE_TIMEOUT_FRACTION);
         let hold = (request.arrived_at + in_time.max(objective / 8)).max(earliest);
@@ -190,7 +200,8 @@
         // A stop ends whatever waits; without an answer the caller could not tell that it has not run.
         let shutdown = self.shared.lock().shutdown;
         let hold = shutdown.map_or(hold, |s| s.hold(now, hold));
-        let service = self.shared.lock().deal(&request.service, tries.avoid.is_empty());
+        let service =
+            self.shared.lock().deal(&request.service, history.excluded_endpoints.is_empty());
         // Waiting is of no use where no endpoint wants a request in time.
         if self.shared.lock().cell.opens_in(now, &service).is_some_and(|opens_in| opens_in > hold) {
             return Err(self.busy(request, true));
@@ -203,7 +214,7 @@
             stall: request.prefill_stall,
             arrived: request.arrived_at,
             objective: request.route.objective.saturating_sub(request.age),
-            avoid: tries.avoid.clone(),
+            avoid: history.excluded_endpoints.clone(),
         });
         if waiting.should_shed() {
             return Err(self.busy(request, true));
@@ -272,14 +283,14 @@
     }
 }
 
-impl Tries {
+impl AttemptHistory {
     /// The last word on a request that may not be tried any more: the endpoint's own failure if
     /// there is one, and "not run" only if that is certain.
-    fn settle(&mut self, refusal: Refusal) -> Result<Sent, Refusal> {
-        if let Some(answer) = self.kept.take() {
+    fn final_result(&mut self, refusal: Refusal) -> Result<Sent, Refusal> {
+        if let Some(answer) = self.endpoint_error.take() {
             return Ok(Sent::Whole(answer));
         }
-        if self.maybe_run > 0 && refusal.is_unexecuted() {
+        if self.possibly_executed > 0 && refusal.is_unexecuted() {
             return Err(Refusal::Failed);
         }
         Err(refusal)
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -14,7 +14,7 @@
 use super::events::EventSplitter;
 use super::request::AdmittedRequest;
 use super::run::{log_answered, Failure, Run, Sent};
-use super::{until, Relay, Tries, MAX_UNEXECUTED_ATTEMPTS};
+use super::{until, AttemptHistory, Relay, MAX_UNEXECUTED_ATTEMPTS};
 use crate::seam::Wire;
 
 /// The stream cannot be brought to its end; the caller's connection is broken off, so that it does
@@ -49,7 +49,7 @@
     request: Arc<AdmittedRequest>,
     streaming: Option<Box<Streaming>>,
     events: EventSplitter,
-    avoid: Vec<EndpointId>,
+    excluded_endpoints: Vec<EndpointId>,
     sends: u32,
     bytes: usize,
 }
@@ -65,7 +65,7 @@
         events: EventSplitter::resume_after(request.metadata.after),
         request,
         streaming: Some(streaming),
-        avoid: Vec::new(),
+        excluded_endpoints: Vec::new(),
         sends: 1,
         bytes: 0,
     };
@@ -127,7 +127,7 @@
             self.events.last_id(),
             self.bytes
         );
-        self.avoid.push(streaming.run.endpoint.id.clone());
+        self.excluded_endpoints.push(streaming.run.endpoint.id.clone());
         streaming.run.end(outcome);
     }
 
@@ -139,16 +139,19 @@
             self.relay.check_end(&self.request, &endpoint, false).await;
         }
         self.events.discard_partial();
-        let mut unrun = 0;
+        let mut unexecuted = 0;
         while self.request.route.resumable
             && self.sends < self.request.route.sends
-            && unrun < MAX_UNEXECUTED_ATTEMPTS
+            && unexecuted < MAX_UNEXECUTED_ATTEMPTS
         {
             if !self.relay.may_repeat(&self.request, "stream_broken") {
                 return false;
             }
-            let tries = Tries { avoid: self.avoid.clone(), ..Tries::default() };
-            let Ok(place) = self.relay.place(&self.request, &tries).await else { return false };
+            let history = AttemptHistory {
+                excluded_endpoints: self.excluded_endpoints.clone(),
+                ..AttemptHistory::default()
+            };
+            let Ok(place) = self.relay.place(&self.request, &history).await else { return false };
             let endpoint = place.endpoint.id.clone();
             match self.relay.send(&self.request, place, self.events.last_id()).await {
                 Ok(Sent::Stream(_, streaming)) => {
@@ -163,10 +166,10 @@
                 }
                 Ok(Sent::Whole(_)) => self.sends += 1,
                 Err(Failure::Quarantined(_)) => return false,
-                Err(failure) if failure.is_unexecuted() => unrun += 1,
+                Err(failure) if failure.is_unexecuted() => unexecuted += 1,
                 Err(_) => self.sends += 1,
             }
-            self.avoid.push(endpoint);
+            self.excluded_endpoints.push(endpoint);
         }
         false
     }
