--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/attempt.rs
@@ -98,7 +98,7 @@
 }
 
 /// A request at an endpoint. Dropping it closes the connection and ends the run.
-pub(crate) struct Run {
+pub(crate) struct Attempt {
     shared: Shared,
     id: String,
     pub(crate) endpoint: Endpoint,
@@ -119,11 +119,11 @@
     is_over: bool,
 }
 
-impl Run {
-    fn new(shared: &Shared, request: &AdmittedRequest, place: Assignment) -> Run {
+impl Attempt {
+    fn new(shared: &Shared, request: &AdmittedRequest, place: Assignment) -> Attempt {
         let (shared, id) = (shared.clone(), request.metadata.id.clone());
         shared.run_began(&place.endpoint);
-        Run {
+        Attempt {
             shared,
             id,
             endpoint: place.endpoint,
@@ -181,7 +181,7 @@
     }
 }
 
-impl Drop for Run {
+impl Drop for Attempt {
     fn drop(&mut self) {
         if self.is_over {
             return;
@@ -205,20 +205,20 @@
         after: Option<u64>,
     ) -> Result<Sent, Failure> {
         let (load, expected) = (place.load, place.expected);
-        let mut run = Run::new(&self.shared, request, place);
-        let is_crowded = load > run.endpoint.slots;
-        let result = self.exchange(request, &mut run, expected, after).await;
+        let mut attempt = Attempt::new(&self.shared, request, place);
+        let is_crowded = load > attempt.endpoint.slots;
+        let result = self.exchange(request, &mut attempt, expected, after).await;
         let failure = match result {
             Ok(Begun::Whole(answer)) => {
                 let is_bad = answer.status().is_server_error();
                 let outcome = if is_bad { Outcome::Bad } else { Outcome::Good };
-                log_answered(request, &run, answer.status().as_u16(), answer.body().len());
+                log_answered(request, &attempt, answer.status().as_u16(), answer.body().len());
                 self.note_answer(request);
-                run.end_clean(&self.pool, outcome);
+                attempt.end_clean(&self.pool, outcome);
                 return Ok(Sent::Whole(answer));
             }
             Ok(Begun::Stream(head, first, body)) => {
-                let streaming = Box::new(Streaming::new(run, first, body));
+                let streaming = Box::new(Streaming::new(attempt, first, body));
                 return Ok(Sent::Stream(head, streaming));
             }
             Err(failure) => failure,
@@ -237,16 +237,16 @@
              blame={outcome:?} failure=\"{failure}\"",
             request.metadata.id,
             request.fingerprint,
-            run.endpoint.id,
-            clock::since(run.began).as_millis()
+            attempt.endpoint.id,
+            clock::since(attempt.began).as_millis()
         );
         if matches!(failure, Failure::Unsent(_)) {
-            self.pool.forget(run.endpoint.address);
+            self.pool.forget(attempt.endpoint.address);
         }
-        run.end(outcome);
+        attempt.end(outcome);
         match &failure {
-            Failure::Broken(_) => self.check_end(request, &run.endpoint, true).await,
-            Failure::Unsent(e) if e.is_refused() => self.shared.endpoint_ended(&run.endpoint),
+            Failure::Broken(_) => self.check_end(request, &attempt.endpoint, true).await,
+            Failure::Unsent(e) if e.is_refused() => self.shared.endpoint_ended(&attempt.endpoint),
             _ => {}
         }
         Err(failure)
@@ -255,14 +255,14 @@
     async fn exchange(
         &self,
         request: &AdmittedRequest,
-        run: &mut Run,
+        attempt: &mut Attempt,
         expected: Duration,
         after: Option<u64>,
     ) -> Result<Begun, Failure> {
         let due = silence::due(expected, request.route.objective);
         let limit = until(request.deadline);
-        let (endpoint, began) = (run.endpoint.key(), run.began);
-        let beginning = self.begin(request, run, after);
+        let (endpoint, began) = (attempt.endpoint.key(), attempt.began);
+        let beginning = self.begin(request, attempt, after);
         pin_mut!(beginning);
         if let Ok(begun) = future::timeout(due.min(limit), &mut beginning).await {
             return begun;
@@ -284,15 +284,20 @@
     async fn begin(
         &self,
         request: &AdmittedRequest,
-        run: &mut Run,
+        attempt: &mut Attempt,
         after: Option<u64>,
     ) -> Result<Begun, Failure> {
-        let answer = self.send_request(request, run, after).await?;
+        let answer = self.send_request(request, attempt, after).await?;
         let (mut head, mut body) = answer.into_parts();
         let verdict = self.wire.judge(&head, &request.metadata.id);
         if matches!(verdict, Verdict::Answer | Verdict::NotRun) {
             let signals = self.wire.signals(&head);
-            self.shared.endpoint_said(&run.endpoint, &request.metadata.id, run.began, signals);
+            self.shared.endpoint_said(
+                &attempt.endpoint,
+                &request.metadata.id,
+                attempt.began,
+                signals,
+            );
             if let (Verdict::NotRun, Some(rest)) = (verdict, signals.backoff.value()) {
                 return Err(Failure::TurnedAway(rest));
             }
@@ -312,16 +317,26 @@
                 Some(frame) => Some(frame.map_err(broken)?),
                 None => None,
             };
-            run.note_event();
-            run.first = clock::since(run.began);
-            self.shared.began(run.endpoint.key(), run.prompt, run.backlog, run.first);
+            attempt.note_event();
+            attempt.first = clock::since(attempt.began);
+            self.shared.began(
+                attempt.endpoint.key(),
+                attempt.prompt,
+                attempt.backlog,
+                attempt.first,
+            );
             observe::began(&request.route.name, clock::since(request.arrived_at));
             return Ok(Begun::Stream(head, first, body));
         }
         let whole = body.collect().await.map_err(broken)?.to_bytes();
         if head.status.is_success() {
-            run.first = clock::since(run.began);
-            self.shared.began(run.endpoint.key(), run.prompt, run.backlog, run.first);
+            attempt.first = clock::since(attempt.began);
+            self.shared.began(
+                attempt.endpoint.key(),
+                attempt.prompt,
+                attempt.backlog,
+                attempt.first,
+            );
         }
         Ok(Begun::Whole(Response::from_parts(head, whole)))
     }
@@ -329,26 +344,26 @@
     async fn send_request(
         &self,
         request: &AdmittedRequest,
-        run: &mut Run,
+        attempt: &mut Attempt,
         after: Option<u64>,
     ) -> Result<Response<Incoming>, Failure> {
-        let address = run.endpoint.address;
+        let address = attempt.endpoint.address;
         let mut conn = self.pool.get(address).await.map_err(Failure::Unsent)?;
         // A new connection takes up to a second, in which other answers come.
-        if !self.shared.lock().cell.may_send(clock::now(), run.endpoint.key()) {
+        if !self.shared.lock().cell.may_send(clock::now(), attempt.endpoint.key()) {
             self.pool.put(conn);
             return Err(Failure::Unwanted);
         }
         let is_trial = self.pass_gate(request)?;
-        let mut result = conn.send(self.build_request(request, run, after)).await;
+        let mut result = conn.send(self.build_request(request, attempt, after)).await;
         if conn.is_reused() && matches!(&result, Err(e) if e.is_unsent()) {
             conn = self.pool.connect(address).await.map_err(Failure::Unsent)?;
             if !is_trial {
                 self.pass_gate(request)?;
             }
-            result = conn.send(self.build_request(request, run, after)).await;
+            result = conn.send(self.build_request(request, attempt, after)).await;
         }
-        run.conn = Some(conn);
+        attempt.conn = Some(conn);
         result.map_err(|e| match e.is_unsent() {
             true => Failure::Unsent(e),
             false => Failure::Broken(e.to_string()),
@@ -358,12 +373,12 @@
     fn build_request(
         &self,
         request: &AdmittedRequest,
-        run: &Run,
+        attempt: &Attempt,
         after: Option<u64>,
     ) -> Request<Bytes> {
         let onward = Onward {
             left: until(request.deadline),
-            endpoint: &run.endpoint.id,
+            endpoint: &attempt.endpoint.id,
             account: request.account.as_ref(),
             after,
         };
@@ -388,16 +403,21 @@
 }
 
 /// Logs an answer that is complete.
-pub(crate) fn log_answered(request: &AdmittedRequest, run: &Run, status: u16, bytes: usize) {
+pub(crate) fn log_answered(
+    request: &AdmittedRequest,
+    attempt: &Attempt,
+    status: u16,
+    bytes: usize,
+) {
     observe::answered(&request.route.name, "answered", clock::since(request.arrived_at));
     log::info!(
         "event=answered id={} endpoint={} status={status} bytes={bytes} first_ms={} pause_ms={} at_endpoint_ms={} \
          total_ms={}",
         request.metadata.id,
-        run.endpoint.id,
-        run.first.as_millis(),
-        run.pause.as_millis(),
-        clock::since(run.began).as_millis(),
+        attempt.endpoint.id,
+        attempt.first.as_millis(),
+        attempt.pause.as_millis(),
+        clock::since(attempt.began).as_millis(),
         clock::since(request.arrived_at).as_millis()
     );
 }
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -5,11 +5,11 @@
 //! no cancellation has to be passed on.
 
 mod admit;
+mod attempt;
 mod events;
 mod quarantine;
 mod refusal;
 mod request;
-mod run;
 mod stream;
 
 use std::sync::Arc;
@@ -29,9 +29,9 @@
 use crate::observe;
 use crate::seam::Wire;
 use crate::shared::Shared;
+use attempt::{Failure, Sent};
 use refusal::Refusal;
 use request::AdmittedRequest;
-use run::{Failure, Sent};
 
 /// Sends of one request that ended with the word, or the certainty, that it did not run. Each is a
 /// repeat at the service, so this bounds what one request may use of the allowance.
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -8,8 +8,8 @@
 use oxbowbend_core::routes::Endpoint;
 use oxbowbend_http::h1;
 
+use super::attempt::Failure;
 use super::request::AdmittedRequest;
-use super::run::Failure;
 use super::{until, Relay};
 use crate::observe;
 use crate::shared::Shared;
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -11,9 +11,9 @@
 use oxbowbend_core::ids::EndpointId;
 use thiserror::Error;
 
+use super::attempt::{log_answered, Attempt, Failure, Sent};
 use super::events::EventSplitter;
 use super::request::AdmittedRequest;
-use super::run::{log_answered, Failure, Run, Sent};
 use super::{until, AttemptHistory, Relay, MAX_UNEXECUTED_ATTEMPTS};
 use crate::seam::Wire;
 
@@ -25,14 +25,14 @@
 
 /// A stream that has begun at an endpoint.
 pub(crate) struct Streaming {
-    run: Run,
+    attempt: Attempt,
     first: Option<Frame<Bytes>>,
     body: Incoming,
 }
 
 impl Streaming {
-    pub(crate) fn new(run: Run, first: Option<Frame<Bytes>>, body: Incoming) -> Streaming {
-        Streaming { run, first, body }
+    pub(crate) fn new(attempt: Attempt, first: Option<Frame<Bytes>>, body: Incoming) -> Streaming {
+        Streaming { attempt, first, body }
     }
 }
 
@@ -110,9 +110,9 @@
     fn end(&mut self) -> Option<Result<Bytes, BrokenOff>> {
         let streaming = self.streaming.take()?;
         let rest = self.events.take_partial();
-        log_answered(&self.request, &streaming.run, 200, self.bytes);
+        log_answered(&self.request, &streaming.attempt, 200, self.bytes);
         self.relay.note_answer(&self.request);
-        streaming.run.end_clean(&self.relay.pool, Outcome::Good);
+        streaming.attempt.end_clean(&self.relay.pool, Outcome::Good);
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
@@ -123,17 +123,17 @@
              why=\"{why}\"",
             self.request.metadata.id,
             self.request.fingerprint,
-            streaming.run.endpoint.id,
+            streaming.attempt.endpoint.id,
             self.events.last_id(),
             self.bytes
         );
-        self.excluded_endpoints.push(streaming.run.endpoint.id.clone());
-        streaming.run.end(outcome);
+        self.excluded_endpoints.push(streaming.attempt.endpoint.id.clone());
+        streaming.attempt.end(outcome);
     }
 
     /// Continues a broken stream at another endpoint, if that is allowed.
     async fn go_on(&mut self, why: String) -> bool {
-        let endpoint = self.streaming.as_ref().map(|s| s.run.endpoint.clone());
+        let endpoint = self.streaming.as_ref().map(|s| s.attempt.endpoint.clone());
         self.give_up(&why, Outcome::Bad);
         if let Some(endpoint) = endpoint {
             self.relay.check_end(&self.request, &endpoint, false).await;
@@ -183,7 +183,7 @@
         Err(_) => Next::Timeout,
         Ok(None) => Next::End,
         Ok(Some(Ok(frame))) => {
-            streaming.run.note_event();
+            streaming.attempt.note_event();
             Next::Data(frame.into_data().unwrap_or_default())
         }
         Ok(Some(Err(e))) => Next::Broken(e.to_string()),
