--- a/oxbowbend-gateway/src/relay/attempt.rs
+++ b/oxbowbend-gateway/src/relay/attempt.rs
@@ -100,54 +100,54 @@
 /// A request at an endpoint. Dropping it closes the connection and ends the run.
 pub(crate) struct Attempt {
     shared: Shared,
-    id: String,
+    request_id: String,
     pub(crate) endpoint: Endpoint,
     conn: Option<h1::Conn>,
-    began: Instant,
+    started_at: Instant,
     /// Tokens of the prompt, and of those that the endpoint had to read before.
-    prompt: u32,
-    backlog: u32,
+    prompt_tokens: u32,
+    backlog_tokens: u32,
     /// Time to the first event, or to the whole answer; zero before that.
-    first: Duration,
+    time_to_first_event: Duration,
     /// Longest time between two events.
-    pause: Duration,
-    last_event: Instant,
+    max_event_gap: Duration,
+    last_event_at: Instant,
     /// Events so far.
-    events: u32,
+    event_count: u32,
     /// Name of its route.
     route: Arc<Route>,
-    is_over: bool,
+    is_finished: bool,
 }
 
 impl Attempt {
     fn new(shared: &Shared, request: &AdmittedRequest, place: Assignment) -> Attempt {
-        let (shared, id) = (shared.clone(), request.metadata.id.clone());
+        let (shared, request_id) = (shared.clone(), request.metadata.id.clone());
         shared.run_began(&place.endpoint);
         Attempt {
             shared,
-            id,
+            request_id,
             endpoint: place.endpoint,
-            prompt: place.prompt,
-            backlog: place.backlog,
+            prompt_tokens: place.prompt,
+            backlog_tokens: place.backlog,
             conn: None,
-            began: clock::now(),
-            first: Duration::ZERO,
-            pause: Duration::ZERO,
-            last_event: clock::now(),
-            events: 0,
+            started_at: clock::now(),
+            time_to_first_event: Duration::ZERO,
+            max_event_gap: Duration::ZERO,
+            last_event_at: clock::now(),
+            event_count: 0,
             route: request.route.clone(),
-            is_over: false,
+            is_finished: false,
         }
     }
 
     /// Notes an event of the stream.
     pub(crate) fn note_event(&mut self) {
         let now = clock::now();
-        if !self.first.is_zero() {
-            self.pause = self.pause.max(now.duration_since(self.last_event));
+        if !self.time_to_first_event.is_zero() {
+            self.max_event_gap = self.max_event_gap.max(now.duration_since(self.last_event_at));
         }
-        self.last_event = now;
-        self.events += 1;
+        self.last_event_at = now;
+        self.event_count += 1;
     }
 
     /// Ends the run after a clean end of its answer, and keeps the connection.
@@ -160,37 +160,38 @@
 
     /// Ends the run, and its connection with it.
     pub(crate) fn end(&mut self, outcome: Outcome) {
-        self.is_over = true;
+        self.is_finished = true;
         self.conn = None;
-        let unread = if self.first.is_zero() { self.prompt } else { 0 };
+        let unread_tokens = if self.time_to_first_event.is_zero() { self.prompt_tokens } else { 0 };
         let answer = match outcome {
             Outcome::Good => Some(self.took()),
             Outcome::Bad => Some(Answer::Failed),
             Outcome::Neutral | Outcome::Absent => None,
         };
         self.shared.run_ended(&self.endpoint, &self.route.name, answer);
-        self.shared.finish(self.endpoint.key(), unread, outcome);
+        self.shared.finish(self.endpoint.key(), unread_tokens, outcome);
     }
 
     /// The time that it has taken, for each unit of work.
     fn took(&self) -> Answer {
-        let units = self.prompt.saturating_add(self.backlog).saturating_add(FIXED_UNITS);
-        let units = units.saturating_add(self.events.saturating_mul(WORK_UNITS_PER_EVENT));
-        let ns = clock::since(self.began).as_nanos() as f64;
+        let units =
+            self.prompt_tokens.saturating_add(self.backlog_tokens).saturating_add(FIXED_UNITS);
+        let units = units.saturating_add(self.event_count.saturating_mul(WORK_UNITS_PER_EVENT));
+        let ns = clock::since(self.started_at).as_nanos() as f64;
         Answer::Good { ns_per_unit: ns / f64::from(units) }
     }
 }
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_finished {
             return;
         }
         log::info!(
             "event=caller_left id={} endpoint={} after_ms={}",
-            self.id,
+            self.request_id,
             self.endpoint.id,
-            clock::since(self.began).as_millis()
+            clock::since(self.started_at).as_millis()
         );
         self.end(Outcome::Neutral);
     }
@@ -238,7 +239,7 @@
             request.metadata.id,
             request.fingerprint,
             attempt.endpoint.id,
-            clock::since(attempt.began).as_millis()
+            clock::since(attempt.started_at).as_millis()
         );
         if matches!(failure, Failure::Unsent(_)) {
             self.pool.forget(attempt.endpoint.address);
@@ -261,7 +262,7 @@
     ) -> Result<Begun, Failure> {
         let due = silence::due(expected, request.route.objective);
         let limit = until(request.deadline);
-        let (endpoint, began) = (attempt.endpoint.key(), attempt.began);
+        let (endpoint, began) = (attempt.endpoint.key(), attempt.started_at);
         let beginning = self.begin(request, attempt, after);
         pin_mut!(beginning);
         if let Ok(begun) = future::timeout(due.min(limit), &mut beginning).await {
@@ -295,7 +296,7 @@
             self.shared.endpoint_said(
                 &attempt.endpoint,
                 &request.metadata.id,
-                attempt.began,
+                attempt.started_at,
                 signals,
             );
             if let (Verdict::NotRun, Some(rest)) = (verdict, signals.backoff.value()) {
@@ -318,24 +319,24 @@
                 None => None,
             };
             attempt.note_event();
-            attempt.first = clock::since(attempt.began);
+            attempt.time_to_first_event = clock::since(attempt.started_at);
             self.shared.began(
                 attempt.endpoint.key(),
-                attempt.prompt,
-                attempt.backlog,
-                attempt.first,
+                attempt.prompt_tokens,
+                attempt.backlog_tokens,
+                attempt.time_to_first_event,
             );
             observe::began(&request.route.name, clock::since(request.arrived_at));
             return Ok(Begun::Stream(head, first, body));
         }
         let whole = body.collect().await.map_err(broken)?.to_bytes();
         if head.status.is_success() {
-            attempt.first = clock::since(attempt.began);
+            attempt.time_to_first_event = clock::since(attempt.started_at);
             self.shared.began(
                 attempt.endpoint.key(),
-                attempt.prompt,
-                attempt.backlog,
-                attempt.first,
+                attempt.prompt_tokens,
+                attempt.backlog_tokens,
+                attempt.time_to_first_event,
             );
         }
         Ok(Begun::Whole(Response::from_parts(head, whole)))
@@ -415,9 +416,9 @@
          total_ms={}",
         request.metadata.id,
         attempt.endpoint.id,
-        attempt.first.as_millis(),
-        attempt.pause.as_millis(),
-        clock::since(attempt.began).as_millis(),
+        attempt.time_to_first_event.as_millis(),
+        attempt.max_event_gap.as_millis(),
+        clock::since(attempt.started_at).as_millis(),
         clock::since(request.arrived_at).as_millis()
     );
 }
