--- a/oxbowbend-gateway/src/relay/attempt.rs
+++ b/oxbowbend-gateway/src/relay/attempt.rs
@@ -141,7 +141,7 @@
     }
 
     /// Notes an event of the stream.
-    pub(crate) fn note_event(&mut self) {
+    pub(crate) fn record_event(&mut self) {
         let now = clock::now();
         if !self.time_to_first_event.is_zero() {
             self.max_event_gap = self.max_event_gap.max(now.duration_since(self.last_event_at));
@@ -151,20 +151,20 @@
     }
 
     /// Ends the run after a clean end of its answer, and keeps the connection.
-    pub(crate) fn end_clean(mut self, pool: &h1::Pool, outcome: Outcome) {
+    pub(crate) fn complete(mut self, pool: &h1::Pool, outcome: Outcome) {
         if let Some(conn) = self.conn.take() {
             pool.put(conn);
         }
-        self.end(outcome);
+        self.finish(outcome);
     }
 
     /// Ends the run, and its connection with it.
-    pub(crate) fn end(&mut self, outcome: Outcome) {
+    pub(crate) fn finish(&mut self, outcome: Outcome) {
         self.is_finished = true;
         self.conn = None;
         let unread_tokens = if self.time_to_first_event.is_zero() { self.prompt_tokens } else { 0 };
         let answer = match outcome {
-            Outcome::Good => Some(self.took()),
+            Outcome::Good => Some(self.timed_answer()),
             Outcome::Bad => Some(Answer::Failed),
             Outcome::Neutral | Outcome::Absent => None,
         };
@@ -173,7 +173,7 @@
     }
 
     /// The time that it has taken, for each unit of work.
-    fn took(&self) -> Answer {
+    fn timed_answer(&self) -> Answer {
         let units =
             self.prompt_tokens.saturating_add(self.backlog_tokens).saturating_add(FIXED_UNITS);
         let units = units.saturating_add(self.event_count.saturating_mul(WORK_UNITS_PER_EVENT));
@@ -193,7 +193,7 @@
             self.endpoint.id,
             clock::since(self.started_at).as_millis()
         );
-        self.end(Outcome::Neutral);
+        self.finish(Outcome::Neutral);
     }
 }
 
@@ -213,9 +213,9 @@
             Ok(Begun::Whole(answer)) => {
                 let is_bad = answer.status().is_server_error();
                 let outcome = if is_bad { Outcome::Bad } else { Outcome::Good };
-                log_answered(request, &attempt, answer.status().as_u16(), answer.body().len());
+                log_response(request, &attempt, answer.status().as_u16(), answer.body().len());
                 self.note_answer(request);
-                attempt.end_clean(&self.pool, outcome);
+                attempt.complete(&self.pool, outcome);
                 return Ok(Sent::Whole(answer));
             }
             Ok(Begun::Stream(head, first, body)) => {
@@ -244,7 +244,7 @@
         if matches!(failure, Failure::Unsent(_)) {
             self.pool.forget(attempt.endpoint.address);
         }
-        attempt.end(outcome);
+        attempt.finish(outcome);
         match &failure {
             Failure::Broken(_) => self.check_end(request, &attempt.endpoint, true).await,
             Failure::Unsent(e) if e.is_refused() => self.shared.endpoint_ended(&attempt.endpoint),
@@ -318,7 +318,7 @@
                 Some(frame) => Some(frame.map_err(broken)?),
                 None => None,
             };
-            attempt.note_event();
+            attempt.record_event();
             attempt.time_to_first_event = clock::since(attempt.started_at);
             self.shared.began(
                 attempt.endpoint.key(),
@@ -404,7 +404,7 @@
 }
 
 /// Logs an answer that is complete.
-pub(crate) fn log_answered(
+pub(crate) fn log_response(
     request: &AdmittedRequest,
     attempt: &Attempt,
     status: u16,
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -11,7 +11,7 @@
 use oxbowbend_core::ids::EndpointId;
 use thiserror::Error;
 
-use super::attempt::{log_answered, Attempt, Failure, Sent};
+use super::attempt::{log_response, Attempt, Failure, Sent};
 use super::events::EventSplitter;
 use super::request::AdmittedRequest;
 use super::{until, AttemptHistory, Relay, MAX_UNEXECUTED_ATTEMPTS};
@@ -110,9 +110,9 @@
     fn end(&mut self) -> Option<Result<Bytes, BrokenOff>> {
         let streaming = self.streaming.take()?;
         let rest = self.events.take_partial();
-        log_answered(&self.request, &streaming.attempt, 200, self.bytes);
+        log_response(&self.request, &streaming.attempt, 200, self.bytes);
         self.relay.note_answer(&self.request);
-        streaming.attempt.end_clean(&self.relay.pool, Outcome::Good);
+        streaming.attempt.complete(&self.relay.pool, Outcome::Good);
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
@@ -128,7 +128,7 @@
             self.bytes
         );
         self.excluded_endpoints.push(streaming.attempt.endpoint.id.clone());
-        streaming.attempt.end(outcome);
+        streaming.attempt.finish(outcome);
     }
 
     /// Continues a broken stream at another endpoint, if that is allowed.
@@ -183,7 +183,7 @@
         Err(_) => Next::Timeout,
         Ok(None) => Next::End,
         Ok(Some(Ok(frame))) => {
-            streaming.attempt.note_event();
+            streaming.attempt.record_event();
             Next::Data(frame.into_data().unwrap_or_default())
         }
         Ok(Some(Err(e))) => Next::Broken(e.to_string()),
