--- a/oxbowbend-gateway/src/relay/attempt.rs
+++ b/oxbowbend-gateway/src/relay/attempt.rs
@@ -38,60 +38,63 @@
 
 /// Why an exchange brought no answer.
 #[derive(Debug, Error)]
-pub(crate) enum Failure {
+pub(crate) enum AttemptError {
     /// It ends the endpoints that run it, and was not sent; it may be for this long.
     #[error("in quarantine for {0:?}")]
     Quarantined(Duration),
     /// The endpoint has said since the request got its place that it leaves, or wants rest; nothing was sent.
     #[error("the endpoint wants no request any more")]
-    Unwanted,
+    NotAccepting,
     /// No connection; nothing was sent.
     #[error("not sent: {0}")]
-    Unsent(h1::CallError),
+    NotSent(h1::CallError),
     /// The endpoint did not run it.
     #[error("not run: {0:?}")]
-    NotRun(Verdict),
+    NotExecuted(Verdict),
     /// The endpoint did not run it, and wants nothing from this instance for so long.
     #[error("turned away: wants rest for {0:?}")]
-    TurnedAway(Duration),
+    BackoffRequested(Duration),
     /// It may have run: a broken connection, or bytes that are no answer to it.
     #[error("broken: {0}")]
-    Broken(String),
+    NoValidResponse(String),
     /// The endpoint is suspected to hang.
     #[error("no event for too long")]
-    Hanging,
+    Unresponsive,
     /// The request's time is over.
     #[error("the request's time is over")]
-    Timeout,
+    DeadlineExceeded,
 }
 
-impl Failure {
+impl AttemptError {
     /// Whether the request has certainly not run.
     pub(crate) fn is_unexecuted(&self) -> bool {
         matches!(
             self,
-            Failure::Unsent(_)
-                | Failure::NotRun(_)
-                | Failure::TurnedAway(_)
-                | Failure::Quarantined(_)
-                | Failure::Unwanted
+            AttemptError::NotSent(_)
+                | AttemptError::NotExecuted(_)
+                | AttemptError::BackoffRequested(_)
+                | AttemptError::Quarantined(_)
+                | AttemptError::NotAccepting
         )
     }
 
     /// Whether the request has reached the endpoint.
-    pub(crate) fn has_arrived(&self) -> bool {
-        !matches!(self, Failure::Unsent(_) | Failure::Quarantined(_) | Failure::Unwanted)
+    pub(crate) fn reached_endpoint(&self) -> bool {
+        !matches!(
+            self,
+            AttemptError::NotSent(_) | AttemptError::Quarantined(_) | AttemptError::NotAccepting
+        )
     }
 
     /// Whether the request's time is over.
-    pub(crate) fn is_timeout(&self) -> bool {
-        matches!(self, Failure::Timeout)
+    pub(crate) fn is_deadline_exceeded(&self) -> bool {
+        matches!(self, AttemptError::DeadlineExceeded)
     }
 
     /// The final answer that follows if nothing else may be tried.
     pub(crate) fn into_refusal(self) -> Refusal {
         match self {
-            Failure::Timeout | Failure::Hanging => Refusal::TimedOut,
+            AttemptError::DeadlineExceeded | AttemptError::Unresponsive => Refusal::TimedOut,
             _ => Refusal::Failed,
         }
     }
@@ -204,12 +207,12 @@
         request: &AdmittedRequest,
         place: Assignment,
         after: Option<u64>,
-    ) -> Result<Sent, Failure> {
+    ) -> Result<Sent, AttemptError> {
         let (load, expected) = (place.load, place.expected);
         let mut attempt = Attempt::new(&self.shared, request, place);
         let is_crowded = load > attempt.endpoint.slots;
         let result = self.exchange(request, &mut attempt, expected, after).await;
-        let failure = match result {
+        let error = match result {
             Ok(Begun::Whole(answer)) => {
                 let is_bad = answer.status().is_server_error();
                 let outcome = if is_bad { Outcome::Bad } else { Outcome::Good };
@@ -222,35 +225,39 @@
                 let streaming = Box::new(Streaming::new(attempt, first, body));
                 return Ok(Sent::Stream(head, streaming));
             }
-            Err(failure) => failure,
+            Err(error) => error,
         };
-        let outcome = match &failure {
-            Failure::NotRun(Verdict::NotThere) => Outcome::Absent,
-            Failure::Timeout
-            | Failure::Quarantined(_)
-            | Failure::TurnedAway(_)
-            | Failure::Unwanted => Outcome::Neutral,
-            Failure::NotRun(_) if is_crowded => Outcome::Neutral,
+        let outcome = match &error {
+            AttemptError::NotExecuted(Verdict::NotThere) => Outcome::Absent,
+            AttemptError::DeadlineExceeded
+            | AttemptError::Quarantined(_)
+            | AttemptError::BackoffRequested(_)
+            | AttemptError::NotAccepting => Outcome::Neutral,
+            AttemptError::NotExecuted(_) if is_crowded => Outcome::Neutral,
             _ => Outcome::Bad,
         };
         log::warn!(
             "event=send_failed id={} fingerprint={:016x} endpoint={} load={load} after_ms={} \
-             blame={outcome:?} failure=\"{failure}\"",
+             blame={outcome:?} failure=\"{error}\"",
             request.metadata.id,
             request.fingerprint,
             attempt.endpoint.id,
             clock::since(attempt.started_at).as_millis()
         );
-        if matches!(failure, Failure::Unsent(_)) {
+        if matches!(error, AttemptError::NotSent(_)) {
             self.pool.forget(attempt.endpoint.address);
         }
         attempt.finish(outcome);
-        match &failure {
-            Failure::Broken(_) => self.check_end(request, &attempt.endpoint, true).await,
-            Failure::Unsent(e) if e.is_refused() => self.shared.endpoint_ended(&attempt.endpoint),
+        match &error {
+            AttemptError::NoValidResponse(_) => {
+                self.check_end(request, &attempt.endpoint, true).await
+            }
+            AttemptError::NotSent(e) if e.is_refused() => {
+                self.shared.endpoint_ended(&attempt.endpoint)
+            }
             _ => {}
         }
-        Err(failure)
+        Err(error)
     }
 
     async fn exchange(
@@ -259,7 +266,7 @@
         attempt: &mut Attempt,
         expected: Duration,
         after: Option<u64>,
-    ) -> Result<Begun, Failure> {
+    ) -> Result<Begun, AttemptError> {
         let due = silence::due(expected, request.route.objective);
         let limit = until(request.deadline);
         let (endpoint, began) = (attempt.endpoint.key(), attempt.started_at);
@@ -269,15 +276,15 @@
             return begun;
         }
         match silence::judge(due, limit, request.is_retryable()) {
-            Silence::TimedOut => return Err(Failure::Timeout),
-            Silence::GivenUp => return Err(Failure::Hanging),
+            Silence::TimedOut => return Err(AttemptError::DeadlineExceeded),
+            Silence::GivenUp => return Err(AttemptError::Unresponsive),
             Silence::Suspected => {
                 self.shared.lock().cell.suspect(clock::now(), endpoint, began);
             }
         }
         match future::timeout(until(request.deadline), beginning).await {
             Ok(begun) => begun,
-            Err(_) => Err(Failure::Timeout),
+            Err(_) => Err(AttemptError::DeadlineExceeded),
         }
     }
 
@@ -287,7 +294,7 @@
         request: &AdmittedRequest,
         attempt: &mut Attempt,
         after: Option<u64>,
-    ) -> Result<Begun, Failure> {
+    ) -> Result<Begun, AttemptError> {
         let answer = self.send_request(request, attempt, after).await?;
         let (mut head, mut body) = answer.into_parts();
         let verdict = self.wire.judge(&head, &request.metadata.id);
@@ -300,19 +307,21 @@
                 signals,
             );
             if let (Verdict::NotRun, Some(rest)) = (verdict, signals.backoff.value()) {
-                return Err(Failure::TurnedAway(rest));
+                return Err(AttemptError::BackoffRequested(rest));
             }
         }
         match verdict {
             Verdict::Answer => {}
             Verdict::Foreign => {
                 let status = head.status;
-                return Err(Failure::Broken(format!("no answer to this request: {status}")));
+                return Err(AttemptError::NoValidResponse(format!(
+                    "no answer to this request: {status}"
+                )));
             }
-            verdict => return Err(Failure::NotRun(verdict)),
+            verdict => return Err(AttemptError::NotExecuted(verdict)),
         }
         self.wire.back(&mut head.headers);
-        let broken = |e: hyper::Error| Failure::Broken(e.to_string());
+        let broken = |e: hyper::Error| AttemptError::NoValidResponse(e.to_string());
         if request.route.stream && head.status.is_success() {
             let first = match body.frame().await {
                 Some(frame) => Some(frame.map_err(broken)?),
@@ -347,18 +356,18 @@
         request: &AdmittedRequest,
         attempt: &mut Attempt,
         after: Option<u64>,
-    ) -> Result<Response<Incoming>, Failure> {
+    ) -> Result<Response<Incoming>, AttemptError> {
         let address = attempt.endpoint.address;
-        let mut conn = self.pool.get(address).await.map_err(Failure::Unsent)?;
+        let mut conn = self.pool.get(address).await.map_err(AttemptError::NotSent)?;
         // A new connection takes up to a second, in which other answers come.
         if !self.shared.lock().cell.may_send(clock::now(), attempt.endpoint.key()) {
             self.pool.put(conn);
-            return Err(Failure::Unwanted);
+            return Err(AttemptError::NotAccepting);
         }
         let is_trial = self.pass_gate(request)?;
         let mut result = conn.send(self.build_request(request, attempt, after)).await;
         if conn.is_reused() && matches!(&result, Err(e) if e.is_unsent()) {
-            conn = self.pool.connect(address).await.map_err(Failure::Unsent)?;
+            conn = self.pool.connect(address).await.map_err(AttemptError::NotSent)?;
             if !is_trial {
                 self.pass_gate(request)?;
             }
@@ -366,8 +375,8 @@
         }
         attempt.conn = Some(conn);
         result.map_err(|e| match e.is_unsent() {
-            true => Failure::Unsent(e),
-            false => Failure::Broken(e.to_string()),
+            true => AttemptError::NotSent(e),
+            false => AttemptError::NoValidResponse(e.to_string()),
         })
     }
 
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -29,7 +29,7 @@
 use crate::observe;
 use crate::seam::Wire;
 use crate::shared::Shared;
-use attempt::{Failure, Sent};
+use attempt::{AttemptError, Sent};
 use refusal::Refusal;
 use request::AdmittedRequest;
 
@@ -121,27 +121,27 @@
                     history.endpoint_error = Some(answer);
                 }
                 Ok(sent) => return Ok(sent),
-                Err(Failure::Quarantined(left)) => {
+                Err(AttemptError::Quarantined(left)) => {
                     let fingerprint = request.fingerprint;
                     let refusal = Refusal::Quarantined { fingerprint, retry_after: left };
                     return history.final_result(refusal);
                 }
-                Err(failure) if failure.is_unexecuted() => {
+                Err(error) if error.is_unexecuted() => {
                     history.unexecuted += 1;
                     let may = history.unexecuted < MAX_UNEXECUTED_ATTEMPTS
-                        && (!failure.has_arrived() || self.may_repeat(request, "not_run"));
+                        && (!error.reached_endpoint() || self.may_repeat(request, "not_run"));
                     if !may {
                         return history.final_result(self.busy(request, false));
                     }
                 }
-                Err(failure) => {
+                Err(error) => {
                     history.possibly_executed += 1;
                     let may = request.is_retryable()
-                        && !failure.is_timeout()
+                        && !error.is_deadline_exceeded()
                         && history.possibly_executed < request.route.sends
                         && self.may_repeat(request, "failed");
                     if !may {
-                        return history.final_result(failure.into_refusal());
+                        return history.final_result(error.into_refusal());
                     }
                 }
             }
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -8,7 +8,7 @@
 use oxbowbend_core::routes::Endpoint;
 use oxbowbend_http::h1;
 
-use super::attempt::Failure;
+use super::attempt::AttemptError;
 use super::request::AdmittedRequest;
 use super::{until, Relay};
 use crate::observe;
@@ -21,9 +21,9 @@
 impl<W> Relay<W> {
     /// Lets a request pass to an endpoint, or not; `true` if that is the trial of its quarantine. Its time may have
     /// run out in a suspension, which no timer has told.
-    pub(super) fn pass_gate(&self, request: &AdmittedRequest) -> Result<bool, Failure> {
+    pub(super) fn pass_gate(&self, request: &AdmittedRequest) -> Result<bool, AttemptError> {
         if until(request.deadline).is_zero() {
-            return Err(Failure::Timeout);
+            return Err(AttemptError::DeadlineExceeded);
         }
         let gate = self.shared.gate(request.fingerprint);
         if let Gate::Closed(left) = gate {
@@ -34,7 +34,7 @@
                 request.fingerprint,
                 left.as_millis()
             );
-            return Err(Failure::Quarantined(left));
+            return Err(AttemptError::Quarantined(left));
         }
         Ok(gate == Gate::Trial)
     }
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -11,7 +11,7 @@
 use oxbowbend_core::ids::EndpointId;
 use thiserror::Error;
 
-use super::attempt::{log_response, Attempt, Failure, Sent};
+use super::attempt::{log_response, Attempt, AttemptError, Sent};
 use super::events::EventSplitter;
 use super::request::AdmittedRequest;
 use super::{until, AttemptHistory, Relay, MAX_UNEXECUTED_ATTEMPTS};
@@ -165,8 +165,8 @@
                     return true;
                 }
                 Ok(Sent::Whole(_)) => self.sends += 1,
-                Err(Failure::Quarantined(_)) => return false,
-                Err(failure) if failure.is_unexecuted() => unexecuted += 1,
+                Err(AttemptError::Quarantined(_)) => return false,
+                Err(error) if error.is_unexecuted() => unexecuted += 1,
                 Err(_) => self.sends += 1,
             }
             self.excluded_endpoints.push(endpoint);
