--- a/oxbowbend-gateway/src/relay/attempt.rs
+++ b/oxbowbend-gateway/src/relay/attempt.rs
@@ -19,7 +19,7 @@
 
 use super::refusal::Refusal;
 use super::request::AdmittedRequest;
-use super::stream::Streaming;
+use super::stream::EndpointStream;
 use super::{until, Relay};
 use crate::observe;
 use crate::seam::{Onward, Verdict, Wire};
@@ -29,11 +29,11 @@
 const WORK_UNITS_PER_EVENT: u32 = 1000;
 
 /// An endpoint's answer.
-pub(crate) enum Sent {
+pub(crate) enum AttemptResponse {
     /// All of it.
-    Whole(Response<Bytes>),
+    Complete(Response<Bytes>),
     /// Its head, and the stream that has begun.
-    Stream(response::Parts, Box<Streaming>),
+    Streaming(response::Parts, Box<EndpointStream>),
 }
 
 /// Why an exchange brought no answer.
@@ -207,23 +207,23 @@
         request: &AdmittedRequest,
         place: Assignment,
         after: Option<u64>,
-    ) -> Result<Sent, AttemptError> {
+    ) -> Result<AttemptResponse, AttemptError> {
         let (load, expected) = (place.load, place.expected);
         let mut attempt = Attempt::new(&self.shared, request, place);
         let is_crowded = load > attempt.endpoint.slots;
         let result = self.exchange(request, &mut attempt, expected, after).await;
         let error = match result {
-            Ok(Begun::Whole(answer)) => {
+            Ok(ResponseStart::Complete(answer)) => {
                 let is_bad = answer.status().is_server_error();
                 let outcome = if is_bad { Outcome::Bad } else { Outcome::Good };
                 log_response(request, &attempt, answer.status().as_u16(), answer.body().len());
                 self.note_answer(request);
                 attempt.complete(&self.pool, outcome);
-                return Ok(Sent::Whole(answer));
+                return Ok(AttemptResponse::Complete(answer));
             }
-            Ok(Begun::Stream(head, first, body)) => {
-                let streaming = Box::new(Streaming::new(attempt, first, body));
-                return Ok(Sent::Stream(head, streaming));
+            Ok(ResponseStart::Streaming(head, first, body)) => {
+                let stream = Box::new(EndpointStream::new(attempt, first, body));
+                return Ok(AttemptResponse::Streaming(head, stream));
             }
             Err(error) => error,
         };
@@ -266,14 +266,14 @@
         attempt: &mut Attempt,
         expected: Duration,
         after: Option<u64>,
-    ) -> Result<Begun, AttemptError> {
+    ) -> Result<ResponseStart, AttemptError> {
         let due = silence::due(expected, request.route.objective);
         let limit = until(request.deadline);
         let (endpoint, began) = (attempt.endpoint.key(), attempt.started_at);
-        let beginning = self.begin(request, attempt, after);
-        pin_mut!(beginning);
-        if let Ok(begun) = future::timeout(due.min(limit), &mut beginning).await {
-            return begun;
+        let response_start = self.begin(request, attempt, after);
+        pin_mut!(response_start);
+        if let Ok(result) = future::timeout(due.min(limit), &mut response_start).await {
+            return result;
         }
         match silence::judge(due, limit, request.is_retryable()) {
             Silence::TimedOut => return Err(AttemptError::DeadlineExceeded),
@@ -282,8 +282,8 @@
                 self.shared.lock().cell.suspect(clock::now(), endpoint, began);
             }
         }
-        match future::timeout(until(request.deadline), beginning).await {
-            Ok(begun) => begun,
+        match future::timeout(until(request.deadline), response_start).await {
+            Ok(result) => result,
             Err(_) => Err(AttemptError::DeadlineExceeded),
         }
     }
@@ -294,7 +294,7 @@
         request: &AdmittedRequest,
         attempt: &mut Attempt,
         after: Option<u64>,
-    ) -> Result<Begun, AttemptError> {
+    ) -> Result<ResponseStart, AttemptError> {
         let answer = self.send_request(request, attempt, after).await?;
         let (mut head, mut body) = answer.into_parts();
         let verdict = self.wire.judge(&head, &request.metadata.id);
@@ -336,7 +336,7 @@
                 attempt.time_to_first_event,
             );
             observe::began(&request.route.name, clock::since(request.arrived_at));
-            return Ok(Begun::Stream(head, first, body));
+            return Ok(ResponseStart::Streaming(head, first, body));
         }
         let whole = body.collect().await.map_err(broken)?.to_bytes();
         if head.status.is_success() {
@@ -348,7 +348,7 @@
                 attempt.time_to_first_event,
             );
         }
-        Ok(Begun::Whole(Response::from_parts(head, whole)))
+        Ok(ResponseStart::Complete(Response::from_parts(head, whole)))
     }
 
     async fn send_request(
@@ -401,9 +401,9 @@
 }
 
 /// What an exchange has brought so far.
-enum Begun {
-    Whole(Response<Bytes>),
-    Stream(response::Parts, Option<hyper::body::Frame<Bytes>>, Incoming),
+enum ResponseStart {
+    Complete(Response<Bytes>),
+    Streaming(response::Parts, Option<hyper::body::Frame<Bytes>>, Incoming),
 }
 
 /// Path and query, as endpoints expect them.
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -29,7 +29,7 @@
 use crate::observe;
 use crate::seam::Wire;
 use crate::shared::Shared;
-use attempt::{AttemptError, Sent};
+use attempt::{AttemptError, AttemptResponse};
 use refusal::Refusal;
 use request::AdmittedRequest;
 
@@ -85,9 +85,11 @@
             }
         };
         match self.clone().fulfil(&request).await {
-            Ok(Sent::Whole(answer)) => answer.map(|body| Either::Left(h1::Whole::new(body))),
-            Ok(Sent::Stream(head, streaming)) => {
-                let body = StreamBody::new(stream::frames(self, request, streaming));
+            Ok(AttemptResponse::Complete(answer)) => {
+                answer.map(|body| Either::Left(h1::Whole::new(body)))
+            }
+            Ok(AttemptResponse::Streaming(head, stream)) => {
+                let body = StreamBody::new(stream::frames(self, request, stream));
                 Response::from_parts(head, Either::Right(body))
             }
             Err(refusal) => {
@@ -102,7 +104,7 @@
     }
 
     /// Sends a request to endpoints until one has answered or no more may be tried.
-    async fn fulfil(self, request: &Arc<AdmittedRequest>) -> Result<Sent, Refusal> {
+    async fn fulfil(self, request: &Arc<AdmittedRequest>) -> Result<AttemptResponse, Refusal> {
         let mut history = AttemptHistory::default();
         loop {
             let place = match self
@@ -115,7 +117,7 @@
             };
             let endpoint = place.endpoint.id.clone();
             match self.send(request, place, request.metadata.after).await {
-                Ok(Sent::Whole(answer))
+                Ok(AttemptResponse::Complete(answer))
                     if self.is_worth_another(request, &answer, &mut history) =>
                 {
                     history.endpoint_error = Some(answer);
@@ -286,9 +288,9 @@
 impl AttemptHistory {
     /// The last word on a request that may not be tried any more: the endpoint's own failure if
     /// there is one, and "not run" only if that is certain.
-    fn final_result(&mut self, refusal: Refusal) -> Result<Sent, Refusal> {
+    fn final_result(&mut self, refusal: Refusal) -> Result<AttemptResponse, Refusal> {
         if let Some(answer) = self.endpoint_error.take() {
-            return Ok(Sent::Whole(answer));
+            return Ok(AttemptResponse::Complete(answer));
         }
         if self.possibly_executed > 0 && refusal.is_unexecuted() {
             return Err(Refusal::Failed);
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -11,7 +11,7 @@
 use oxbowbend_core::ids::EndpointId;
 use thiserror::Error;
 
-use super::attempt::{log_response, Attempt, AttemptError, Sent};
+use super::attempt::{log_response, Attempt, AttemptError, AttemptResponse};
 use super::events::EventSplitter;
 use super::request::AdmittedRequest;
 use super::{until, AttemptHistory, Relay, MAX_UNEXECUTED_ATTEMPTS};
@@ -24,15 +24,19 @@
 pub(crate) struct BrokenOff;
 
 /// A stream that has begun at an endpoint.
-pub(crate) struct Streaming {
+pub(crate) struct EndpointStream {
     attempt: Attempt,
-    first: Option<Frame<Bytes>>,
+    first_frame: Option<Frame<Bytes>>,
     body: Incoming,
 }
 
-impl Streaming {
-    pub(crate) fn new(attempt: Attempt, first: Option<Frame<Bytes>>, body: Incoming) -> Streaming {
-        Streaming { attempt, first, body }
+impl EndpointStream {
+    pub(crate) fn new(
+        attempt: Attempt,
+        first_frame: Option<Frame<Bytes>>,
+        body: Incoming,
+    ) -> EndpointStream {
+        EndpointStream { attempt, first_frame, body }
     }
 }
 
@@ -47,7 +51,7 @@
 struct State<W> {
     relay: Relay<W>,
     request: Arc<AdmittedRequest>,
-    streaming: Option<Box<Streaming>>,
+    stream: Option<Box<EndpointStream>>,
     events: EventSplitter,
     excluded_endpoints: Vec<EndpointId>,
     sends: u32,
@@ -58,13 +62,13 @@
 pub(crate) fn frames<W: Wire>(
     relay: Relay<W>,
     request: Arc<AdmittedRequest>,
-    streaming: Box<Streaming>,
+    stream: Box<EndpointStream>,
 ) -> impl Stream<Item = Result<Frame<Bytes>, BrokenOff>> {
     let state = State {
         relay,
         events: EventSplitter::resume_after(request.metadata.after),
         request,
-        streaming: Some(streaming),
+        stream: Some(stream),
         excluded_endpoints: Vec::new(),
         sends: 1,
         bytes: 0,
@@ -72,7 +76,7 @@
     futures::stream::unfold(state, |mut state| async move {
         let item = state.next().await?;
         if item.is_err() {
-            state.streaming = None;
+            state.stream = None;
         }
         Some((item.map(Frame::data), state))
     })
@@ -81,8 +85,8 @@
 impl<W: Wire> State<W> {
     async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
         loop {
-            let streaming = self.streaming.as_mut()?;
-            match receive(streaming, &self.request).await {
+            let stream = self.stream.as_mut()?;
+            match receive(stream, &self.request).await {
                 Next::Data(data) => {
                     let data = match self.request.route.resumable {
                         true => self.events.push(&data),
@@ -108,32 +112,32 @@
     }
 
     fn end(&mut self) -> Option<Result<Bytes, BrokenOff>> {
-        let streaming = self.streaming.take()?;
+        let stream = self.stream.take()?;
         let rest = self.events.take_partial();
-        log_response(&self.request, &streaming.attempt, 200, self.bytes);
+        log_response(&self.request, &stream.attempt, 200, self.bytes);
         self.relay.note_answer(&self.request);
-        streaming.attempt.complete(&self.relay.pool, Outcome::Good);
+        stream.attempt.complete(&self.relay.pool, Outcome::Good);
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
     fn give_up(&mut self, why: &str, outcome: Outcome) {
-        let Some(mut streaming) = self.streaming.take() else { return };
+        let Some(mut stream) = self.stream.take() else { return };
         log::warn!(
             "event=stream_broken id={} fingerprint={:016x} endpoint={} last_event={:?} bytes={} blame={outcome:?} \
              why=\"{why}\"",
             self.request.metadata.id,
             self.request.fingerprint,
-            streaming.attempt.endpoint.id,
+            stream.attempt.endpoint.id,
             self.events.last_id(),
             self.bytes
         );
-        self.excluded_endpoints.push(streaming.attempt.endpoint.id.clone());
-        streaming.attempt.finish(outcome);
+        self.excluded_endpoints.push(stream.attempt.endpoint.id.clone());
+        stream.attempt.finish(outcome);
     }
 
     /// Continues a broken stream at another endpoint, if that is allowed.
     async fn go_on(&mut self, why: String) -> bool {
-        let endpoint = self.streaming.as_ref().map(|s| s.attempt.endpoint.clone());
+        let endpoint = self.stream.as_ref().map(|s| s.attempt.endpoint.clone());
         self.give_up(&why, Outcome::Bad);
         if let Some(endpoint) = endpoint {
             self.relay.check_end(&self.request, &endpoint, false).await;
@@ -154,17 +158,17 @@
             let Ok(place) = self.relay.place(&self.request, &history).await else { return false };
             let endpoint = place.endpoint.id.clone();
             match self.relay.send(&self.request, place, self.events.last_id()).await {
-                Ok(Sent::Stream(_, streaming)) => {
+                Ok(AttemptResponse::Streaming(_, stream)) => {
                     self.sends += 1;
                     log::info!(
                         "event=stream_resumed id={} endpoint={endpoint} after={:?}",
                         self.request.metadata.id,
                         self.events.last_id()
                     );
-                    self.streaming = Some(streaming);
+                    self.stream = Some(stream);
                     return true;
                 }
-                Ok(Sent::Whole(_)) => self.sends += 1,
+                Ok(AttemptResponse::Complete(_)) => self.sends += 1,
                 Err(AttemptError::Quarantined(_)) => return false,
                 Err(error) if error.is_unexecuted() => unexecuted += 1,
                 Err(_) => self.sends += 1,
@@ -175,15 +179,15 @@
     }
 }
 
-async fn receive(streaming: &mut Streaming, request: &AdmittedRequest) -> Next {
-    if let Some(frame) = streaming.first.take() {
+async fn receive(stream: &mut EndpointStream, request: &AdmittedRequest) -> Next {
+    if let Some(frame) = stream.first_frame.take() {
         return Next::Data(frame.into_data().unwrap_or_default());
     }
-    match future::timeout(until(request.deadline), streaming.body.frame()).await {
+    match future::timeout(until(request.deadline), stream.body.frame()).await {
         Err(_) => Next::Timeout,
         Ok(None) => Next::End,
         Ok(Some(Ok(frame))) => {
-            streaming.attempt.record_event();
+            stream.attempt.record_event();
             Next::Data(frame.into_data().unwrap_or_default())
         }
         Ok(Some(Err(e))) => Next::Broken(e.to_string()),
