--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -74,7 +74,7 @@
     pub(crate) async fn serve(
         self,
         req: Request<Incoming>,
-    ) -> Response<Body<impl Stream<Item = Result<Frame<Bytes>, stream::BrokenOff>>>> {
+    ) -> Response<Body<impl Stream<Item = Result<Frame<Bytes>, stream::StreamInterrupted>>>> {
         let arrived_at = clock::now();
         let request = match self.admit(req, arrived_at).await {
             Ok(request) => Arc::new(request),
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -21,7 +21,7 @@
 /// not look complete.
 #[derive(Debug, Error)]
 #[error("the stream broke off")]
-pub(crate) struct BrokenOff;
+pub(crate) struct StreamInterrupted;
 
 /// A stream that has begun at an endpoint.
 pub(crate) struct EndpointStream {
@@ -41,21 +41,21 @@
 }
 
 /// What came next from the endpoint.
-enum Next {
+enum StreamItem {
     Data(Bytes),
     End,
-    Broken(String),
-    Timeout,
+    Interrupted(String),
+    DeadlineExceeded,
 }
 
-struct State<W> {
+struct StreamRelay<W> {
     relay: Relay<W>,
     request: Arc<AdmittedRequest>,
     stream: Option<Box<EndpointStream>>,
     events: EventSplitter,
     excluded_endpoints: Vec<EndpointId>,
-    sends: u32,
-    bytes: usize,
+    send_count: u32,
+    bytes_sent: usize,
 }
 
 /// The frames for the caller.
@@ -63,15 +63,15 @@
     relay: Relay<W>,
     request: Arc<AdmittedRequest>,
     stream: Box<EndpointStream>,
-) -> impl Stream<Item = Result<Frame<Bytes>, BrokenOff>> {
-    let state = State {
+) -> impl Stream<Item = Result<Frame<Bytes>, StreamInterrupted>> {
+    let state = StreamRelay {
         relay,
         events: EventSplitter::resume_after(request.metadata.after),
         request,
         stream: Some(stream),
         excluded_endpoints: Vec::new(),
-        sends: 1,
-        bytes: 0,
+        send_count: 1,
+        bytes_sent: 0,
     };
     futures::stream::unfold(state, |mut state| async move {
         let item = state.next().await?;
@@ -82,12 +82,12 @@
     })
 }
 
-impl<W: Wire> State<W> {
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+impl<W: Wire> StreamRelay<W> {
+    async fn next(&mut self) -> Option<Result<Bytes, StreamInterrupted>> {
         loop {
             let stream = self.stream.as_mut()?;
-            match receive(stream, &self.request).await {
-                Next::Data(data) => {
+            match receive_item(stream, &self.request).await {
+                StreamItem::Data(data) => {
                     let data = match self.request.route.resumable {
                         true => self.events.push(&data),
                         false => data,
@@ -95,32 +95,32 @@
                     if data.is_empty() {
                         continue;
                     }
-                    self.bytes += data.len();
+                    self.bytes_sent += data.len();
                     return Some(Ok(data));
                 }
-                Next::End => return self.end(),
-                Next::Broken(why) => match self.go_on(why).await {
+                StreamItem::End => return self.finish(),
+                StreamItem::Interrupted(why) => match self.resume(why).await {
                     true => continue,
-                    false => return Some(Err(BrokenOff)),
+                    false => return Some(Err(StreamInterrupted)),
                 },
-                Next::Timeout => {
-                    self.give_up("the request's time is over", Outcome::Neutral);
-                    return Some(Err(BrokenOff));
+                StreamItem::DeadlineExceeded => {
+                    self.abandon_attempt("the request's time is over", Outcome::Neutral);
+                    return Some(Err(StreamInterrupted));
                 }
             }
         }
     }
 
-    fn end(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    fn finish(&mut self) -> Option<Result<Bytes, StreamInterrupted>> {
         let stream = self.stream.take()?;
         let rest = self.events.take_partial();
-        log_response(&self.request, &stream.attempt, 200, self.bytes);
+        log_response(&self.request, &stream.attempt, 200, self.bytes_sent);
         self.relay.note_answer(&self.request);
         stream.attempt.complete(&self.relay.pool, Outcome::Good);
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
-    fn give_up(&mut self, why: &str, outcome: Outcome) {
+    fn abandon_attempt(&mut self, why: &str, outcome: Outcome) {
         let Some(mut stream) = self.stream.take() else { return };
         log::warn!(
             "event=stream_broken id={} fingerprint={:016x} endpoint={} last_event={:?} bytes={} blame={outcome:?} \
@@ -129,23 +129,23 @@
             self.request.fingerprint,
             stream.attempt.endpoint.id,
             self.events.last_id(),
-            self.bytes
+            self.bytes_sent
         );
         self.excluded_endpoints.push(stream.attempt.endpoint.id.clone());
         stream.attempt.finish(outcome);
     }
 
     /// Continues a broken stream at another endpoint, if that is allowed.
-    async fn go_on(&mut self, why: String) -> bool {
+    async fn resume(&mut self, why: String) -> bool {
         let endpoint = self.stream.as_ref().map(|s| s.attempt.endpoint.clone());
-        self.give_up(&why, Outcome::Bad);
+        self.abandon_attempt(&why, Outcome::Bad);
         if let Some(endpoint) = endpoint {
             self.relay.check_end(&self.request, &endpoint, false).await;
         }
         self.events.discard_partial();
         let mut unexecuted = 0;
         while self.request.route.resumable
-            && self.sends < self.request.route.sends
+            && self.send_count < self.request.route.sends
             && unexecuted < MAX_UNEXECUTED_ATTEMPTS
         {
             if !self.relay.may_repeat(&self.request, "stream_broken") {
@@ -159,7 +159,7 @@
             let endpoint = place.endpoint.id.clone();
             match self.relay.send(&self.request, place, self.events.last_id()).await {
                 Ok(AttemptResponse::Streaming(_, stream)) => {
-                    self.sends += 1;
+                    self.send_count += 1;
                     log::info!(
                         "event=stream_resumed id={} endpoint={endpoint} after={:?}",
                         self.request.metadata.id,
@@ -168,10 +168,10 @@
                     self.stream = Some(stream);
                     return true;
                 }
-                Ok(AttemptResponse::Complete(_)) => self.sends += 1,
+                Ok(AttemptResponse::Complete(_)) => self.send_count += 1,
                 Err(AttemptError::Quarantined(_)) => return false,
                 Err(error) if error.is_unexecuted() => unexecuted += 1,
-                Err(_) => self.sends += 1,
+                Err(_) => self.send_count += 1,
             }
             self.excluded_endpoints.push(endpoint);
         }
@@ -179,17 +179,17 @@
     }
 }
 
-async fn receive(stream: &mut EndpointStream, request: &AdmittedRequest) -> Next {
+async fn receive_item(stream: &mut EndpointStream, request: &AdmittedRequest) -> StreamItem {
     if let Some(frame) = stream.first_frame.take() {
-        return Next::Data(frame.into_data().unwrap_or_default());
+        return StreamItem::Data(frame.into_data().unwrap_or_default());
     }
     match future::timeout(until(request.deadline), stream.body.frame()).await {
-        Err(_) => Next::Timeout,
-        Ok(None) => Next::End,
+        Err(_) => StreamItem::DeadlineExceeded,
+        Ok(None) => StreamItem::End,
         Ok(Some(Ok(frame))) => {
             stream.attempt.record_event();
-            Next::Data(frame.into_data().unwrap_or_default())
+            StreamItem::Data(frame.into_data().unwrap_or_default())
         }
-        Ok(Some(Err(e))) => Next::Broken(e.to_string()),
+        Ok(Some(Err(e))) => StreamItem::Interrupted(e.to_string()),
     }
 }
