--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -169,16 +169,16 @@
     }
 
     /// Whether the allowance has a repeat left; takes it.
-    fn may_repeat(&self, request: &AdmittedRequest, why: &'static str) -> bool {
+    fn may_repeat(&self, request: &AdmittedRequest, reason: &'static str) -> bool {
         let mut state = self.shared.lock();
         let instances = state.instances;
         let may = state.repeats.repeat(clock::now(), &request.service, instances);
         drop(state);
         if may {
-            observe::sent_again(why);
+            observe::sent_again(reason);
         }
         log::info!(
-            "event=repeat id={} service={} why={why} allowed={may} instances={instances}",
+            "event=repeat id={} service={} why={reason} allowed={may} instances={instances}",
             request.metadata.id,
             request.service
         );
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -99,7 +99,7 @@
                     return Some(Ok(data));
                 }
                 StreamItem::End => return self.finish(),
-                StreamItem::Interrupted(why) => match self.resume(why).await {
+                StreamItem::Interrupted(reason) => match self.resume(reason).await {
                     true => continue,
                     false => return Some(Err(StreamInterrupted)),
                 },
@@ -120,11 +120,11 @@
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
-    fn abandon_attempt(&mut self, why: &str, outcome: Outcome) {
+    fn abandon_attempt(&mut self, reason: &str, outcome: Outcome) {
         let Some(mut stream) = self.stream.take() else { return };
         log::warn!(
             "event=stream_broken id={} fingerprint={:016x} endpoint={} last_event={:?} bytes={} blame={outcome:?} \
-             why=\"{why}\"",
+             why=\"{reason}\"",
             self.request.metadata.id,
             self.request.fingerprint,
             stream.attempt.endpoint.id,
@@ -136,9 +136,9 @@
     }
 
     /// Continues a broken stream at another endpoint, if that is allowed.
-    async fn resume(&mut self, why: String) -> bool {
+    async fn resume(&mut self, reason: String) -> bool {
         let endpoint = self.stream.as_ref().map(|s| s.attempt.endpoint.clone());
-        self.abandon_attempt(&why, Outcome::Bad);
+        self.abandon_attempt(&reason, Outcome::Bad);
         if let Some(endpoint) = endpoint {
             self.relay.check_end(&self.request, &endpoint, false).await;
         }
