--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -56,14 +56,15 @@
         let metadata = metadata.map_err(|e| refused(Refusal::InvalidHead(e.0)))?;
         let table = match table {
             Some(table) => table,
-            None => self.await_table(arrived_at).await.map_err(refused)?,
+            None => self.wait_for_config(arrived_at).await.map_err(refused)?,
         };
-        let request = self.check(&table, head, metadata, body, arrived_at).map_err(refused)?;
+        let request =
+            self.create_request(&table, head, metadata, body, arrived_at).map_err(refused)?;
         Ok(request)
     }
 
     /// Waits a moment for what the store holds, after a start.
-    async fn await_table(&self, arrived_at: Instant) -> Result<Arc<Table>, Refusal> {
+    async fn wait_for_config(&self, arrived_at: Instant) -> Result<Arc<Table>, Refusal> {
         let is_store_away = self.shared.lock().world.is_store_away();
         if !is_store_away
             && future::timeout(INITIAL_CONFIG_TIMEOUT, self.shared.loaded()).await.is_ok()
@@ -72,11 +73,11 @@
                 return Ok(table);
             }
         }
-        Err(self.not_ready(arrived_at))
+        Err(self.not_ready_refusal(arrived_at))
     }
 
     /// Nothing can be served yet. Where another instance knows the configuration, this one soon will.
-    fn not_ready(&self, now: Instant) -> Refusal {
+    fn not_ready_refusal(&self, now: Instant) -> Refusal {
         let state = self.shared.lock();
         let come_back = match state.cell.live_reports(now).any(|r| r.version > 0) {
             true => NOT_READY_RETRY_AFTER,
@@ -88,7 +89,7 @@
         }
     }
 
-    fn check(
+    fn create_request(
         &self,
         table: &Table,
         head: request::Parts,
@@ -97,10 +98,10 @@
         arrived_at: Instant,
     ) -> Result<AdmittedRequest, Refusal> {
         let route = table.route(&metadata.host, head.uri.path()).ok_or(Refusal::NoRoute)?.clone();
-        let account = account(table, &route, &metadata)?;
+        let account = authenticate(table, &route, &metadata)?;
         let service = route.target(rand::random()).cloned().ok_or(Refusal::NoRoute)?;
         let quota_units = account.map_or(0, |a| quota_units(a, &metadata));
-        let fingerprint = identify(account, &head, &body);
+        let fingerprint = request_fingerprint(account, &head, &body);
         let mut state = self.shared.lock();
         if let Some(left) = state.quarantine.closed_for(arrived_at, fingerprint) {
             return Err(Refusal::Quarantined { fingerprint, retry_after: left });
@@ -158,7 +159,7 @@
     }
 }
 
-fn account<'a>(
+fn authenticate<'a>(
     table: &'a Table,
     route: &Route,
     metadata: &Ask,
@@ -171,7 +172,11 @@
     }
 }
 
-fn identify(account: Option<&Account>, head: &request::Parts, body: &[u8]) -> Fingerprint {
+fn request_fingerprint(
+    account: Option<&Account>,
+    head: &request::Parts,
+    body: &[u8],
+) -> Fingerprint {
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     fingerprint(account.map(|a| &a.name), head.method.as_str(), path, body)
 }
--- a/oxbowbend-gateway/src/relay/attempt.rs
+++ b/oxbowbend-gateway/src/relay/attempt.rs
@@ -20,7 +20,7 @@
 use super::refusal::Refusal;
 use super::request::AdmittedRequest;
 use super::stream::EndpointStream;
-use super::{until, Relay};
+use super::{time_until, Relay};
 use crate::observe;
 use crate::seam::{Onward, Verdict, Wire};
 use crate::shared::Shared;
@@ -202,7 +202,7 @@
 
 impl<W: Wire> Relay<W> {
     /// Sends a request to the endpoint that it was given.
-    pub(super) async fn send(
+    pub(super) async fn send_to_endpoint(
         &self,
         request: &AdmittedRequest,
         place: Assignment,
@@ -217,7 +217,7 @@
                 let is_bad = answer.status().is_server_error();
                 let outcome = if is_bad { Outcome::Bad } else { Outcome::Good };
                 log_response(request, &attempt, answer.status().as_u16(), answer.body().len());
-                self.note_answer(request);
+                self.record_success(request);
                 attempt.complete(&self.pool, outcome);
                 return Ok(AttemptResponse::Complete(answer));
             }
@@ -250,7 +250,7 @@
         attempt.finish(outcome);
         match &error {
             AttemptError::NoValidResponse(_) => {
-                self.check_end(request, &attempt.endpoint, true).await
+                self.check_for_crash(request, &attempt.endpoint, true).await
             }
             AttemptError::NotSent(e) if e.is_refused() => {
                 self.shared.endpoint_ended(&attempt.endpoint)
@@ -268,9 +268,9 @@
         after: Option<u64>,
     ) -> Result<ResponseStart, AttemptError> {
         let due = silence::due(expected, request.route.objective);
-        let limit = until(request.deadline);
+        let limit = time_until(request.deadline);
         let (endpoint, began) = (attempt.endpoint.key(), attempt.started_at);
-        let response_start = self.begin(request, attempt, after);
+        let response_start = self.await_response_start(request, attempt, after);
         pin_mut!(response_start);
         if let Ok(result) = future::timeout(due.min(limit), &mut response_start).await {
             return result;
@@ -282,14 +282,14 @@
                 self.shared.lock().cell.suspect(clock::now(), endpoint, began);
             }
         }
-        match future::timeout(until(request.deadline), response_start).await {
+        match future::timeout(time_until(request.deadline), response_start).await {
             Ok(result) => result,
             Err(_) => Err(AttemptError::DeadlineExceeded),
         }
     }
 
     /// Sends the request; returns with the whole answer, or with the first event of a stream.
-    async fn begin(
+    async fn await_response_start(
         &self,
         request: &AdmittedRequest,
         attempt: &mut Attempt,
@@ -364,12 +364,12 @@
             self.pool.put(conn);
             return Err(AttemptError::NotAccepting);
         }
-        let is_trial = self.pass_gate(request)?;
+        let is_trial = self.check_send_permission(request)?;
         let mut result = conn.send(self.build_request(request, attempt, after)).await;
         if conn.is_reused() && matches!(&result, Err(e) if e.is_unsent()) {
             conn = self.pool.connect(address).await.map_err(AttemptError::NotSent)?;
             if !is_trial {
-                self.pass_gate(request)?;
+                self.check_send_permission(request)?;
             }
             result = conn.send(self.build_request(request, attempt, after)).await;
         }
@@ -387,7 +387,7 @@
         after: Option<u64>,
     ) -> Request<Bytes> {
         let onward = Onward {
-            left: until(request.deadline),
+            left: time_until(request.deadline),
             endpoint: &attempt.endpoint.id,
             account: request.account.as_ref(),
             after,
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -84,7 +84,7 @@
                 return refusal.into_response().map(Either::Left);
             }
         };
-        match self.clone().fulfil(&request).await {
+        match self.clone().send_with_retries(&request).await {
             Ok(AttemptResponse::Complete(answer)) => {
                 answer.map(|body| Either::Left(h1::Whole::new(body)))
             }
@@ -94,7 +94,7 @@
             }
             Err(refusal) => {
                 if refusal.is_unexecuted() {
-                    self.give_back(&request);
+                    self.refund_quota(&request);
                 }
                 refusal.log(&request.metadata.id, &request.route.name, arrived_at);
                 observe::answered(&request.route.name, refusal.outcome(), clock::since(arrived_at));
@@ -104,11 +104,14 @@
     }
 
     /// Sends a request to endpoints until one has answered or no more may be tried.
-    async fn fulfil(self, request: &Arc<AdmittedRequest>) -> Result<AttemptResponse, Refusal> {
+    async fn send_with_retries(
+        self,
+        request: &Arc<AdmittedRequest>,
+    ) -> Result<AttemptResponse, Refusal> {
         let mut history = AttemptHistory::default();
         loop {
             let place = match self
-                .place(request, &history)
+                .acquire_endpoint(request, &history)
                 .await
                 .and_then(|p| self.check_shutdown(request, p))
             {
@@ -116,9 +119,9 @@
                 Err(refusal) => return history.final_result(refusal),
             };
             let endpoint = place.endpoint.id.clone();
-            match self.send(request, place, request.metadata.after).await {
+            match self.send_to_endpoint(request, place, request.metadata.after).await {
                 Ok(AttemptResponse::Complete(answer))
-                    if self.is_worth_another(request, &answer, &mut history) =>
+                    if self.should_retry_response(request, &answer, &mut history) =>
                 {
                     history.endpoint_error = Some(answer);
                 }
@@ -131,9 +134,9 @@
                 Err(error) if error.is_unexecuted() => {
                     history.unexecuted += 1;
                     let may = history.unexecuted < MAX_UNEXECUTED_ATTEMPTS
-                        && (!error.reached_endpoint() || self.may_repeat(request, "not_run"));
+                        && (!error.reached_endpoint() || self.acquire_retry(request, "not_run"));
                     if !may {
-                        return history.final_result(self.busy(request, false));
+                        return history.final_result(self.busy_refusal(request, false));
                     }
                 }
                 Err(error) => {
@@ -141,7 +144,7 @@
                     let may = request.is_retryable()
                         && !error.is_deadline_exceeded()
                         && history.possibly_executed < request.route.sends
-                        && self.may_repeat(request, "failed");
+                        && self.acquire_retry(request, "failed");
                     if !may {
                         return history.final_result(error.into_refusal());
                     }
@@ -152,7 +155,7 @@
     }
 
     /// Whether an endpoint's own failure should be tried elsewhere; it is kept meanwhile.
-    fn is_worth_another(
+    fn should_retry_response(
         &self,
         request: &AdmittedRequest,
         answer: &Response<Bytes>,
@@ -165,11 +168,11 @@
             return false;
         }
         history.possibly_executed += 1;
-        history.possibly_executed < request.route.sends && self.may_repeat(request, "error")
+        history.possibly_executed < request.route.sends && self.acquire_retry(request, "error")
     }
 
     /// Whether the allowance has a repeat left; takes it.
-    fn may_repeat(&self, request: &AdmittedRequest, reason: &'static str) -> bool {
+    fn acquire_retry(&self, request: &AdmittedRequest, reason: &'static str) -> bool {
         let mut state = self.shared.lock();
         let instances = state.instances;
         let may = state.repeats.repeat(clock::now(), &request.service, instances);
@@ -186,7 +189,7 @@
     }
 
     /// Waits for a place.
-    async fn place(
+    async fn acquire_endpoint(
         &self,
         request: &AdmittedRequest,
         history: &AttemptHistory,
@@ -206,7 +209,7 @@
             self.shared.lock().deal(&request.service, history.excluded_endpoints.is_empty());
         // Waiting is of no use where no endpoint wants a request in time.
         if self.shared.lock().cell.opens_in(now, &service).is_some_and(|opens_in| opens_in > hold) {
-            return Err(self.busy(request, true));
+            return Err(self.busy_refusal(request, true));
         }
         let waiting = self.shared.arrive(Want {
             service,
@@ -219,9 +222,9 @@
             avoid: history.excluded_endpoints.clone(),
         });
         if waiting.should_shed() {
-            return Err(self.busy(request, true));
+            return Err(self.busy_refusal(request, true));
         }
-        let place = waiting.place(hold).await.ok_or_else(|| self.busy(request, false))?;
+        let place = waiting.place(hold).await.ok_or_else(|| self.busy_refusal(request, false))?;
         let waited = clock::since(now);
         observe::placed(&request.route.name, waited, place.withheld > 0);
         log::info!(
@@ -259,7 +262,7 @@
         Err(Refusal::Stopping)
     }
 
-    fn busy(&self, request: &AdmittedRequest, on_arrival: bool) -> Refusal {
+    fn busy_refusal(&self, request: &AdmittedRequest, on_arrival: bool) -> Refusal {
         let now = clock::now();
         let patience = Patience {
             objective: request.route.objective,
@@ -278,7 +281,7 @@
         Refusal::Busy { retry_after, on_arrival }
     }
 
-    fn give_back(&self, request: &AdmittedRequest) {
+    fn refund_quota(&self, request: &AdmittedRequest) {
         if let Some(account) = &request.account {
             self.shared.lock().admission.give_back(account, request.quota_units);
         }
@@ -300,6 +303,6 @@
 }
 
 /// Time left until an instant.
-pub(crate) fn until(limit: Instant) -> Duration {
-    limit.saturating_duration_since(clock::now())
+pub(crate) fn time_until(deadline: Instant) -> Duration {
+    deadline.saturating_duration_since(clock::now())
 }
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -10,7 +10,7 @@
 
 use super::attempt::AttemptError;
 use super::request::AdmittedRequest;
-use super::{until, Relay};
+use super::{time_until, Relay};
 use crate::observe;
 use crate::shared::Shared;
 
@@ -21,8 +21,11 @@
 impl<W> Relay<W> {
     /// Lets a request pass to an endpoint, or not; `true` if that is the trial of its quarantine. Its time may have
     /// run out in a suspension, which no timer has told.
-    pub(super) fn pass_gate(&self, request: &AdmittedRequest) -> Result<bool, AttemptError> {
-        if until(request.deadline).is_zero() {
+    pub(super) fn check_send_permission(
+        &self,
+        request: &AdmittedRequest,
+    ) -> Result<bool, AttemptError> {
+        if time_until(request.deadline).is_zero() {
             return Err(AttemptError::DeadlineExceeded);
         }
         let gate = self.shared.gate(request.fingerprint);
@@ -40,7 +43,7 @@
     }
 
     /// Notes that a request had a whole answer: it does not end endpoints.
-    pub(super) fn note_answer(&self, request: &AdmittedRequest) {
+    pub(super) fn record_success(&self, request: &AdmittedRequest) {
         self.shared.request_answered(request.fingerprint);
     }
 
@@ -48,7 +51,7 @@
     /// has ended refuses a new one. One that is accepted is kept for the next request.
     ///
     /// It goes on if the caller leaves meanwhile.
-    pub(super) async fn check_end(
+    pub(super) async fn check_for_crash(
         &self,
         request: &AdmittedRequest,
         endpoint: &Endpoint,
@@ -57,12 +60,12 @@
         let run = Run { fingerprint: request.fingerprint, is_quiet };
         if self.shared.run_broke_off(endpoint, run) {
             let (shared, pool) = (self.shared.clone(), self.pool.clone());
-            task::spawn(check(shared, pool, endpoint.clone())).await;
+            task::spawn(probe_endpoint(shared, pool, endpoint.clone())).await;
         }
     }
 }
 
-async fn check(shared: Shared, pool: h1::Pool, endpoint: Endpoint) {
+async fn probe_endpoint(shared: Shared, pool: h1::Pool, endpoint: Endpoint) {
     let began = clock::now();
     let verdict = match future::timeout(PROBE_TIMEOUT, pool.connect(endpoint.address)).await {
         Ok(Ok(conn)) => {
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -14,7 +14,7 @@
 use super::attempt::{log_response, Attempt, AttemptError, AttemptResponse};
 use super::events::EventSplitter;
 use super::request::AdmittedRequest;
-use super::{until, AttemptHistory, Relay, MAX_UNEXECUTED_ATTEMPTS};
+use super::{time_until, AttemptHistory, Relay, MAX_UNEXECUTED_ATTEMPTS};
 use crate::seam::Wire;
 
 /// The stream cannot be brought to its end; the caller's connection is broken off, so that it does
@@ -115,7 +115,7 @@
         let stream = self.stream.take()?;
         let rest = self.events.take_partial();
         log_response(&self.request, &stream.attempt, 200, self.bytes_sent);
-        self.relay.note_answer(&self.request);
+        self.relay.record_success(&self.request);
         stream.attempt.complete(&self.relay.pool, Outcome::Good);
         (!rest.is_empty()).then_some(Ok(rest))
     }
@@ -140,7 +140,7 @@
         let endpoint = self.stream.as_ref().map(|s| s.attempt.endpoint.clone());
         self.abandon_attempt(&reason, Outcome::Bad);
         if let Some(endpoint) = endpoint {
-            self.relay.check_end(&self.request, &endpoint, false).await;
+            self.relay.check_for_crash(&self.request, &endpoint, false).await;
         }
         self.events.discard_partial();
         let mut unexecuted = 0;
@@ -148,16 +148,18 @@
             && self.send_count < self.request.route.sends
             && unexecuted < MAX_UNEXECUTED_ATTEMPTS
         {
-            if !self.relay.may_repeat(&self.request, "stream_broken") {
+            if !self.relay.acquire_retry(&self.request, "stream_broken") {
                 return false;
             }
             let history = AttemptHistory {
                 excluded_endpoints: self.excluded_endpoints.clone(),
                 ..AttemptHistory::default()
             };
-            let Ok(place) = self.relay.place(&self.request, &history).await else { return false };
+            let Ok(place) = self.relay.acquire_endpoint(&self.request, &history).await else {
+                return false;
+            };
             let endpoint = place.endpoint.id.clone();
-            match self.relay.send(&self.request, place, self.events.last_id()).await {
+            match self.relay.send_to_endpoint(&self.request, place, self.events.last_id()).await {
                 Ok(AttemptResponse::Streaming(_, stream)) => {
                     self.send_count += 1;
                     log::info!(
@@ -183,7 +185,7 @@
     if let Some(frame) = stream.first_frame.take() {
         return StreamItem::Data(frame.into_data().unwrap_or_default());
     }
-    match future::timeout(until(request.deadline), stream.body.frame()).await {
+    match future::timeout(time_until(request.deadline), stream.body.frame()).await {
         Err(_) => StreamItem::DeadlineExceeded,
         Ok(None) => StreamItem::End,
         Ok(Some(Ok(frame))) => {
