--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -48,18 +48,18 @@
     ) -> Result<AdmittedRequest, AdmitError> {
         let (head, body) = req.into_parts();
         let table = self.shared.table();
-        let limit = table.as_ref().map_or(DEFAULT_MAX_BODY_BYTES, |t| t.limits().body);
+        let max_body_bytes = table.as_ref().map_or(DEFAULT_MAX_BODY_BYTES, |t| t.limits().body);
         let metadata = self.wire.read(&head);
         let id = metadata.as_ref().map_or("-", |metadata| &metadata.id).to_owned();
-        let refused = |refusal| (id.clone(), refusal);
-        let body = read_body(body, limit).await.map_err(refused)?;
-        let metadata = metadata.map_err(|e| refused(Refusal::InvalidHead(e.0)))?;
+        let with_id = |refusal| (id.clone(), refusal);
+        let body = read_body(body, max_body_bytes).await.map_err(with_id)?;
+        let metadata = metadata.map_err(|e| with_id(Refusal::InvalidHead(e.0)))?;
         let table = match table {
             Some(table) => table,
-            None => self.wait_for_config(arrived_at).await.map_err(refused)?,
+            None => self.wait_for_config(arrived_at).await.map_err(with_id)?,
         };
         let request =
-            self.create_request(&table, head, metadata, body, arrived_at).map_err(refused)?;
+            self.create_request(&table, head, metadata, body, arrived_at).map_err(with_id)?;
         Ok(request)
     }
 
@@ -79,13 +79,13 @@
     /// Nothing can be served yet. Where another instance knows the configuration, this one soon will.
     fn not_ready_refusal(&self, now: Instant) -> Refusal {
         let state = self.shared.lock();
-        let come_back = match state.cell.live_reports(now).any(|r| r.version > 0) {
+        let retry_after = match state.cell.live_reports(now).any(|r| r.version > 0) {
             true => NOT_READY_RETRY_AFTER,
             false => state.world.come_back(now),
         };
         drop(state);
         Refusal::NotReady {
-            retry_after: come_back.mul_f64(rand::rng().random_range(RETRY_AFTER_JITTER)),
+            retry_after: retry_after.mul_f64(rand::rng().random_range(RETRY_AFTER_JITTER)),
         }
     }
 
@@ -103,8 +103,8 @@
         let quota_units = account.map_or(0, |a| quota_units(a, &metadata));
         let fingerprint = request_fingerprint(account, &head, &body);
         let mut state = self.shared.lock();
-        if let Some(left) = state.quarantine.closed_for(arrived_at, fingerprint) {
-            return Err(Refusal::Quarantined { fingerprint, retry_after: left });
+        if let Some(remaining) = state.quarantine.closed_for(arrived_at, fingerprint) {
+            return Err(Refusal::Quarantined { fingerprint, retry_after: remaining });
         }
         let admitted = match account {
             Some(account) => {
@@ -119,7 +119,7 @@
         state.repeats.requested(arrived_at, &service);
         let age = state.ages.age(&route.name, metadata.patience, route.timeout);
         drop(state);
-        let patience = metadata.patience.unwrap_or(Duration::MAX).min(route.timeout);
+        let timeout = metadata.patience.unwrap_or(Duration::MAX).min(route.timeout);
         let tier = account.and_then(|a| a.tier).map_or(0, u16::from);
         let rank = tier * ROUTE_TIERS + u16::from(route.tier);
         log::info!(
@@ -131,7 +131,7 @@
             table.version(),
             metadata.prompt,
             metadata.output.map_or(-1, i64::from),
-            patience.as_millis(),
+            timeout.as_millis(),
             age.as_millis()
         );
         let tokens_per_event = table.service(&service).map_or(0, |s| s.tokens_per_event);
@@ -152,7 +152,7 @@
             prefill_stall,
             age,
             arrived_at,
-            deadline: arrived_at + patience,
+            deadline: arrived_at + timeout,
             route,
             metadata,
         })
@@ -188,8 +188,8 @@
     }
 }
 
-async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
-    match Limited::new(body, limit).collect().await {
+async fn read_body(body: Incoming, max_body_bytes: usize) -> Result<Bytes, Refusal> {
+    match Limited::new(body, max_body_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
         Err(_) => Err(Refusal::IncompleteBody),
--- a/oxbowbend-gateway/src/relay/attempt.rs
+++ b/oxbowbend-gateway/src/relay/attempt.rs
@@ -123,15 +123,15 @@
 }
 
 impl Attempt {
-    fn new(shared: &Shared, request: &AdmittedRequest, place: Assignment) -> Attempt {
+    fn new(shared: &Shared, request: &AdmittedRequest, assignment: Assignment) -> Attempt {
         let (shared, request_id) = (shared.clone(), request.metadata.id.clone());
-        shared.run_began(&place.endpoint);
+        shared.run_began(&assignment.endpoint);
         Attempt {
             shared,
             request_id,
-            endpoint: place.endpoint,
-            prompt_tokens: place.prompt,
-            backlog_tokens: place.backlog,
+            endpoint: assignment.endpoint,
+            prompt_tokens: assignment.prompt,
+            backlog_tokens: assignment.backlog,
             conn: None,
             started_at: clock::now(),
             time_to_first_event: Duration::ZERO,
@@ -205,24 +205,24 @@
     pub(super) async fn send_to_endpoint(
         &self,
         request: &AdmittedRequest,
-        place: Assignment,
-        after: Option<u64>,
+        assignment: Assignment,
+        last_event_id: Option<u64>,
     ) -> Result<AttemptResponse, AttemptError> {
-        let (load, expected) = (place.load, place.expected);
-        let mut attempt = Attempt::new(&self.shared, request, place);
-        let is_crowded = load > attempt.endpoint.slots;
-        let result = self.exchange(request, &mut attempt, expected, after).await;
+        let (load, expected) = (assignment.load, assignment.expected);
+        let mut attempt = Attempt::new(&self.shared, request, assignment);
+        let is_over_capacity = load > attempt.endpoint.slots;
+        let result = self.exchange(request, &mut attempt, expected, last_event_id).await;
         let error = match result {
-            Ok(ResponseStart::Complete(answer)) => {
-                let is_bad = answer.status().is_server_error();
+            Ok(ResponseStart::Complete(response)) => {
+                let is_bad = response.status().is_server_error();
                 let outcome = if is_bad { Outcome::Bad } else { Outcome::Good };
-                log_response(request, &attempt, answer.status().as_u16(), answer.body().len());
+                log_response(request, &attempt, response.status().as_u16(), response.body().len());
                 self.record_success(request);
                 attempt.complete(&self.pool, outcome);
-                return Ok(AttemptResponse::Complete(answer));
+                return Ok(AttemptResponse::Complete(response));
             }
-            Ok(ResponseStart::Streaming(head, first, body)) => {
-                let stream = Box::new(EndpointStream::new(attempt, first, body));
+            Ok(ResponseStart::Streaming(head, first_frame, body)) => {
+                let stream = Box::new(EndpointStream::new(attempt, first_frame, body));
                 return Ok(AttemptResponse::Streaming(head, stream));
             }
             Err(error) => error,
@@ -233,7 +233,7 @@
             | AttemptError::Quarantined(_)
             | AttemptError::BackoffRequested(_)
             | AttemptError::NotAccepting => Outcome::Neutral,
-            AttemptError::NotExecuted(_) if is_crowded => Outcome::Neutral,
+            AttemptError::NotExecuted(_) if is_over_capacity => Outcome::Neutral,
             _ => Outcome::Bad,
         };
         log::warn!(
@@ -265,21 +265,22 @@
         request: &AdmittedRequest,
         attempt: &mut Attempt,
         expected: Duration,
-        after: Option<u64>,
+        last_event_id: Option<u64>,
     ) -> Result<ResponseStart, AttemptError> {
-        let due = silence::due(expected, request.route.objective);
-        let limit = time_until(request.deadline);
-        let (endpoint, began) = (attempt.endpoint.key(), attempt.started_at);
-        let response_start = self.await_response_start(request, attempt, after);
+        let suspect_after = silence::due(expected, request.route.objective);
+        let time_left = time_until(request.deadline);
+        let (endpoint, started_at) = (attempt.endpoint.key(), attempt.started_at);
+        let response_start = self.await_response_start(request, attempt, last_event_id);
         pin_mut!(response_start);
-        if let Ok(result) = future::timeout(due.min(limit), &mut response_start).await {
+        if let Ok(result) = future::timeout(suspect_after.min(time_left), &mut response_start).await
+        {
             return result;
         }
-        match silence::judge(due, limit, request.is_retryable()) {
+        match silence::judge(suspect_after, time_left, request.is_retryable()) {
             Silence::TimedOut => return Err(AttemptError::DeadlineExceeded),
             Silence::GivenUp => return Err(AttemptError::Unresponsive),
             Silence::Suspected => {
-                self.shared.lock().cell.suspect(clock::now(), endpoint, began);
+                self.shared.lock().cell.suspect(clock::now(), endpoint, started_at);
             }
         }
         match future::timeout(time_until(request.deadline), response_start).await {
@@ -293,10 +294,10 @@
         &self,
         request: &AdmittedRequest,
         attempt: &mut Attempt,
-        after: Option<u64>,
+        last_event_id: Option<u64>,
     ) -> Result<ResponseStart, AttemptError> {
-        let answer = self.send_request(request, attempt, after).await?;
-        let (mut head, mut body) = answer.into_parts();
+        let response = self.send_request(request, attempt, last_event_id).await?;
+        let (mut head, mut body) = response.into_parts();
         let verdict = self.wire.judge(&head, &request.metadata.id);
         if matches!(verdict, Verdict::Answer | Verdict::NotRun) {
             let signals = self.wire.signals(&head);
@@ -306,8 +307,8 @@
                 attempt.started_at,
                 signals,
             );
-            if let (Verdict::NotRun, Some(rest)) = (verdict, signals.backoff.value()) {
-                return Err(AttemptError::BackoffRequested(rest));
+            if let (Verdict::NotRun, Some(delay)) = (verdict, signals.backoff.value()) {
+                return Err(AttemptError::BackoffRequested(delay));
             }
         }
         match verdict {
@@ -321,10 +322,10 @@
             verdict => return Err(AttemptError::NotExecuted(verdict)),
         }
         self.wire.back(&mut head.headers);
-        let broken = |e: hyper::Error| AttemptError::NoValidResponse(e.to_string());
+        let no_valid_response = |e: hyper::Error| AttemptError::NoValidResponse(e.to_string());
         if request.route.stream && head.status.is_success() {
-            let first = match body.frame().await {
-                Some(frame) => Some(frame.map_err(broken)?),
+            let first_frame = match body.frame().await {
+                Some(frame) => Some(frame.map_err(no_valid_response)?),
                 None => None,
             };
             attempt.record_event();
@@ -336,9 +337,9 @@
                 attempt.time_to_first_event,
             );
             observe::began(&request.route.name, clock::since(request.arrived_at));
-            return Ok(ResponseStart::Streaming(head, first, body));
+            return Ok(ResponseStart::Streaming(head, first_frame, body));
         }
-        let whole = body.collect().await.map_err(broken)?.to_bytes();
+        let body = body.collect().await.map_err(no_valid_response)?.to_bytes();
         if head.status.is_success() {
             attempt.time_to_first_event = clock::since(attempt.started_at);
             self.shared.began(
@@ -348,14 +349,14 @@
                 attempt.time_to_first_event,
             );
         }
-        Ok(ResponseStart::Complete(Response::from_parts(head, whole)))
+        Ok(ResponseStart::Complete(Response::from_parts(head, body)))
     }
 
     async fn send_request(
         &self,
         request: &AdmittedRequest,
         attempt: &mut Attempt,
-        after: Option<u64>,
+        last_event_id: Option<u64>,
     ) -> Result<Response<Incoming>, AttemptError> {
         let address = attempt.endpoint.address;
         let mut conn = self.pool.get(address).await.map_err(AttemptError::NotSent)?;
@@ -365,13 +366,13 @@
             return Err(AttemptError::NotAccepting);
         }
         let is_trial = self.check_send_permission(request)?;
-        let mut result = conn.send(self.build_request(request, attempt, after)).await;
+        let mut result = conn.send(self.build_request(request, attempt, last_event_id)).await;
         if conn.is_reused() && matches!(&result, Err(e) if e.is_unsent()) {
             conn = self.pool.connect(address).await.map_err(AttemptError::NotSent)?;
             if !is_trial {
                 self.check_send_permission(request)?;
             }
-            result = conn.send(self.build_request(request, attempt, after)).await;
+            result = conn.send(self.build_request(request, attempt, last_event_id)).await;
         }
         attempt.conn = Some(conn);
         result.map_err(|e| match e.is_unsent() {
@@ -384,18 +385,18 @@
         &self,
         request: &AdmittedRequest,
         attempt: &Attempt,
-        after: Option<u64>,
+        last_event_id: Option<u64>,
     ) -> Request<Bytes> {
-        let onward = Onward {
+        let forwarding = Onward {
             left: time_until(request.deadline),
             endpoint: &attempt.endpoint.id,
             account: request.account.as_ref(),
-            after,
+            after: last_event_id,
         };
         let mut req = Request::new(request.body.clone());
         *req.method_mut() = request.method.clone();
         *req.uri_mut() = path_only(&request.uri);
-        *req.headers_mut() = self.wire.forward(&request.headers, onward);
+        *req.headers_mut() = self.wire.forward(&request.headers, forwarding);
         req
     }
 }
--- a/oxbowbend-gateway/src/relay/events.rs
+++ b/oxbowbend-gateway/src/relay/events.rs
@@ -30,11 +30,11 @@
             Some(at) => at + 2,
             None => return Bytes::new(),
         };
-        let whole = self.partial.split_to(end).freeze();
-        if let Some(id) = parse_last_id(&whole) {
+        let complete = self.partial.split_to(end).freeze();
+        if let Some(id) = parse_last_id(&complete) {
             self.last_id = Some(id);
         }
-        whole
+        complete
     }
 
     /// Forgets an event that has not been completed.
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -85,8 +85,8 @@
             }
         };
         match self.clone().send_with_retries(&request).await {
-            Ok(AttemptResponse::Complete(answer)) => {
-                answer.map(|body| Either::Left(h1::Whole::new(body)))
+            Ok(AttemptResponse::Complete(response)) => {
+                response.map(|body| Either::Left(h1::Whole::new(body)))
             }
             Ok(AttemptResponse::Streaming(head, stream)) => {
                 let body = StreamBody::new(stream::frames(self, request, stream));
@@ -110,42 +110,42 @@
     ) -> Result<AttemptResponse, Refusal> {
         let mut history = AttemptHistory::default();
         loop {
-            let place = match self
+            let assignment = match self
                 .acquire_endpoint(request, &history)
                 .await
                 .and_then(|p| self.check_shutdown(request, p))
             {
-                Ok(place) => place,
+                Ok(assignment) => assignment,
                 Err(refusal) => return history.final_result(refusal),
             };
-            let endpoint = place.endpoint.id.clone();
-            match self.send_to_endpoint(request, place, request.metadata.after).await {
-                Ok(AttemptResponse::Complete(answer))
-                    if self.should_retry_response(request, &answer, &mut history) =>
+            let endpoint = assignment.endpoint.id.clone();
+            match self.send_to_endpoint(request, assignment, request.metadata.after).await {
+                Ok(AttemptResponse::Complete(response))
+                    if self.should_retry_response(request, &response, &mut history) =>
                 {
-                    history.endpoint_error = Some(answer);
+                    history.endpoint_error = Some(response);
                 }
                 Ok(sent) => return Ok(sent),
-                Err(AttemptError::Quarantined(left)) => {
+                Err(AttemptError::Quarantined(remaining)) => {
                     let fingerprint = request.fingerprint;
-                    let refusal = Refusal::Quarantined { fingerprint, retry_after: left };
+                    let refusal = Refusal::Quarantined { fingerprint, retry_after: remaining };
                     return history.final_result(refusal);
                 }
                 Err(error) if error.is_unexecuted() => {
                     history.unexecuted += 1;
-                    let may = history.unexecuted < MAX_UNEXECUTED_ATTEMPTS
+                    let can_retry = history.unexecuted < MAX_UNEXECUTED_ATTEMPTS
                         && (!error.reached_endpoint() || self.acquire_retry(request, "not_run"));
-                    if !may {
+                    if !can_retry {
                         return history.final_result(self.busy_refusal(request, false));
                     }
                 }
                 Err(error) => {
                     history.possibly_executed += 1;
-                    let may = request.is_retryable()
+                    let can_retry = request.is_retryable()
                         && !error.is_deadline_exceeded()
                         && history.possibly_executed < request.route.sends
                         && self.acquire_retry(request, "failed");
-                    if !may {
+                    if !can_retry {
                         return history.final_result(error.into_refusal());
                     }
                 }
@@ -158,10 +158,10 @@
     fn should_retry_response(
         &self,
         request: &AdmittedRequest,
-        answer: &Response<Bytes>,
+        response: &Response<Bytes>,
         history: &mut AttemptHistory,
     ) -> bool {
-        if !answer.status().is_server_error()
+        if !response.status().is_server_error()
             || !request.is_retryable()
             || history.endpoint_error.is_some()
         {
@@ -175,17 +175,17 @@
     fn acquire_retry(&self, request: &AdmittedRequest, reason: &'static str) -> bool {
         let mut state = self.shared.lock();
         let instances = state.instances;
-        let may = state.repeats.repeat(clock::now(), &request.service, instances);
+        let allowed = state.repeats.repeat(clock::now(), &request.service, instances);
         drop(state);
-        if may {
+        if allowed {
             observe::sent_again(reason);
         }
         log::info!(
-            "event=repeat id={} service={} why={reason} allowed={may} instances={instances}",
+            "event=repeat id={} service={} why={reason} allowed={allowed} instances={instances}",
             request.metadata.id,
             request.service
         );
-        may
+        allowed
     }
 
     /// Waits for a place.
@@ -195,20 +195,27 @@
         history: &AttemptHistory,
     ) -> Result<Assignment, Refusal> {
         let now = clock::now();
-        let left = request.deadline.saturating_duration_since(now);
-        let earliest =
+        let remaining = request.deadline.saturating_duration_since(now);
+        let min_queue_until =
             if history.excluded_endpoints.is_empty() { now } else { now + MIN_RETRY_QUEUE_TIMEOUT };
         let objective = request.route.objective;
-        let in_time = objective.saturating_sub(request.age).mul_f64(QUEUE_TIMEOUT_FRACTION);
-        let hold = (request.arrived_at + in_time.max(objective / 8)).max(earliest);
-        let hold = hold.saturating_duration_since(now).min(left);
+        let max_queue_time = objective.saturating_sub(request.age).mul_f64(QUEUE_TIMEOUT_FRACTION);
+        let queue_until =
+            (request.arrived_at + max_queue_time.max(objective / 8)).max(min_queue_until);
+        let queue_timeout = queue_until.saturating_duration_since(now).min(remaining);
         // A stop ends whatever waits; without an answer the caller could not tell that it has not run.
         let shutdown = self.shared.lock().shutdown;
-        let hold = shutdown.map_or(hold, |s| s.hold(now, hold));
+        let queue_timeout = shutdown.map_or(queue_timeout, |s| s.hold(now, queue_timeout));
         let service =
             self.shared.lock().deal(&request.service, history.excluded_endpoints.is_empty());
         // Waiting is of no use where no endpoint wants a request in time.
-        if self.shared.lock().cell.opens_in(now, &service).is_some_and(|opens_in| opens_in > hold) {
+        if self
+            .shared
+            .lock()
+            .cell
+            .opens_in(now, &service)
+            .is_some_and(|available_in| available_in > queue_timeout)
+        {
             return Err(self.busy_refusal(request, true));
         }
         let waiting = self.shared.arrive(Want {
@@ -224,22 +231,23 @@
         if waiting.should_shed() {
             return Err(self.busy_refusal(request, true));
         }
-        let place = waiting.place(hold).await.ok_or_else(|| self.busy_refusal(request, false))?;
+        let assignment =
+            waiting.place(queue_timeout).await.ok_or_else(|| self.busy_refusal(request, false))?;
         let waited = clock::since(now);
-        observe::placed(&request.route.name, waited, place.withheld > 0);
+        observe::placed(&request.route.name, waited, assignment.withheld > 0);
         log::info!(
             "event=placed id={} endpoint={} load={} slots={} backlog={} expected_ms={} \
              waited_ms={} withheld={}",
             request.metadata.id,
-            place.endpoint.id,
-            place.load,
-            place.endpoint.slots,
-            place.backlog,
-            place.expected.as_millis(),
+            assignment.endpoint.id,
+            assignment.load,
+            assignment.endpoint.slots,
+            assignment.backlog,
+            assignment.expected.as_millis(),
             waited.as_millis(),
-            place.withheld
+            assignment.withheld
         );
-        Ok(place)
+        Ok(assignment)
     }
 
     /// Makes sure that a request is not begun that a stop would cut off. Streams that have begun are
@@ -247,24 +255,24 @@
     fn check_shutdown(
         &self,
         request: &AdmittedRequest,
-        place: Assignment,
+        assignment: Assignment,
     ) -> Result<Assignment, Refusal> {
         let now = clock::now();
         let state = self.shared.lock();
         let expected =
-            if request.route.stream { place.whole } else { Some(request.route.objective) };
+            if request.route.stream { assignment.whole } else { Some(request.route.objective) };
         let admits = |s: Shutdown| s.admits(now, expected, state.are_others_ready(now));
         if state.shutdown.is_none_or(admits) {
-            return Ok(place);
+            return Ok(assignment);
         }
         drop(state);
-        self.shared.finish(place.endpoint.key(), place.prompt, Outcome::Neutral);
+        self.shared.finish(assignment.endpoint.key(), assignment.prompt, Outcome::Neutral);
         Err(Refusal::Stopping)
     }
 
     fn busy_refusal(&self, request: &AdmittedRequest, on_arrival: bool) -> Refusal {
         let now = clock::now();
-        let patience = Patience {
+        let retry_policy = Patience {
             objective: request.route.objective,
             longest: request
                 .deadline
@@ -273,7 +281,7 @@
             spread: rand::random(),
         };
         let mut state = self.shared.lock();
-        let retry_after = state.cell.refuse(now, &request.service, request.rank, patience);
+        let retry_after = state.cell.refuse(now, &request.service, request.rank, retry_policy);
         drop(state);
         if retry_after.is_withheld {
             observe::withheld("refused");
@@ -292,8 +300,8 @@
     /// The last word on a request that may not be tried any more: the endpoint's own failure if
     /// there is one, and "not run" only if that is certain.
     fn final_result(&mut self, refusal: Refusal) -> Result<AttemptResponse, Refusal> {
-        if let Some(answer) = self.endpoint_error.take() {
-            return Ok(AttemptResponse::Complete(answer));
+        if let Some(response) = self.endpoint_error.take() {
+            return Ok(AttemptResponse::Complete(response));
         }
         if self.possibly_executed > 0 && refusal.is_unexecuted() {
             return Err(Refusal::Failed);
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -28,18 +28,18 @@
         if time_until(request.deadline).is_zero() {
             return Err(AttemptError::DeadlineExceeded);
         }
-        let gate = self.shared.gate(request.fingerprint);
-        if let Gate::Closed(left) = gate {
+        let permission = self.shared.gate(request.fingerprint);
+        if let Gate::Closed(remaining) = permission {
             observe::send_held();
             log::info!(
                 "event=send_held id={} fingerprint={:016x} left_ms={}",
                 request.metadata.id,
                 request.fingerprint,
-                left.as_millis()
+                remaining.as_millis()
             );
-            return Err(AttemptError::Quarantined(left));
+            return Err(AttemptError::Quarantined(remaining));
         }
-        Ok(gate == Gate::Trial)
+        Ok(permission == Gate::Trial)
     }
 
     /// Notes that a request had a whole answer: it does not end endpoints.
@@ -66,7 +66,7 @@
 }
 
 async fn probe_endpoint(shared: Shared, pool: h1::Pool, endpoint: Endpoint) {
-    let began = clock::now();
+    let started_at = clock::now();
     let verdict = match future::timeout(PROBE_TIMEOUT, pool.connect(endpoint.address)).await {
         Ok(Ok(conn)) => {
             pool.put(conn);
@@ -84,6 +84,6 @@
         "event=endpoint_checked endpoint={} start={:08x} verdict={verdict} took_ms={}",
         endpoint.id,
         endpoint.key(),
-        clock::since(began).as_millis()
+        clock::since(started_at).as_millis()
     );
 }
--- a/oxbowbend-gateway/src/relay/refusal.rs
+++ b/oxbowbend-gateway/src/relay/refusal.rs
@@ -130,15 +130,15 @@
 
     /// The answer for the caller.
     pub(crate) fn into_response(self) -> Response<h1::Whole> {
-        let mut answer = Response::new(h1::Whole::from(format!("{}\n", self.outcome())));
-        *answer.status_mut() = self.status();
-        if let Some(after) = self.retry_after() {
-            let seconds = format!("{:.3}", after.as_secs_f64());
+        let mut response = Response::new(h1::Whole::from(format!("{}\n", self.outcome())));
+        *response.status_mut() = self.status();
+        if let Some(delay) = self.retry_after() {
+            let seconds = format!("{:.3}", delay.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
-                answer.headers_mut().insert(RETRY_AFTER, value);
+                response.headers_mut().insert(RETRY_AFTER, value);
             }
         }
-        answer
+        response
     }
 }
 
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -113,11 +113,11 @@
 
     fn finish(&mut self) -> Option<Result<Bytes, StreamInterrupted>> {
         let stream = self.stream.take()?;
-        let rest = self.events.take_partial();
+        let partial = self.events.take_partial();
         log_response(&self.request, &stream.attempt, 200, self.bytes_sent);
         self.relay.record_success(&self.request);
         stream.attempt.complete(&self.relay.pool, Outcome::Good);
-        (!rest.is_empty()).then_some(Ok(rest))
+        (!partial.is_empty()).then_some(Ok(partial))
     }
 
     fn abandon_attempt(&mut self, reason: &str, outcome: Outcome) {
@@ -155,11 +155,15 @@
                 excluded_endpoints: self.excluded_endpoints.clone(),
                 ..AttemptHistory::default()
             };
-            let Ok(place) = self.relay.acquire_endpoint(&self.request, &history).await else {
+            let Ok(assignment) = self.relay.acquire_endpoint(&self.request, &history).await else {
                 return false;
             };
-            let endpoint = place.endpoint.id.clone();
-            match self.relay.send_to_endpoint(&self.request, place, self.events.last_id()).await {
+            let endpoint = assignment.endpoint.id.clone();
+            match self
+                .relay
+                .send_to_endpoint(&self.request, assignment, self.events.last_id())
+                .await
+            {
                 Ok(AttemptResponse::Streaming(_, stream)) => {
                     self.send_count += 1;
                     log::info!(
