--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -110,16 +110,16 @@
     ) -> Result<AttemptResponse, Refusal> {
         let mut history = AttemptHistory::default();
         loop {
-            let assignment = match self
-                .acquire_endpoint(request, &history)
+            let slot = match self
+                .get_slot(request, &history)
                 .await
                 .and_then(|p| self.check_shutdown(request, p))
             {
-                Ok(assignment) => assignment,
+                Ok(slot) => slot,
                 Err(refusal) => return history.final_result(refusal),
             };
-            let endpoint = assignment.endpoint.id.clone();
-            match self.send_to_endpoint(request, assignment, request.metadata.after).await {
+            let endpoint = slot.endpoint.id.clone();
+            match self.send_to_endpoint(request, slot, request.metadata.after).await {
                 Ok(AttemptResponse::Complete(response))
                     if self.should_retry_response(request, &response, &mut history) =>
                 {
@@ -189,7 +189,7 @@
     }
 
     /// Waits for a place.
-    async fn acquire_endpoint(
+    async fn get_slot(
         &self,
         request: &AdmittedRequest,
         history: &AttemptHistory,
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -155,15 +155,9 @@
                 excluded_endpoints: self.excluded_endpoints.clone(),
                 ..AttemptHistory::default()
             };
-            let Ok(assignment) = self.relay.acquire_endpoint(&self.request, &history).await else {
-                return false;
-            };
-            let endpoint = assignment.endpoint.id.clone();
-            match self
-                .relay
-                .send_to_endpoint(&self.request, assignment, self.events.last_id())
-                .await
-            {
+            let Ok(slot) = self.relay.get_slot(&self.request, &history).await else { return false };
+            let endpoint = slot.endpoint.id.clone();
+            match self.relay.send_to_endpoint(&self.request, slot, self.events.last_id()).await {
                 Ok(AttemptResponse::Streaming(_, stream)) => {
                     self.send_count += 1;
                     log::info!(
