--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -1,8 +1,8 @@
-//! The way of a request: admission, a place, the endpoint, the answer.
+//! Request handling: admission, queueing for an endpoint, forwarding, retries and the response.
 //!
-//! A request belongs to the future that serves it. When its caller leaves, that future is dropped,
-//! and with it go its place in the queue, its connection to the endpoint and its count as running;
-//! no cancellation has to be passed on.
+//! Each request is owned by the future that serves it. If the client disconnects, dropping that
+//! future removes the request from the queue, closes its connection to the endpoint and updates the
+//! running count, so cancellation needs no separate signal.
 
 mod admit;
 mod attempt;
@@ -33,21 +33,21 @@
 use refusal::Refusal;
 use request::AdmittedRequest;
 
-/// Sends of one request that ended with the word, or the certainty, that it did not run. Each is a
-/// repeat at the service, so this bounds what one request may use of the allowance.
+/// Maximum number of attempts at one request that end without executing it. Retries of those that
+/// reached an endpoint use up the retry budget, which is shared with other requests.
 const MAX_UNEXECUTED_ATTEMPTS: u32 = 3;
-/// Part of the objective for which a request waits for a place.
+/// Fraction of the latency objective that a request may spend in the queue.
 const QUEUE_TIMEOUT_FRACTION: f64 = 0.8;
-/// Least time for which a request that was sent before waits for another place.
+/// Minimum queue timeout of a request that is being retried.
 const MIN_RETRY_QUEUE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Part of the time that a caller has left up to which it waits when told to come back.
+/// Maximum `Retry-After` delay as a fraction of the time left until the request's deadline.
 const MAX_RETRY_DELAY_FRACTION: f64 = 0.33;
 
-/// Body of an answer: whole, or a stream as it comes.
+/// Response body, either buffered or streamed.
 pub(crate) type Body<S> = Either<h1::Whole, StreamBody<S>>;
 
-/// Serves callers' requests; clones share everything.
+/// Serves client requests. Clones share their state.
 #[derive(Clone)]
 pub(crate) struct Relay<W> {
     wire: W,
@@ -55,13 +55,13 @@
     pool: h1::Pool,
 }
 
-/// What has been tried for a request.
+/// Results of the previous attempts to send a request.
 #[derive(Default)]
 pub(crate) struct AttemptHistory {
     excluded_endpoints: Vec<EndpointId>,
     unexecuted: u32,
     possibly_executed: u32,
-    /// The endpoint's own failure, if there was one: better than one of ours.
+    /// A server error returned by an endpoint, preferred over an error of the gateway.
     endpoint_error: Option<Response<Bytes>>,
 }
 
@@ -70,7 +70,7 @@
         Relay { wire, shared, pool }
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub(crate) async fn serve(
         self,
         req: Request<Incoming>,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Sends a request to endpoints until one has answered or no more may be tried.
+    /// Sends a request to endpoints until one responds or no further attempt is allowed.
     async fn send_with_retries(
         self,
         request: &Arc<AdmittedRequest>,
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Whether an endpoint's own failure should be tried elsewhere; it is kept meanwhile.
+    /// Returns whether to retry a request after an endpoint returned `response`, and takes the retry
+    /// from the retry budget if so.
     fn should_retry_response(
         &self,
         request: &AdmittedRequest,
@@ -171,7 +172,7 @@
         history.possibly_executed < request.route.sends && self.acquire_retry(request, "error")
     }
 
-    /// Whether the allowance has a repeat left; takes it.
+    /// Takes one retry from the retry budget and returns whether there was one left.
     fn acquire_retry(&self, request: &AdmittedRequest, reason: &'static str) -> bool {
         let mut state = self.shared.lock();
         let instances = state.instances;
@@ -188,7 +189,7 @@
         allowed
     }
 
-    /// Waits for a place.
+    /// Waits in the queue for a free slot at an endpoint.
     async fn get_slot(
         &self,
         request: &AdmittedRequest,
@@ -203,12 +204,12 @@
         let queue_until =
             (request.arrived_at + max_queue_time.max(objective / 8)).max(min_queue_until);
         let queue_timeout = queue_until.saturating_duration_since(now).min(remaining);
-        // A stop ends whatever waits; without an answer the caller could not tell that it has not run.
+        // During a shutdown, stop waiting early enough to report that the request was not executed.
         let shutdown = self.shared.lock().shutdown;
         let queue_timeout = shutdown.map_or(queue_timeout, |s| s.hold(now, queue_timeout));
         let service =
             self.shared.lock().deal(&request.service, history.excluded_endpoints.is_empty());
-        // Waiting is of no use where no endpoint wants a request in time.
+        // No endpoint accepts requests before the queue timeout.
         if self
             .shared
             .lock()
@@ -250,8 +251,8 @@
         Ok(assignment)
     }
 
-    /// Makes sure that a request is not begun that a stop would cut off. Streams that have begun are
-    /// continued in any case.
+    /// Rejects a request that a shutdown in progress would probably interrupt. Not called when a
+    /// stream is resumed.
     fn check_shutdown(
         &self,
         request: &AdmittedRequest,
@@ -297,8 +298,9 @@
 }
 
 impl AttemptHistory {
-    /// The last word on a request that may not be tried any more: the endpoint's own failure if
-    /// there is one, and "not run" only if that is certain.
+    /// Returns the final result after the last attempt: the error response of an endpoint if there
+    /// was one, otherwise `refusal`, which becomes [`Refusal::Failed`] if it claims that the request
+    /// was not executed although an earlier attempt may have executed it.
     fn final_result(&mut self, refusal: Refusal) -> Result<AttemptResponse, Refusal> {
         if let Some(response) = self.endpoint_error.take() {
             return Ok(AttemptResponse::Complete(response));
@@ -310,7 +312,7 @@
     }
 }
 
-/// Time left until an instant.
+/// Returns the time left until `deadline`, or zero if it has passed.
 pub(crate) fn time_until(deadline: Instant) -> Duration {
     deadline.saturating_duration_since(clock::now())
 }
--- a/oxbowbend-gateway/src/relay/request.rs
+++ b/oxbowbend-gateway/src/relay/request.rs
@@ -1,4 +1,4 @@
-//! One request with all that is known of it.
+//! Admitted requests.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 
 use crate::seam::Ask;
 
-/// One request.
+/// A request that passed admission, with everything needed to forward it.
 pub(crate) struct AdmittedRequest {
     pub(crate) metadata: Ask,
     pub(crate) method: Method,
@@ -26,15 +26,15 @@
     pub(crate) quota_units: u64,
     pub(crate) rank: u16,
     pub(crate) prefill_stall: Stall,
-    /// Time since the caller's first try.
+    /// Estimated time since the client first sent the request, counting attempts that were refused.
     pub(crate) age: Duration,
     pub(crate) arrived_at: Instant,
-    /// When the caller or the route gives the request up.
+    /// The client's deadline or the route's timeout, whichever is earlier.
     pub(crate) deadline: Instant,
 }
 
 impl AdmittedRequest {
-    /// Whether the request may run more than once.
+    /// Returns whether the request may be executed more than once.
     pub(crate) fn is_retryable(&self) -> bool {
         match self.route.stream {
             true => self.route.resumable,
