--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -1,4 +1,5 @@
-//! Admission: the route, the client account, the body, the quota, in that order.
+//! Admission: reading the body, matching a route, authenticating the client account, and checking
+//! the quarantine and the quota.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,29 +19,29 @@
 use super::Relay;
 use crate::seam::{Ask, Wire};
 
-/// Largest body that is read before a configuration is known.
+/// Maximum body size while no configuration is known.
 const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
-/// Tiers that a rank leaves room for below an account's.
+/// Number of route tiers within each account tier of a rank.
 const ROUTE_TIERS: u16 = 256;
 
-/// Tokens of a prompt that engines read between two tokens of the other requests; the usual size of
-/// such a chunk, and borne out by the pauses seen at slow endpoints.
+/// Prompt tokens that engines process between two decoding steps of other requests, the common
+/// chunk size of chunked prefill.
 const PREFILL_CHUNK_TOKENS: u32 = 1024;
 
-/// Time for which a request waits for an instance that has just started to know what the store holds.
-/// That takes 8 to 20 ms, in which a restarted fleet of six meets 260 callers that have been trying to
-/// connect, most of them for the last time.
+/// Time that a request waits for the initial load from the store after the instance has started.
+/// Clients that reconnect after a restart of the fleet arrive before it is complete.
 const INITIAL_CONFIG_TIMEOUT: Duration = Duration::from_millis(120);
-/// When to come back to an instance that is being told the configuration.
+/// `Retry-After` delay if another instance already has the configuration.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Spread of the time to come back, so that refused callers do not return as one.
+/// Random factor of not-ready delays, so that refused clients do not all retry at the same time.
 const RETRY_AFTER_JITTER: std::ops::Range<f64> = 0.8..1.2;
 
+/// Id of the refused request, for the log, and the refusal.
 type AdmitError = (String, Refusal);
 
 impl<W: Wire> Relay<W> {
-    /// Admits a request. The body is read before anything is refused, so that a refusal does not
-    /// meet a caller that is still sending.
+    /// Admits a request. The body is read before any refusal is returned, because a client may not
+    /// read a response while it is still sending.
     pub(super) async fn admit(
         &self,
         req: Request<Incoming>,
@@ -63,7 +64,7 @@
         Ok(request)
     }
 
-    /// Waits a moment for what the store holds, after a start.
+    /// Waits for the configuration, unless the store is unavailable.
     async fn wait_for_config(&self, arrived_at: Instant) -> Result<Arc<Table>, Refusal> {
         let is_store_away = self.shared.lock().world.is_store_away();
         if !is_store_away
@@ -76,7 +77,8 @@
         Err(self.not_ready_refusal(arrived_at))
     }
 
-    /// Nothing can be served yet. Where another instance knows the configuration, this one soon will.
+    /// Creates the refusal for a request that arrived before the configuration. The delay is short if
+    /// another instance has the configuration, since this one will receive it soon.
     fn not_ready_refusal(&self, now: Instant) -> Refusal {
         let state = self.shared.lock();
         let retry_after = match state.cell.live_reports(now).any(|r| r.version > 0) {
--- a/oxbowbend-gateway/src/relay/events.rs
+++ b/oxbowbend-gateway/src/relay/events.rs
@@ -1,11 +1,11 @@
-//! Event streams, as far as they must be understood to be continued elsewhere.
+//! Splitting of server-sent event streams, which allows resuming them at another endpoint.
 //!
-//! An endpoint may stop in the middle of an event. Only whole events are let through, so that
-//! another endpoint can go on after the last of them.
+//! An endpoint may fail in the middle of an event. Only complete events are passed on, so that
+//! another endpoint can continue after the last one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Cuts a stream of bytes into whole events.
+/// Splits a byte stream at event boundaries.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     partial: BytesMut,
@@ -13,17 +13,17 @@
 }
 
 impl EventSplitter {
-    /// Starts after an event that the caller already has.
+    /// Creates a splitter for a stream that continues after the event `last_id`.
     pub(crate) fn resume_after(last_id: Option<u64>) -> EventSplitter {
         EventSplitter { partial: BytesMut::new(), last_id }
     }
 
-    /// Id of the last whole event.
+    /// Returns the id of the last complete event.
     pub(crate) fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Takes in bytes; gives out the whole events that they complete.
+    /// Appends bytes and returns the events that are now complete.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.partial.extend_from_slice(bytes);
         let end = match self.partial.windows(2).rposition(|w| w == b"\n\n") {
@@ -37,12 +37,12 @@
         complete
     }
 
-    /// Forgets an event that has not been completed.
+    /// Discards an incomplete event.
     pub(crate) fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// What is left at a clean end.
+    /// Returns the bytes after the last complete event, at the regular end of the stream.
     pub(crate) fn take_partial(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
