--- a/oxbowbend-gateway/src/relay/attempt.rs
+++ b/oxbowbend-gateway/src/relay/attempt.rs
@@ -1,4 +1,4 @@
-//! One exchange with one endpoint.
+//! A single attempt to have an endpoint execute a request.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -25,48 +25,51 @@
 use crate::seam::{Onward, Verdict, Wire};
 use crate::shared::Shared;
 
-/// Units of work of an event of a stream, roughly: what is compared are answers on the same route.
+/// Approximate work units per stream event. Only responses on the same route are compared, so the
+/// exact value matters little.
 const WORK_UNITS_PER_EVENT: u32 = 1000;
 
-/// An endpoint's answer.
+/// The response of an endpoint.
 pub(crate) enum AttemptResponse {
-    /// All of it.
+    /// A buffered response.
     Complete(Response<Bytes>),
-    /// Its head, and the stream that has begun.
+    /// The head and body of a streamed response whose first event has arrived.
     Streaming(response::Parts, Box<EndpointStream>),
 }
 
-/// Why an exchange brought no answer.
+/// Why an attempt produced no response.
 #[derive(Debug, Error)]
 pub(crate) enum AttemptError {
-    /// It ends the endpoints that run it, and was not sent; it may be for this long.
-    #[error("in quarantine for {0:?}")]
+    /// The request is quarantined for crashing endpoints and was not sent; holds the time left.
+    #[error("request is quarantined for {0:?}")]
     Quarantined(Duration),
-    /// The endpoint has said since the request got its place that it leaves, or wants rest; nothing was sent.
-    #[error("the endpoint wants no request any more")]
+    /// The endpoint signalled, after the request was assigned to it, that it is draining or backing
+    /// off; nothing was sent.
+    #[error("endpoint no longer accepts requests")]
     NotAccepting,
-    /// No connection; nothing was sent.
-    #[error("not sent: {0}")]
+    /// The connection failed before anything was sent.
+    #[error("request not sent: {0}")]
     NotSent(h1::CallError),
-    /// The endpoint did not run it.
-    #[error("not run: {0:?}")]
+    /// The endpoint did not execute the request.
+    #[error("request not executed: {0:?}")]
     NotExecuted(Verdict),
-    /// The endpoint did not run it, and wants nothing from this instance for so long.
-    #[error("turned away: wants rest for {0:?}")]
+    /// The endpoint did not execute the request and asked this instance to back off for this long.
+    #[error("request not executed: endpoint asked to back off for {0:?}")]
     BackoffRequested(Duration),
-    /// It may have run: a broken connection, or bytes that are no answer to it.
-    #[error("broken: {0}")]
+    /// The connection failed, or the response does not belong to the request, which may have been
+    /// executed.
+    #[error("no valid response: {0}")]
     NoValidResponse(String),
-    /// The endpoint is suspected to hang.
-    #[error("no event for too long")]
+    /// The endpoint did not start to respond in the expected time.
+    #[error("endpoint did not start to respond in time")]
     Unresponsive,
-    /// The request's time is over.
-    #[error("the request's time is over")]
+    /// The request's deadline passed.
+    #[error("request deadline exceeded")]
     DeadlineExceeded,
 }
 
 impl AttemptError {
-    /// Whether the request has certainly not run.
+    /// Returns whether it is certain that the request was not executed.
     pub(crate) fn is_unexecuted(&self) -> bool {
         matches!(
             self,
@@ -78,7 +81,7 @@
         )
     }
 
-    /// Whether the request has reached the endpoint.
+    /// Returns whether the request may have reached the endpoint.
     pub(crate) fn reached_endpoint(&self) -> bool {
         !matches!(
             self,
@@ -86,12 +89,11 @@
         )
     }
 
-    /// Whether the request's time is over.
     pub(crate) fn is_deadline_exceeded(&self) -> bool {
         matches!(self, AttemptError::DeadlineExceeded)
     }
 
-    /// The final answer that follows if nothing else may be tried.
+    /// Returns the refusal for a request that is not retried after this error.
     pub(crate) fn into_refusal(self) -> Refusal {
         match self {
             AttemptError::DeadlineExceeded | AttemptError::Unresponsive => Refusal::TimedOut,
@@ -100,24 +102,22 @@
     }
 }
 
-/// A request at an endpoint. Dropping it closes the connection and ends the run.
+/// A request being executed by an endpoint. Dropping it closes the connection, which cancels the
+/// execution.
 pub(crate) struct Attempt {
     shared: Shared,
     request_id: String,
     pub(crate) endpoint: Endpoint,
     conn: Option<h1::Conn>,
     started_at: Instant,
-    /// Tokens of the prompt, and of those that the endpoint had to read before.
+    /// Tokens of the request's prompt, and of the prompts queued before it at the endpoint.
     prompt_tokens: u32,
     backlog_tokens: u32,
-    /// Time to the first event, or to the whole answer; zero before that.
+    /// Time to the first event, or to the end of a buffered response; zero until then.
     time_to_first_event: Duration,
-    /// Longest time between two events.
     max_event_gap: Duration,
     last_event_at: Instant,
-    /// Events so far.
     event_count: u32,
-    /// Name of its route.
     route: Arc<Route>,
     is_finished: bool,
 }
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Notes an event of the stream.
+    /// Records an event of the stream.
     pub(crate) fn record_event(&mut self) {
         let now = clock::now();
         if !self.time_to_first_event.is_zero() {
@@ -153,7 +153,7 @@
         self.event_count += 1;
     }
 
-    /// Ends the run after a clean end of its answer, and keeps the connection.
+    /// Finishes the attempt after a complete response and returns the connection to the pool.
     pub(crate) fn complete(mut self, pool: &h1::Pool, outcome: Outcome) {
         if let Some(conn) = self.conn.take() {
             pool.put(conn);
@@ -161,7 +161,7 @@
         self.finish(outcome);
     }
 
-    /// Ends the run, and its connection with it.
+    /// Finishes the attempt and closes its connection.
     pub(crate) fn finish(&mut self, outcome: Outcome) {
         self.is_finished = true;
         self.conn = None;
@@ -175,7 +175,7 @@
         self.shared.finish(self.endpoint.key(), unread_tokens, outcome);
     }
 
-    /// The time that it has taken, for each unit of work.
+    /// Returns the time taken so far per unit of work.
     fn timed_answer(&self) -> Answer {
         let units =
             self.prompt_tokens.saturating_add(self.backlog_tokens).saturating_add(FIXED_UNITS);
@@ -201,7 +201,7 @@
 }
 
 impl<W: Wire> Relay<W> {
-    /// Sends a request to the endpoint that it was given.
+    /// Sends a request to the endpoint that it is assigned to.
     pub(super) async fn send_to_endpoint(
         &self,
         request: &AdmittedRequest,
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Sends the request; returns with the whole answer, or with the first event of a stream.
+    /// Sends the request and waits for the complete response, or for the first event of a stream.
     async fn await_response_start(
         &self,
         request: &AdmittedRequest,
@@ -316,7 +316,7 @@
             Verdict::Foreign => {
                 let status = head.status;
                 return Err(AttemptError::NoValidResponse(format!(
-                    "no answer to this request: {status}"
+                    "response does not match the request (status {status})"
                 )));
             }
             verdict => return Err(AttemptError::NotExecuted(verdict)),
@@ -360,7 +360,7 @@
     ) -> Result<Response<Incoming>, AttemptError> {
         let address = attempt.endpoint.address;
         let mut conn = self.pool.get(address).await.map_err(AttemptError::NotSent)?;
-        // A new connection takes up to a second, in which other answers come.
+        // Responses that arrived while connecting may have carried new signals of the endpoint.
         if !self.shared.lock().cell.may_send(clock::now(), attempt.endpoint.key()) {
             self.pool.put(conn);
             return Err(AttemptError::NotAccepting);
@@ -401,19 +401,19 @@
     }
 }
 
-/// What an exchange has brought so far.
+/// A buffered response, or the head and first frame of a streamed one.
 enum ResponseStart {
     Complete(Response<Bytes>),
     Streaming(response::Parts, Option<hyper::body::Frame<Bytes>>, Incoming),
 }
 
-/// Path and query, as endpoints expect them.
+/// Returns the path and query of `uri` without scheme and authority.
 fn path_only(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
 }
 
-/// Logs an answer that is complete.
+/// Logs a completed response and updates the metrics.
 pub(crate) fn log_response(
     request: &AdmittedRequest,
     attempt: &Attempt,
