--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -1,4 +1,4 @@
-//! What requests and endpoints do that the quarantine is decided from, and its gate before each send.
+//! Quarantine checks before each send, and reports of successes and crashes to the quarantine.
 
 use std::time::Duration;
 
@@ -14,13 +14,15 @@
 use crate::observe;
 use crate::shared::Shared;
 
-/// Time for which an answer is waited for. A new connection takes some 4 ms across zones; whoever was
-/// served there is sent elsewhere after it.
+/// Timeout for connecting to an endpoint that may have crashed. It delays the retry of the
+/// interrupted request.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl<W> Relay<W> {
-    /// Lets a request pass to an endpoint, or not; `true` if that is the trial of its quarantine. Its time may have
-    /// run out in a suspension, which no timer has told.
+    /// Checks whether a request may be sent to an endpoint. Returns `true` if the send is the trial
+    /// of its quarantine.
+    ///
+    /// The deadline is checked here because timers do not advance while the machine is suspended.
     pub(super) fn check_send_permission(
         &self,
         request: &AdmittedRequest,
@@ -42,15 +44,16 @@
         Ok(permission == Gate::Trial)
     }
 
-    /// Notes that a request had a whole answer: it does not end endpoints.
+    /// Records that a request was answered completely and thus did not crash the endpoint.
     pub(super) fn record_success(&self, request: &AdmittedRequest) {
         self.shared.request_answered(request.fingerprint);
     }
 
-    /// Finds out whether an endpoint at which a run broke off has ended, or only a connection to it: an endpoint that
-    /// has ended refuses a new one. One that is accepted is kept for the next request.
+    /// Determines whether an interrupted attempt was caused by a crash of the endpoint or by a
+    /// connection failure. A crashed endpoint refuses new connections; an accepted connection is
+    /// returned to the pool.
     ///
-    /// It goes on if the caller leaves meanwhile.
+    /// The check continues if the client disconnects.
     pub(super) async fn check_for_crash(
         &self,
         request: &AdmittedRequest,
