--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -1,4 +1,4 @@
-//! The answer of a stream, passed on as it comes and continued elsewhere where that is allowed.
+//! Forwarding of streamed responses, and resumption of interrupted ones at another endpoint.
 
 use std::sync::Arc;
 
@@ -17,13 +17,13 @@
 use super::{time_until, AttemptHistory, Relay, MAX_UNEXECUTED_ATTEMPTS};
 use crate::seam::Wire;
 
-/// The stream cannot be brought to its end; the caller's connection is broken off, so that it does
-/// not look complete.
+/// The stream was interrupted and cannot be resumed. The client's connection is aborted so that the
+/// response does not appear complete.
 #[derive(Debug, Error)]
-#[error("the stream broke off")]
+#[error("stream interrupted")]
 pub(crate) struct StreamInterrupted;
 
-/// A stream that has begun at an endpoint.
+/// A streamed response being received from an endpoint.
 pub(crate) struct EndpointStream {
     attempt: Attempt,
     first_frame: Option<Frame<Bytes>>,
@@ -40,7 +40,7 @@
     }
 }
 
-/// What came next from the endpoint.
+/// The next item received from the endpoint.
 enum StreamItem {
     Data(Bytes),
     End,
@@ -58,7 +58,7 @@
     bytes_sent: usize,
 }
 
-/// The frames for the caller.
+/// Returns the frames of the response to the client.
 pub(crate) fn frames<W: Wire>(
     relay: Relay<W>,
     request: Arc<AdmittedRequest>,
@@ -104,7 +104,7 @@
                     false => return Some(Err(StreamInterrupted)),
                 },
                 StreamItem::DeadlineExceeded => {
-                    self.abandon_attempt("the request's time is over", Outcome::Neutral);
+                    self.abandon_attempt("request deadline exceeded", Outcome::Neutral);
                     return Some(Err(StreamInterrupted));
                 }
             }
@@ -135,7 +135,7 @@
         stream.attempt.finish(outcome);
     }
 
-    /// Continues a broken stream at another endpoint, if that is allowed.
+    /// Resumes an interrupted stream at another endpoint if the route and the retry budget allow it.
     async fn resume(&mut self, reason: String) -> bool {
         let endpoint = self.stream.as_ref().map(|s| s.attempt.endpoint.clone());
         self.abandon_attempt(&reason, Outcome::Bad);
