--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -113,7 +113,7 @@
             let slot = match self
                 .get_slot(request, &history)
                 .await
-                .and_then(|p| self.check_shutdown(request, p))
+                .and_then(|slot| self.check_shutdown(request, slot))
             {
                 Ok(slot) => slot,
                 Err(refusal) => return history.final_result(refusal),
@@ -125,7 +125,7 @@
                 {
                     history.endpoint_error = Some(response);
                 }
-                Ok(sent) => return Ok(sent),
+                Ok(response) => return Ok(response),
                 Err(AttemptError::Quarantined(remaining)) => {
                     let fingerprint = request.fingerprint;
                     let refusal = Refusal::Quarantined { fingerprint, retry_after: remaining };
