--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -5,11 +5,11 @@
 //! running count, so cancellation needs no separate signal.
 
 mod admit;
-mod attempt;
 mod events;
 mod quarantine;
 mod refusal;
 mod request;
+mod run;
 mod stream;
 
 use std::sync::Arc;
@@ -29,9 +29,9 @@
 use crate::observe;
 use crate::seam::Wire;
 use crate::shared::Shared;
-use attempt::{AttemptError, AttemptResponse};
 use refusal::Refusal;
 use request::AdmittedRequest;
+use run::{AttemptError, AttemptResponse};
 
 /// Maximum number of attempts at one request that end without executing it. Retries of those that
 /// reached an endpoint use up the retry budget, which is shared with other requests.
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -11,9 +11,9 @@
 use oxbowbend_core::ids::EndpointId;
 use thiserror::Error;
 
-use super::attempt::{log_response, Attempt, AttemptError, AttemptResponse};
 use super::events::EventSplitter;
 use super::request::AdmittedRequest;
+use super::run::{log_response, Attempt, AttemptError, AttemptResponse};
 use super::{time_until, AttemptHistory, Relay, MAX_UNEXECUTED_ATTEMPTS};
 use crate::seam::Wire;
 
