--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -1,4 +1,5 @@
-//! Admission: the route, the client account, the body, the quota, in that order.
+//! Admission: reading the body, matching a route, authenticating the client account, and checking
+//! the quarantine and the quota.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,126 +14,136 @@
 use oxbowbend_core::routes::{Account, Route, Table};
 use rand::Rng;
 
-use super::job::Job;
 use super::refusal::Refusal;
+use super::request::AdmittedRequest;
 use super::Relay;
 use crate::seam::{Ask, Wire};
 
-/// Largest body that is read before a configuration is known.
-const MAX_UNKNOWN_BODY: usize = 4 << 20;
-/// Tiers that a rank leaves room for below an account's.
-const TIERS: u16 = 256;
+/// Maximum body size while no configuration is known.
+const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
+/// Number of route tiers within each account tier of a rank.
+const ROUTE_TIERS: u16 = 256;
 
-/// Tokens of a prompt that engines read between two tokens of the other requests; the usual size of
-/// such a chunk, and borne out by the pauses seen at slow endpoints.
-const READ_CHUNK: u32 = 1024;
+/// Prompt tokens that engines process between two decoding steps of other requests, the common
+/// chunk size of chunked prefill.
+const PREFILL_CHUNK_TOKENS: u32 = 1024;
 
-/// Time for which a request waits for an instance that has just started to know what the store holds.
-/// That takes 8 to 20 ms, in which a restarted fleet of six meets 260 callers that have been trying to
-/// connect, most of them for the last time.
-const LOADING: Duration = Duration::from_millis(120);
-/// When to come back to an instance that is being told the configuration.
-const STARTING: Duration = Duration::from_millis(200);
-/// Spread of the time to come back, so that refused callers do not return as one.
-const SPREAD: std::ops::Range<f64> = 0.8..1.2;
+/// Time that a request waits for the initial load from the store after the instance has started.
+/// Clients that reconnect after a restart of the fleet arrive before it is complete.
+const INITIAL_CONFIG_TIMEOUT: Duration = Duration::from_millis(120);
+/// `Retry-After` delay if another instance already has the configuration.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Random factor of not-ready delays, so that refused clients do not all retry at the same time.
+const RETRY_AFTER_JITTER: std::ops::Range<f64> = 0.8..1.2;
 
-type Refused = (String, Refusal);
+/// Id of the refused request, for the log, and the refusal.
+type AdmitError = (String, Refusal);
 
 impl<W: Wire> Relay<W> {
-    /// Admits a request. The body is read before anything is refused, so that a refusal does not
-    /// meet a caller that is still sending.
+    /// Admits a request. The body is read before any refusal is returned, because a client may not
+    /// read a response while it is still sending.
     pub(super) async fn admit(
         &self,
         req: Request<Incoming>,
-        arrived: Instant,
-    ) -> Result<Job, Refused> {
+        arrived_at: Instant,
+    ) -> Result<AdmittedRequest, AdmitError> {
         let (head, body) = req.into_parts();
         let table = self.shared.table();
-        let limit = table.as_ref().map_or(MAX_UNKNOWN_BODY, |t| t.limits().body);
-        let ask = self.wire.read(&head);
-        let id = ask.as_ref().map_or("-", |ask| &ask.id).to_owned();
-        let refused = |refusal| (id.clone(), refusal);
-        let body = read_body(body, limit).await.map_err(refused)?;
-        let ask = ask.map_err(|e| refused(Refusal::Unreadable(e.0)))?;
+        let max_body_bytes = table.as_ref().map_or(DEFAULT_MAX_BODY_BYTES, |t| t.limits().body);
+        let metadata = self.wire.read(&head);
+        let id = metadata.as_ref().map_or("-", |metadata| &metadata.id).to_owned();
+        let with_id = |refusal| (id.clone(), refusal);
+        let body = read_body(body, max_body_bytes).await.map_err(with_id)?;
+        let metadata = metadata.map_err(|e| with_id(Refusal::InvalidHead(e.0)))?;
         let table = match table {
             Some(table) => table,
-            None => self.await_table(arrived).await.map_err(refused)?,
+            None => self.wait_for_config(arrived_at).await.map_err(with_id)?,
         };
-        let job = self.check(&table, head, ask, body, arrived).map_err(refused)?;
-        Ok(job)
+        let request =
+            self.create_request(&table, head, metadata, body, arrived_at).map_err(with_id)?;
+        Ok(request)
     }
 
-    /// Waits a moment for what the store holds, after a start.
-    async fn await_table(&self, arrived: Instant) -> Result<Arc<Table>, Refusal> {
+    /// Waits for the configuration, unless the store is unavailable.
+    async fn wait_for_config(&self, arrived_at: Instant) -> Result<Arc<Table>, Refusal> {
         let is_store_away = self.shared.lock().world.is_store_away();
-        if !is_store_away && future::timeout(LOADING, self.shared.loaded()).await.is_ok() {
+        if !is_store_away
+            && future::timeout(INITIAL_CONFIG_TIMEOUT, self.shared.loaded()).await.is_ok()
+        {
             if let Some(table) = self.shared.table() {
                 return Ok(table);
             }
         }
-        Err(self.not_ready(arrived))
+        Err(self.not_ready_refusal(arrived_at))
     }
 
-    /// Nothing can be served yet. Where another instance knows the configuration, this one soon will.
-    fn not_ready(&self, now: Instant) -> Refusal {
+    /// Creates the refusal for a request that arrived before the configuration. The delay is short if
+    /// another instance has the configuration, since this one will receive it soon.
+    fn not_ready_refusal(&self, now: Instant) -> Refusal {
         let state = self.shared.lock();
-        let come_back = match state.cell.live_reports(now).any(|r| r.config_version > 0) {
-            true => STARTING,
+        let retry_after = match state.cell.live_reports(now).any(|r| r.config_version > 0) {
+            true => NOT_READY_RETRY_AFTER,
             false => state.world.come_back(now),
         };
         drop(state);
-        Refusal::NotReady { retry_after: come_back.mul_f64(rand::rng().random_range(SPREAD)) }
+        Refusal::NotReady {
+            retry_after: retry_after.mul_f64(rand::rng().random_range(RETRY_AFTER_JITTER)),
+        }
     }
 
-    fn check(
+    fn create_request(
         &self,
         table: &Table,
         head: request::Parts,
-        ask: Ask,
+        metadata: Ask,
         body: Bytes,
-        arrived: Instant,
-    ) -> Result<Job, Refusal> {
-        let route = table.route(&ask.host, head.uri.path()).ok_or(Refusal::NoRoute)?.clone();
-        let account = account(table, &route, &ask)?;
+        arrived_at: Instant,
+    ) -> Result<AdmittedRequest, Refusal> {
+        let route = table.route(&metadata.host, head.uri.path()).ok_or(Refusal::NoRoute)?.clone();
+        let account = authenticate(table, &route, &metadata)?;
         let service = route.target(rand::random()).cloned().ok_or(Refusal::NoRoute)?;
-        let units = account.map_or(0, |a| units(a, &ask));
-        let fingerprint = identify(account, &head, &body);
+        let quota_units = account.map_or(0, |a| quota_units(a, &metadata));
+        let fingerprint = request_fingerprint(account, &head, &body);
         let mut state = self.shared.lock();
-        if let Some(left) = state.quarantine.closed_for(arrived, fingerprint) {
-            return Err(Refusal::Quarantined { fingerprint, retry_after: left });
+        if let Some(remaining) = state.quarantine.closed_for(arrived_at, fingerprint) {
+            return Err(Refusal::Quarantined { fingerprint, retry_after: remaining });
         }
         let admitted = match account {
-            Some(account) => state.admission.admit(arrived, &account.name, units, route.tier),
+            Some(account) => {
+                state.admission.admit(arrived_at, &account.name, quota_units, route.tier)
+            }
             None => Ok(()),
         };
         admitted.map_err(|exceeded| {
             let account = account.map(|a| a.name.clone()).unwrap_or_default();
-            Refusal::OverQuota { account, exceeded, units }
+            Refusal::OverQuota { account, exceeded, quota_units }
         })?;
-        state.repeats.requested(arrived, &service);
-        let age = state.ages.age(&route.name, ask.patience, route.timeout);
+        state.repeats.requested(arrived_at, &service);
+        let age = state.ages.age(&route.name, metadata.patience, route.timeout);
         drop(state);
-        let patience = ask.patience.unwrap_or(Duration::MAX).min(route.timeout);
+        let timeout = metadata.patience.unwrap_or(Duration::MAX).min(route.timeout);
         let tier = account.and_then(|a| a.tier).map_or(0, u16::from);
-        let rank = tier * TIERS + u16::from(route.tier);
+        let rank = tier * ROUTE_TIERS + u16::from(route.tier);
         log::info!(
             "event=admitted id={} fingerprint={fingerprint:016x} route={} service={service} account={} \
-             version={} units={units} prompt={} output={} patience_ms={} age_ms={} rank={rank}",
-            ask.id,
+             version={} units={quota_units} prompt={} output={} patience_ms={} age_ms={} rank={rank}",
+            metadata.id,
             route.name,
             account.map_or("-", |a| &a.name),
             table.version(),
-            ask.prompt,
-            ask.output.map_or(-1, i64::from),
-            patience.as_millis(),
+            metadata.prompt,
+            metadata.output.map_or(-1, i64::from),
+            timeout.as_millis(),
             age.as_millis()
         );
         let tokens_per_event = table.service(&service).map_or(0, |s| s.tokens_per_event);
-        let stall = PrefillStall {
-            chunk_tokens: ask.prompt.min(tokens_per_event.saturating_mul(READ_CHUNK)),
+        let prefill_stall = PrefillStall {
+            chunk_tokens: metadata
+                .prompt
+                .min(tokens_per_event.saturating_mul(PREFILL_CHUNK_TOKENS)),
             max_gap_ms: route.pause.map_or(0, |p| p.as_millis() as u32),
         };
-        Ok(Job {
+        Ok(AdmittedRequest {
             method: head.method,
             uri: head.uri,
             headers: head.headers,
@@ -140,43 +151,51 @@
             fingerprint,
             service,
             account: account.map(|a| a.name.clone()),
-            units,
+            quota_units,
             rank,
-            stall,
+            prefill_stall,
             age,
-            arrived,
-            limit: arrived + patience,
+            arrived_at,
+            deadline: arrived_at + timeout,
             route,
-            ask,
+            metadata,
         })
     }
 }
 
-fn account<'a>(table: &'a Table, route: &Route, ask: &Ask) -> Result<Option<&'a Account>, Refusal> {
-    let account = ask.key.as_ref().and_then(|key| table.account_of(key));
+fn authenticate<'a>(
+    table: &'a Table,
+    route: &Route,
+    metadata: &Ask,
+) -> Result<Option<&'a Account>, Refusal> {
+    let account = metadata.key.as_ref().and_then(|key| table.account_of(key));
     match account {
         Some(account) => Ok(Some(account)),
         None if route.public || !table.has_accounts() => Ok(None),
-        None => Err(Refusal::NoAccount),
+        None => Err(Refusal::UnknownAccount),
     }
 }
 
-fn identify(account: Option<&Account>, head: &request::Parts, body: &[u8]) -> Fingerprint {
+fn request_fingerprint(
+    account: Option<&Account>,
+    head: &request::Parts,
+    body: &[u8],
+) -> Fingerprint {
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     fingerprint(account.map(|a| &a.name), head.method.as_str(), path, body)
 }
 
-fn units(account: &Account, ask: &Ask) -> u64 {
+fn quota_units(account: &Account, metadata: &Ask) -> u64 {
     match account.by_tokens {
-        true => ask.units.unwrap_or(account.plain_units),
+        true => metadata.units.unwrap_or(account.plain_units),
         false => 1,
     }
 }
 
-async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
-    match Limited::new(body, limit).collect().await {
+async fn read_body(body: Incoming, max_body_bytes: usize) -> Result<Bytes, Refusal> {
+    match Limited::new(body, max_body_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(e) if e.is::<LengthLimitError>() => Err(Refusal::TooLarge),
-        Err(_) => Err(Refusal::CutBody),
+        Err(e) if e.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
+        Err(_) => Err(Refusal::IncompleteBody),
     }
 }
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -1,4 +1,4 @@
-//! What requests and endpoints do that the quarantine is decided from, and its gate before each send.
+//! Quarantine checks before each send, and reports of successes and crashes to the quarantine.
 
 use std::time::Duration;
 
@@ -8,58 +8,69 @@
 use oxbowbend_core::routes::Endpoint;
 use oxbowbend_http::h1;
 
-use super::job::Job;
-use super::run::Failure;
-use super::{until, Relay};
+use super::request::AdmittedRequest;
+use super::run::AttemptError;
+use super::{time_until, Relay};
 use crate::observe;
 use crate::shared::Shared;
 
-/// Time for which an answer is waited for. A new connection takes some 4 ms across zones; whoever was
-/// served there is sent elsewhere after it.
-const LIMIT: Duration = Duration::from_millis(100);
+/// Timeout for connecting to an endpoint that may have crashed. It delays the retry of the
+/// interrupted request.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl<W> Relay<W> {
-    /// Lets a request pass to an endpoint, or not; `true` if that is the trial of its quarantine. Its time may have
-    /// run out in a suspension, which no timer has told.
-    pub(super) fn pass_gate(&self, job: &Job) -> Result<bool, Failure> {
-        if until(job.limit).is_zero() {
-            return Err(Failure::Timeout);
+    /// Checks whether a request may be sent to an endpoint. Returns `true` if the send is the trial
+    /// of its quarantine.
+    ///
+    /// The deadline is checked here because timers do not advance while the machine is suspended.
+    pub(super) fn check_send_permission(
+        &self,
+        request: &AdmittedRequest,
+    ) -> Result<bool, AttemptError> {
+        if time_until(request.deadline).is_zero() {
+            return Err(AttemptError::DeadlineExceeded);
         }
-        let gate = self.shared.gate(job.fingerprint);
-        if let Gate::Closed(left) = gate {
+        let permission = self.shared.gate(request.fingerprint);
+        if let Gate::Closed(remaining) = permission {
             observe::send_held();
             log::info!(
                 "event=send_held id={} fingerprint={:016x} left_ms={}",
-                job.ask.id,
-                job.fingerprint,
-                left.as_millis()
+                request.metadata.id,
+                request.fingerprint,
+                remaining.as_millis()
             );
-            return Err(Failure::Quarantined(left));
+            return Err(AttemptError::Quarantined(remaining));
         }
-        Ok(gate == Gate::Trial)
+        Ok(permission == Gate::Trial)
     }
 
-    /// Notes that a request had a whole answer: it does not end endpoints.
-    pub(super) fn note_answer(&self, job: &Job) {
-        self.shared.request_answered(job.fingerprint);
+    /// Records that a request was answered completely and thus did not crash the endpoint.
+    pub(super) fn record_success(&self, request: &AdmittedRequest) {
+        self.shared.request_answered(request.fingerprint);
     }
 
-    /// Finds out whether an endpoint at which a run broke off has ended, or only a connection to it: an endpoint that
-    /// has ended refuses a new one. One that is accepted is kept for the next request.
+    /// Determines whether an interrupted attempt was caused by a crash of the endpoint or by a
+    /// connection failure. A crashed endpoint refuses new connections; an accepted connection is
+    /// returned to the pool.
     ///
-    /// It goes on if the caller leaves meanwhile.
-    pub(super) async fn check_end(&self, job: &Job, endpoint: &Endpoint, is_quiet: bool) {
-        let run = Run { fingerprint: job.fingerprint, is_quiet };
+    /// The check continues if the client disconnects.
+    pub(super) async fn check_for_crash(
+        &self,
+        request: &AdmittedRequest,
+        endpoint: &Endpoint,
+        is_quiet: bool,
+    ) {
+        let run = Run { fingerprint: request.fingerprint, is_quiet };
         if self.shared.run_broke_off(endpoint, run) {
             let (shared, pool) = (self.shared.clone(), self.pool.clone());
-            task::spawn(check(shared, pool, endpoint.clone())).await;
+            task::spawn(probe_endpoint(shared, pool, endpoint.clone())).await;
         }
     }
 }
 
-async fn check(shared: Shared, pool: h1::Pool, endpoint: Endpoint) {
-    let began = clock::now();
-    let verdict = match future::timeout(LIMIT, pool.connect(endpoint.address)).await {
+async fn probe_endpoint(shared: Shared, pool: h1::Pool, endpoint: Endpoint) {
+    let started_at = clock::now();
+    let verdict = match future::timeout(PROBE_TIMEOUT, pool.connect(endpoint.address)).await {
         Ok(Ok(conn)) => {
             pool.put(conn);
             "accepted"
@@ -76,6 +87,6 @@
         "event=endpoint_checked endpoint={} start={:08x} verdict={verdict} took_ms={}",
         endpoint.id,
         endpoint.key(),
-        clock::since(began).as_millis()
+        clock::since(started_at).as_millis()
     );
 }
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -1,4 +1,4 @@
-//! The answer of a stream, passed on as it comes and continued elsewhere where that is allowed.
+//! Forwarding of streamed responses, and resumption of interrupted ones at another endpoint.
 
 use std::sync::Arc;
 
@@ -11,175 +11,185 @@
 use oxbowbend_core::ids::EndpointId;
 use thiserror::Error;
 
-use super::events::Events;
-use super::job::Job;
-use super::run::{log_answered, Failure, Run, Sent};
-use super::{until, Relay, Tries, MAX_UNRUN};
+use super::events::EventSplitter;
+use super::request::AdmittedRequest;
+use super::run::{log_response, Attempt, AttemptError, AttemptResponse};
+use super::{time_until, AttemptHistory, Relay, MAX_UNEXECUTED_ATTEMPTS};
 use crate::seam::Wire;
 
-/// The stream cannot be brought to its end; the caller's connection is broken off, so that it does
-/// not look complete.
+/// The stream was interrupted and cannot be resumed. The client's connection is aborted so that the
+/// response does not appear complete.
 #[derive(Debug, Error)]
-#[error("the stream broke off")]
-pub(crate) struct BrokenOff;
+#[error("stream interrupted")]
+pub(crate) struct StreamInterrupted;
 
-/// A stream that has begun at an endpoint.
-pub(crate) struct Streaming {
-    run: Run,
-    first: Option<Frame<Bytes>>,
+/// A streamed response being received from an endpoint.
+pub(crate) struct EndpointStream {
+    attempt: Attempt,
+    first_frame: Option<Frame<Bytes>>,
     body: Incoming,
 }
 
-impl Streaming {
-    pub(crate) fn new(run: Run, first: Option<Frame<Bytes>>, body: Incoming) -> Streaming {
-        Streaming { run, first, body }
+impl EndpointStream {
+    pub(crate) fn new(
+        attempt: Attempt,
+        first_frame: Option<Frame<Bytes>>,
+        body: Incoming,
+    ) -> EndpointStream {
+        EndpointStream { attempt, first_frame, body }
     }
 }
 
-/// What came next from the endpoint.
-enum Next {
+/// The next item received from the endpoint.
+enum StreamItem {
     Data(Bytes),
     End,
-    Broken(String),
-    Timeout,
+    Interrupted(String),
+    DeadlineExceeded,
 }
 
-struct State<W> {
+struct StreamRelay<W> {
     relay: Relay<W>,
-    job: Arc<Job>,
-    streaming: Option<Box<Streaming>>,
-    events: Events,
-    avoid: Vec<EndpointId>,
-    sends: u32,
-    bytes: usize,
+    request: Arc<AdmittedRequest>,
+    stream: Option<Box<EndpointStream>>,
+    events: EventSplitter,
+    excluded_endpoints: Vec<EndpointId>,
+    send_count: u32,
+    bytes_sent: usize,
 }
 
-/// The frames for the caller.
+/// Returns the frames of the response to the client.
 pub(crate) fn frames<W: Wire>(
     relay: Relay<W>,
-    job: Arc<Job>,
-    streaming: Box<Streaming>,
-) -> impl Stream<Item = Result<Frame<Bytes>, BrokenOff>> {
-    let state = State {
+    request: Arc<AdmittedRequest>,
+    stream: Box<EndpointStream>,
+) -> impl Stream<Item = Result<Frame<Bytes>, StreamInterrupted>> {
+    let state = StreamRelay {
         relay,
-        events: Events::after(job.ask.after),
-        job,
-        streaming: Some(streaming),
-        avoid: Vec::new(),
-        sends: 1,
-        bytes: 0,
+        events: EventSplitter::resume_after(request.metadata.after),
+        request,
+        stream: Some(stream),
+        excluded_endpoints: Vec::new(),
+        send_count: 1,
+        bytes_sent: 0,
     };
     futures::stream::unfold(state, |mut state| async move {
         let item = state.next().await?;
         if item.is_err() {
-            state.streaming = None;
+            state.stream = None;
         }
         Some((item.map(Frame::data), state))
     })
 }
 
-impl<W: Wire> State<W> {
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+impl<W: Wire> StreamRelay<W> {
+    async fn next(&mut self) -> Option<Result<Bytes, StreamInterrupted>> {
         loop {
-            let streaming = self.streaming.as_mut()?;
-            match receive(streaming, &self.job).await {
-                Next::Data(data) => {
-                    let data = match self.job.route.resumable {
+            let stream = self.stream.as_mut()?;
+            match receive_item(stream, &self.request).await {
+                StreamItem::Data(data) => {
+                    let data = match self.request.route.resumable {
                         true => self.events.push(&data),
                         false => data,
                     };
                     if data.is_empty() {
                         continue;
                     }
-                    self.bytes += data.len();
+                    self.bytes_sent += data.len();
                     return Some(Ok(data));
                 }
-                Next::End => return self.end(),
-                Next::Broken(why) => match self.go_on(why).await {
+                StreamItem::End => return self.finish(),
+                StreamItem::Interrupted(reason) => match self.resume(reason).await {
                     true => continue,
-                    false => return Some(Err(BrokenOff)),
+                    false => return Some(Err(StreamInterrupted)),
                 },
-                Next::Timeout => {
-                    self.give_up("the request's time is over", Outcome::Neutral);
-                    return Some(Err(BrokenOff));
+                StreamItem::DeadlineExceeded => {
+                    self.abandon_attempt("request deadline exceeded", Outcome::Neutral);
+                    return Some(Err(StreamInterrupted));
                 }
             }
         }
     }
 
-    fn end(&mut self) -> Option<Result<Bytes, BrokenOff>> {
-        let streaming = self.streaming.take()?;
-        let rest = self.events.finish();
-        log_answered(&self.job, &streaming.run, 200, self.bytes);
-        self.relay.note_answer(&self.job);
-        streaming.run.end_clean(&self.relay.pool, Outcome::Good);
-        (!rest.is_empty()).then_some(Ok(rest))
+    fn finish(&mut self) -> Option<Result<Bytes, StreamInterrupted>> {
+        let stream = self.stream.take()?;
+        let partial = self.events.take_partial();
+        log_response(&self.request, &stream.attempt, 200, self.bytes_sent);
+        self.relay.record_success(&self.request);
+        stream.attempt.complete(&self.relay.pool, Outcome::Good);
+        (!partial.is_empty()).then_some(Ok(partial))
     }
 
-    fn give_up(&mut self, why: &str, outcome: Outcome) {
-        let Some(mut streaming) = self.streaming.take() else { return };
+    fn abandon_attempt(&mut self, reason: &str, outcome: Outcome) {
+        let Some(mut stream) = self.stream.take() else { return };
         log::warn!(
             "event=stream_broken id={} fingerprint={:016x} endpoint={} last_event={:?} bytes={} blame={outcome:?} \
-             why=\"{why}\"",
-            self.job.ask.id,
-            self.job.fingerprint,
-            streaming.run.endpoint.id,
-            self.events.last(),
-            self.bytes
+             why=\"{reason}\"",
+            self.request.metadata.id,
+            self.request.fingerprint,
+            stream.attempt.endpoint.id,
+            self.events.last_id(),
+            self.bytes_sent
         );
-        self.avoid.push(streaming.run.endpoint.id.clone());
-        streaming.run.end(outcome);
+        self.excluded_endpoints.push(stream.attempt.endpoint.id.clone());
+        stream.attempt.finish(outcome);
     }
 
-    /// Continues a broken stream at another endpoint, if that is allowed.
-    async fn go_on(&mut self, why: String) -> bool {
-        let endpoint = self.streaming.as_ref().map(|s| s.run.endpoint.clone());
-        self.give_up(&why, Outcome::Bad);
+    /// Resumes an interrupted stream at another endpoint if the route and the retry budget allow it.
+    async fn resume(&mut self, reason: String) -> bool {
+        let endpoint = self.stream.as_ref().map(|s| s.attempt.endpoint.clone());
+        self.abandon_attempt(&reason, Outcome::Bad);
         if let Some(endpoint) = endpoint {
-            self.relay.check_end(&self.job, &endpoint, false).await;
+            self.relay.check_for_crash(&self.request, &endpoint, false).await;
         }
-        self.events.drop_rest();
-        let mut unrun = 0;
-        while self.job.route.resumable && self.sends < self.job.route.sends && unrun < MAX_UNRUN {
-            if !self.relay.may_repeat(&self.job, "stream_broken") {
+        self.events.discard_partial();
+        let mut unexecuted = 0;
+        while self.request.route.resumable
+            && self.send_count < self.request.route.sends
+            && unexecuted < MAX_UNEXECUTED_ATTEMPTS
+        {
+            if !self.relay.acquire_retry(&self.request, "stream_broken") {
                 return false;
             }
-            let tries = Tries { avoid: self.avoid.clone(), ..Tries::default() };
-            let Ok(place) = self.relay.place(&self.job, &tries).await else { return false };
-            let endpoint = place.endpoint.id.clone();
-            match self.relay.send(&self.job, place, self.events.last()).await {
-                Ok(Sent::Stream(_, streaming)) => {
-                    self.sends += 1;
+            let history = AttemptHistory {
+                excluded_endpoints: self.excluded_endpoints.clone(),
+                ..AttemptHistory::default()
+            };
+            let Ok(slot) = self.relay.get_slot(&self.request, &history).await else { return false };
+            let endpoint = slot.endpoint.id.clone();
+            match self.relay.send_to_endpoint(&self.request, slot, self.events.last_id()).await {
+                Ok(AttemptResponse::Streaming(_, stream)) => {
+                    self.send_count += 1;
                     log::info!(
                         "event=stream_resumed id={} endpoint={endpoint} after={:?}",
-                        self.job.ask.id,
-                        self.events.last()
+                        self.request.metadata.id,
+                        self.events.last_id()
                     );
-                    self.streaming = Some(streaming);
+                    self.stream = Some(stream);
                     return true;
                 }
-                Ok(Sent::Whole(_)) => self.sends += 1,
-                Err(Failure::Quarantined(_)) => return false,
-                Err(failure) if failure.is_not_run() => unrun += 1,
-                Err(_) => self.sends += 1,
+                Ok(AttemptResponse::Complete(_)) => self.send_count += 1,
+                Err(AttemptError::Quarantined(_)) => return false,
+                Err(error) if error.is_unexecuted() => unexecuted += 1,
+                Err(_) => self.send_count += 1,
             }
-            self.avoid.push(endpoint);
+            self.excluded_endpoints.push(endpoint);
         }
         false
     }
 }
 
-async fn receive(streaming: &mut Streaming, job: &Job) -> Next {
-    if let Some(frame) = streaming.first.take() {
-        return Next::Data(frame.into_data().unwrap_or_default());
+async fn receive_item(stream: &mut EndpointStream, request: &AdmittedRequest) -> StreamItem {
+    if let Some(frame) = stream.first_frame.take() {
+        return StreamItem::Data(frame.into_data().unwrap_or_default());
     }
-    match future::timeout(until(job.limit), streaming.body.frame()).await {
-        Err(_) => Next::Timeout,
-        Ok(None) => Next::End,
+    match future::timeout(time_until(request.deadline), stream.body.frame()).await {
+        Err(_) => StreamItem::DeadlineExceeded,
+        Ok(None) => StreamItem::End,
         Ok(Some(Ok(frame))) => {
-            streaming.run.note_event();
-            Next::Data(frame.into_data().unwrap_or_default())
+            stream.attempt.record_event();
+            StreamItem::Data(frame.into_data().unwrap_or_default())
         }
-        Ok(Some(Err(e))) => Next::Broken(e.to_string()),
+        Ok(Some(Err(e))) => StreamItem::Interrupted(e.to_string()),
     }
 }
