--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -13,13 +13,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::choose;
 use crate::entry;
 use crate::ids;
 use crate::membership;
 use crate::message;
 use crate::permits;
 use crate::scheduler::{self, Directory};
+use crate::selection;
 use crate::topology;
 
 /// Longest time between two [`Event::Tick`]s of a healthy instance.
@@ -206,7 +206,7 @@
     view: View,
     permits: permits::Permits,
     entry: entry::Entry,
-    pools: BTreeMap<ids::PoolId, scheduler::Scheduler<choose::Predicted>>,
+    pools: BTreeMap<ids::PoolId, scheduler::Scheduler<selection::Predicted>>,
     peers: BTreeMap<ids::InstanceId, Peer>,
     local: VecDeque<message::Message>,
     actions: Vec<Action>,
@@ -402,7 +402,7 @@
     fn schedule(
         &mut self,
         pool: &ids::PoolId,
-        with: impl FnOnce(&mut scheduler::Scheduler<choose::Predicted>),
+        with: impl FnOnce(&mut scheduler::Scheduler<selection::Predicted>),
     ) {
         if !self.view.topology.pools.contains_key(pool) {
             return;
@@ -410,7 +410,7 @@
         if !self.pools.contains_key(pool) {
             let config = self.pool_config(pool);
             let me = self.me.clone();
-            let new = scheduler::Scheduler::new(me, pool.clone(), &config, choose::Predicted);
+            let new = scheduler::Scheduler::new(me, pool.clone(), &config, selection::Predicted);
             self.pools.insert(pool.clone(), new);
         }
         if let Some(scheduler) = self.pools.get_mut(pool) {
@@ -484,7 +484,7 @@
     }
 
     /// The scheduler that this instance runs for a pool, if it was chosen for it.
-    pub fn scheduler(&self, pool: &str) -> Option<&scheduler::Scheduler<choose::Predicted>> {
+    pub fn scheduler(&self, pool: &str) -> Option<&scheduler::Scheduler<selection::Predicted>> {
         self.pools.get(pool)
     }
 
--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -4,11 +4,11 @@
 
 use super::site;
 use super::{Directory, Scheduler, State, ASK_AGAIN};
-use crate::choose::{self, Choose};
 use crate::ids;
 use crate::message;
 use crate::node;
 use crate::queue;
+use crate::selection::{self, Choose};
 
 /// Requests of an account among which the one is chosen whose prompt a free endpoint has cached.
 const LOOK_AHEAD: usize = 32;
@@ -178,9 +178,9 @@
 
     fn choose_site(&mut self, now: Instant, id: &ids::RequestId) -> Option<usize> {
         let record = &self.requests.get(id)?.record;
-        let candidates: Vec<choose::Candidate> = self
+        let candidates: Vec<selection::Candidate> = self
             .open_sites(now)
-            .map(|(index, s)| choose::Candidate {
+            .map(|(index, s)| selection::Candidate {
                 index,
                 seconds: s.cost(record, self.prefill_bias),
                 outstanding: s.running,
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -13,11 +13,11 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use crate::choose::Choose;
 use crate::entry;
 use crate::ids;
 use crate::message;
 use crate::queue;
+use crate::selection::Choose;
 use crate::topology;
 use account::AccountUse;
 use site::{Offered, Site};
@@ -72,7 +72,7 @@
 /// The scheduler of one pool.
 ///
 /// ```
-/// use oxbowbend_core::choose::Predicted;
+/// use oxbowbend_core::selection::Predicted;
 /// use oxbowbend_core::scheduler::Scheduler;
 /// use oxbowbend_core::topology::Pool;
 /// let scheduler = Scheduler::new("a".into(), "p/m".into(), &Pool::default(), Predicted);
--- a/oxbowbend-core/src/scheduler/shed.rs
+++ b/oxbowbend-core/src/scheduler/shed.rs
@@ -3,10 +3,10 @@
 use std::time::{Duration, Instant};
 
 use super::{Directory, Floor, Mirror, Scheduler, FLOOR_TRUST};
-use crate::choose::Choose;
 use crate::ids;
 use crate::message;
 use crate::node;
+use crate::selection::Choose;
 
 /// Time between two sendings of a shed floor that is in force.
 const FLOOR_RENEW: Duration = Duration::from_millis(500);
--- a/oxbowbend-core/src/choose.rs
+++ b/oxbowbend-core/src/selection.rs
@@ -31,7 +31,7 @@
 /// Earliest predicted finish, stragglers last.
 ///
 /// ```
-/// use oxbowbend_core::choose::{Candidate, Choose, Predicted};
+/// use oxbowbend_core::selection::{Candidate, Choose, Predicted};
 /// let c = |index, seconds, avoid| Candidate { index, seconds, outstanding: 0, reported: 0, avoid };
 /// let candidates = [c(0, 3.0, false), c(1, 1.0, true), c(2, 2.0, false)];
 /// assert_eq!(Predicted.choose(&candidates), Some(2));
--- a/oxbowbend-standin/examples/capacity.rs
+++ b/oxbowbend-standin/examples/capacity.rs
@@ -6,13 +6,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::choose;
 use oxbowbend_core::ids;
 use oxbowbend_core::ledger;
 use oxbowbend_core::membership;
 use oxbowbend_core::message;
 use oxbowbend_core::node;
 use oxbowbend_core::scheduler;
+use oxbowbend_core::selection;
 use oxbowbend_core::topology;
 use oxbowbend_resource::derive;
 use oxbowbend_resource::kinds;
@@ -91,10 +91,11 @@
     let now = Instant::now();
     let entry: ids::InstanceId = ENTRY.into();
     let config = pool(endpoints);
-    let mut s = scheduler::Scheduler::new(entry.clone(), POOL.into(), &config, choose::Predicted);
+    let mut s =
+        scheduler::Scheduler::new(entry.clone(), POOL.into(), &config, selection::Predicted);
     (0..queue).for_each(|n| s.enqueue(now, &entry, record(n, 16)));
     let offer =
-        |s: &mut scheduler::Scheduler<choose::Predicted>, n: usize, free: u32, seen: u64| {
+        |s: &mut scheduler::Scheduler<selection::Predicted>, n: usize, free: u32, seen: u64| {
             let endpoint = format!("engine-{}", n % endpoints);
             let endpoint = endpoint.as_str().into();
             s.offer(
@@ -136,7 +137,8 @@
     let now = Instant::now();
     let entry: ids::InstanceId = ENTRY.into();
     let before = resident();
-    let mut s = scheduler::Scheduler::new(entry.clone(), POOL.into(), &pool(10), choose::Predicted);
+    let mut s =
+        scheduler::Scheduler::new(entry.clone(), POOL.into(), &pool(10), selection::Predicted);
     (0..queue).for_each(|n| s.enqueue(now, &entry, record(n, 16)));
     let used = resident() - before;
     black_box(&s);
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::choose::{self, Choose};
 use oxbowbend_core::ids;
 use oxbowbend_core::message;
 use oxbowbend_core::node;
 use oxbowbend_core::scheduler::{self, Directory};
+use oxbowbend_core::selection::{self, Choose};
 use oxbowbend_core::topology;
 
 use super::deployment;
@@ -72,8 +72,8 @@
 impl<C: Choose> Policy for Straight<C> {
     fn arrive(&mut self, _: Instant, request: usize, _: message::Record) -> Vec<Verdict> {
         let living = (0..self.alive.len()).filter(|e| self.alive[*e]);
-        let candidates: Vec<choose::Candidate> = living
-            .map(|index| choose::Candidate {
+        let candidates: Vec<selection::Candidate> = living
+            .map(|index| selection::Candidate {
                 index,
                 seconds: 0.0,
                 outstanding: self.outstanding[index],
@@ -343,17 +343,17 @@
     let config = pool(engines, deployment);
     let n = engines.len();
     Some(match name {
-        "oxbowbend" => Box::new(Scheduled::new(config, || choose::Predicted)),
-        "order+random" => Box::new(Scheduled::new(config, move || choose::Random::new(seed))),
-        "order+round-robin" => Box::new(Scheduled::new(config, choose::RoundRobin::default)),
-        "order+least" => Box::new(Scheduled::new(config, || choose::LeastOutstanding)),
+        "oxbowbend" => Box::new(Scheduled::new(config, || selection::Predicted)),
+        "order+random" => Box::new(Scheduled::new(config, move || selection::Random::new(seed))),
+        "order+round-robin" => Box::new(Scheduled::new(config, selection::RoundRobin::default)),
+        "order+least" => Box::new(Scheduled::new(config, || selection::LeastOutstanding)),
         "order+two-choices" => {
-            Box::new(Scheduled::new(config, move || choose::TwoChoices::new(seed)))
+            Box::new(Scheduled::new(config, move || selection::TwoChoices::new(seed)))
         }
-        "fcfs random" => Box::new(Straight::new(choose::Random::new(seed), n)),
-        "fcfs round-robin" => Box::new(Straight::new(choose::RoundRobin::default(), n)),
-        "fcfs least" => Box::new(Straight::new(choose::LeastOutstanding, n)),
-        "fcfs two-choices" => Box::new(Straight::new(choose::TwoChoices::new(seed), n)),
+        "fcfs random" => Box::new(Straight::new(selection::Random::new(seed), n)),
+        "fcfs round-robin" => Box::new(Straight::new(selection::RoundRobin::default(), n)),
+        "fcfs least" => Box::new(Straight::new(selection::LeastOutstanding, n)),
+        "fcfs two-choices" => Box::new(Straight::new(selection::TwoChoices::new(seed), n)),
         _ => return None,
     })
 }
