--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::quota::{Note, QuotaBounds, Quotas};
-use oxbowbend_core::repeats::{Allowance, Repeats};
+use oxbowbend_core::retries::{Allowance, Repeats};
 use oxbowbend_core::routes::Quota;
 
 const S: Duration = Duration::from_secs(1);
--- a/oxbowbend-gateway/src/gateway.rs
+++ b/oxbowbend-gateway/src/gateway.rs
@@ -14,7 +14,7 @@
 use oxbowbend_core::cell::Cell;
 use oxbowbend_core::ids::{InstanceId, ZoneId};
 use oxbowbend_core::quota::QuotaBounds;
-use oxbowbend_core::repeats::{Allowance, Repeats};
+use oxbowbend_core::retries::{Allowance, Repeats};
 use oxbowbend_core::rollout::{RolloutBounds, Rollouts};
 use oxbowbend_http::h1;
 use thiserror::Error;
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -16,7 +16,7 @@
 use oxbowbend_core::ids::{AccountId, EndpointKey, InstanceId, ZoneId};
 use oxbowbend_core::quarantine::Quarantine;
 use oxbowbend_core::quota::Note;
-use oxbowbend_core::repeats::Repeats;
+use oxbowbend_core::retries::Repeats;
 use oxbowbend_core::rollout::Rollouts;
 use oxbowbend_core::routes::{Endpoint, Table};
 use oxbowbend_core::shutdown::Shutdown;
