--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use crate::ids::AccountId;
-use crate::quota::{QuotaBounds, Quotas};
+use crate::quota::{QuotaPolicy, Quotas};
 use crate::routes::Quota;
 use crate::token_bucket::TokenBuckets;
 
@@ -58,7 +58,7 @@
 
 impl Admission {
     /// No accounts yet.
-    pub fn new(bounds: QuotaBounds) -> Admission {
+    pub fn new(bounds: QuotaPolicy) -> Admission {
         Admission { quotas: Quotas::new(bounds), buckets: TokenBuckets::new(bounds) }
     }
 
--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -68,7 +68,7 @@
 
 /// Bounds of all quotas.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QuotaBounds {
+pub struct QuotaPolicy {
     /// Length of the window.
     pub window: Duration,
     /// Share by which the limit may be passed.
@@ -105,14 +105,14 @@
 /// The quotas of all accounts as one instance sees them.
 #[derive(Debug)]
 pub struct Quotas {
-    bounds: QuotaBounds,
+    bounds: QuotaPolicy,
     usages: HashMap<AccountId, Usage>,
     share: f64,
 }
 
 impl Quotas {
     /// No quotas yet.
-    pub fn new(bounds: QuotaBounds) -> Quotas {
+    pub fn new(bounds: QuotaPolicy) -> Quotas {
         Quotas { bounds, usages: HashMap::new(), share: 1.0 }
     }
 
@@ -286,12 +286,12 @@
 }
 
 impl Usage {
-    fn limit(&self, bounds: &QuotaBounds) -> f64 {
+    fn limit(&self, bounds: &QuotaPolicy) -> f64 {
         self.quota.per_s * bounds.window.as_secs_f64() + self.quota.burst
     }
 
     /// The part of the limit that an instance may use that hears this share of the fleet.
-    fn usable(&self, bounds: &QuotaBounds, share: f64) -> f64 {
+    fn usable(&self, bounds: &QuotaPolicy, share: f64) -> f64 {
         let limit = self.limit(bounds);
         let tolerated = (limit * bounds.overage + bounds.slack) * TOLERANCE_SHARE;
         share * (limit + tolerated - self.noted.sum)
--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -18,7 +18,7 @@
 
 use crate::admission::AccountUsage;
 use crate::ids::AccountId;
-use crate::quota::{QuotaBounds, TOLERANCE_SHARE};
+use crate::quota::{QuotaPolicy, TOLERANCE_SHARE};
 use crate::routes::Quota;
 
 /// Requests like itself for which one leaves room, for each rank below the highest. An account at six
@@ -41,14 +41,14 @@
 /// The buckets of all accounts as one instance sees them.
 #[derive(Debug)]
 pub struct TokenBuckets {
-    bounds: QuotaBounds,
+    bounds: QuotaPolicy,
     buckets: HashMap<AccountId, Bucket>,
     share: f64,
 }
 
 impl TokenBuckets {
     /// No buckets yet.
-    pub fn new(bounds: QuotaBounds) -> TokenBuckets {
+    pub fn new(bounds: QuotaPolicy) -> TokenBuckets {
         TokenBuckets { bounds, buckets: HashMap::new(), share: 1.0 }
     }
 
@@ -120,7 +120,7 @@
 
 impl Bucket {
     /// How the bucket fills where this share of the fleet is heard.
-    fn flow(&self, bounds: &QuotaBounds, share: f64) -> Flow {
+    fn flow(&self, bounds: &QuotaPolicy, share: f64) -> Flow {
         let tolerated = 1.0 + bounds.overage * TOLERANCE_SHARE;
         let slack = bounds.slack * TOLERANCE_SHARE;
         Flow {
--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -3,12 +3,12 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::admission::{Admission, Bound};
-use oxbowbend_core::quota::QuotaBounds;
+use oxbowbend_core::quota::QuotaPolicy;
 use oxbowbend_core::routes::Quota;
 
 const MS: Duration = Duration::from_millis(1);
-const BOUNDS: QuotaBounds =
-    QuotaBounds { window: Duration::from_secs(8), overage: 0.1, slack: 140_000.0 };
+const BOUNDS: QuotaPolicy =
+    QuotaPolicy { window: Duration::from_secs(8), overage: 0.1, slack: 140_000.0 };
 const QUOTA: Quota = Quota { per_s: 250_000.0, burst: 250_000.0 };
 
 /// Requests of an account: rank, units, time between two.
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -6,11 +6,11 @@
 
 use oxbowbend_core::cell::{Cell, Extent, FleetView, Report};
 use oxbowbend_core::ids::AccountId;
-use oxbowbend_core::quota::{QuotaBounds, Quotas};
+use oxbowbend_core::quota::{QuotaPolicy, Quotas};
 use oxbowbend_core::routes::Quota;
 
 const WINDOW: Duration = Duration::from_secs(8);
-const BOUNDS: QuotaBounds = QuotaBounds { window: WINDOW, overage: 0.1, slack: 0.0 };
+const BOUNDS: QuotaPolicy = QuotaPolicy { window: WINDOW, overage: 0.1, slack: 0.0 };
 /// Far more than is used, so that nothing is refused.
 const QUOTA: Quota = Quota { per_s: 1e9, burst: 1e9 };
 const CELLS: usize = 3;
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -2,13 +2,13 @@
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::quota::{Note, QuotaBounds, Quotas};
+use oxbowbend_core::quota::{Note, QuotaPolicy, Quotas};
 use oxbowbend_core::retries::{Allowance, Repeats};
 use oxbowbend_core::routes::Quota;
 
 const S: Duration = Duration::from_secs(1);
-const BOUNDS: QuotaBounds =
-    QuotaBounds { window: Duration::from_secs(8), overage: 0.1, slack: 100.0 };
+const BOUNDS: QuotaPolicy =
+    QuotaPolicy { window: Duration::from_secs(8), overage: 0.1, slack: 100.0 };
 /// 100 a second and a burst of 100: 900 in a window.
 const QUOTA: Quota = Quota { per_s: 100.0, burst: 100.0 };
 
@@ -267,7 +267,7 @@
 #[test]
 fn a_start_without_a_note_goes_on_from_what_others_tell() {
     let quota = Quota { per_s: 100.0, burst: 0.0 };
-    let bounds = QuotaBounds { window: Duration::from_secs(8), overage: 0.0, slack: 0.0 };
+    let bounds = QuotaPolicy { window: Duration::from_secs(8), overage: 0.0, slack: 0.0 };
     let account = "a".into();
     let fresh = || {
         let mut quotas = Quotas::new(bounds);
--- a/oxbowbend-core/tests/reach.rs
+++ b/oxbowbend-core/tests/reach.rs
@@ -6,12 +6,12 @@
 
 use cells::{cell, MS};
 use oxbowbend_core::cell::{Cell, Extent, Reach};
-use oxbowbend_core::quota::{QuotaBounds, Quotas};
+use oxbowbend_core::quota::{QuotaPolicy, Quotas};
 use oxbowbend_core::routes::Quota;
 
 const INSTANCES: usize = 5;
-const BOUNDS: QuotaBounds =
-    QuotaBounds { window: Duration::from_secs(8), overage: 0.0, slack: 0.0 };
+const BOUNDS: QuotaPolicy =
+    QuotaPolicy { window: Duration::from_secs(8), overage: 0.0, slack: 0.0 };
 /// 1,000 in a window.
 const QUOTA: Quota = Quota { per_s: 0.0, burst: 1000.0 };
 
--- a/oxbowbend-gateway/src/gateway.rs
+++ b/oxbowbend-gateway/src/gateway.rs
@@ -13,7 +13,7 @@
 use oxbowbend_core::admission::Admission;
 use oxbowbend_core::cell::Cell;
 use oxbowbend_core::ids::{InstanceId, ZoneId};
-use oxbowbend_core::quota::QuotaBounds;
+use oxbowbend_core::quota::QuotaPolicy;
 use oxbowbend_core::retries::{Allowance, Repeats};
 use oxbowbend_core::rollout::{RolloutBounds, Rollouts};
 use oxbowbend_http::h1;
@@ -73,7 +73,7 @@
     /// Bounds of roll-outs over all instances.
     pub rollouts: RolloutBounds,
     /// Bounds of quotas over all instances.
-    pub quotas: QuotaBounds,
+    pub quotas: QuotaPolicy,
     /// Instances of a cell at most.
     pub cell_size: usize,
     /// Time within which changes of the configuration and of endpoints must be in force.
