--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -19,7 +19,7 @@
 use super::report::Report;
 use super::{Cell, LOAD_TTL};
 use crate::ids::AccountId;
-use crate::quota::Lately;
+use crate::quota::RecentUsage;
 use crate::rollout::evidence::EvidenceKey;
 
 /// What a representative tells its cell of the other cells.
@@ -33,7 +33,7 @@
     pub spent: Vec<(AccountId, u64)>,
     /// What of these units was admitted lately. Told by one that has begun to represent its cell.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
-    pub lately: Vec<(AccountId, Lately)>,
+    pub lately: Vec<(AccountId, RecentUsage)>,
     /// Answers of versions that are rolled out, likewise.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub evidence: Vec<(EvidenceKey, u64)>,
--- a/oxbowbend-core/src/cell/hear.rs
+++ b/oxbowbend-core/src/cell/hear.rs
@@ -8,7 +8,7 @@
 use super::report::Report;
 use super::{pace, Cell, LOAD_TTL};
 use crate::ids::{AccountId, InstanceId};
-use crate::quota::{admitted_within, Lately};
+use crate::quota::{admitted_within, RecentUsage};
 use crate::rollout::evidence::EvidenceKey;
 
 /// Silence after which an instance of this cell is forgotten.
@@ -280,9 +280,9 @@
 }
 
 /// Units that were admitted within a time, of what was told; none if it is not known since when.
-fn admitted(lately: &[(AccountId, Lately)], time: Option<Duration>) -> Vec<(AccountId, u64)> {
+fn admitted(lately: &[(AccountId, RecentUsage)], time: Option<Duration>) -> Vec<(AccountId, u64)> {
     let Some(time) = time else { return Vec::new() };
-    let units = |(account, slots): &(AccountId, Lately)| {
+    let units = |(account, slots): &(AccountId, RecentUsage)| {
         (account.clone(), admitted_within(slots, time) as u64)
     };
     lately.iter().map(units).collect()
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -7,7 +7,7 @@
 
 use crate::ids::{AccountId, EndpointKey, InstanceId, ServiceId, ZoneId};
 use crate::quarantine::Told;
-use crate::quota::{Lately, Window};
+use crate::quota::{RecentUsage, Window};
 use crate::rollout::evidence::EvidenceKey;
 use crate::rollout::ToldRollout;
 
@@ -104,7 +104,7 @@
     pub cell: u32,
     /// What of these units was admitted lately. Told by one that has begun to represent its cell.
     #[serde(rename = "L", default, skip_serializing_if = "Vec::is_empty")]
-    pub cell_lately: Vec<(AccountId, Lately)>,
+    pub cell_lately: Vec<(AccountId, RecentUsage)>,
     /// Whether all accounts that its cell has admitted units of are among them.
     #[serde(rename = "b", default, skip_serializing_if = "is_false")]
     pub is_cell_told: bool,
--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -57,7 +57,7 @@
 pub type Window = Vec<u64>;
 
 /// Units that were admitted in each of the last spans of [`LATELY_SLOT`], the newest first.
-pub type Lately = Vec<u64>;
+pub type RecentUsage = Vec<u64>;
 
 /// Units that were admitted within a time before now.
 pub fn admitted_within(lately: &[u64], time: Duration) -> f64 {
@@ -268,13 +268,13 @@
     }
 
     /// What this cell has admitted lately, as far as this instance has heard.
-    pub fn cell_lately(&self, now: Instant) -> Vec<(AccountId, Lately)> {
+    pub fn cell_lately(&self, now: Instant) -> Vec<(AccountId, RecentUsage)> {
         let lately = self.usages.iter().map(|(a, u)| (a.clone(), u.near_lately.lately(now)));
         lately.filter(|(_, slots)| !slots.is_empty()).collect()
     }
 
     /// What other cells have admitted lately, likewise.
-    pub fn far_lately(&self, now: Instant) -> Vec<(AccountId, Lately)> {
+    pub fn far_lately(&self, now: Instant) -> Vec<(AccountId, RecentUsage)> {
         let lately = self.usages.iter().map(|(a, u)| (a.clone(), u.far_lately.lately(now)));
         lately.filter(|(_, slots)| !slots.is_empty()).collect()
     }
@@ -364,8 +364,8 @@
     }
 
     /// The last slots up to the oldest one with anything in it.
-    fn lately(&self, now: Instant) -> Lately {
-        let mut slots = Lately::new();
+    fn lately(&self, now: Instant) -> RecentUsage {
+        let mut slots = RecentUsage::new();
         for (at, units) in &self.parts {
             let slot = now.saturating_duration_since(*at).as_millis() / LATELY_SLOT.as_millis();
             let slot = slot as usize;
