--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -33,7 +33,7 @@
 const SLOT: Duration = Duration::from_secs(1);
 /// Span of time for which is told what was admitted lately, and how many of them are told: whoever represented a cell
 /// before has been silent for up to 1.5 s.
-pub const LATELY_SLOT: Duration = Duration::from_millis(250);
+pub const RECENT_SLOT: Duration = Duration::from_millis(250);
 const LATELY_SLOTS: u32 = 12;
 /// Parts of the window in which units are added up.
 const PARTS: u32 = 32;
@@ -56,12 +56,12 @@
 /// Units that an account has used in each of the last seconds, the newest first.
 pub type Window = Vec<u64>;
 
-/// Units that were admitted in each of the last spans of [`LATELY_SLOT`], the newest first.
+/// Units that were admitted in each of the last spans of [`RECENT_SLOT`], the newest first.
 pub type RecentUsage = Vec<u64>;
 
 /// Units that were admitted within a time before now.
 pub fn admitted_within(lately: &[u64], time: Duration) -> f64 {
-    let slots = time.as_secs_f64() / LATELY_SLOT.as_secs_f64();
+    let slots = time.as_secs_f64() / RECENT_SLOT.as_secs_f64();
     let part = |(n, units): (usize, &u64)| *units as f64 * (slots - n as f64).clamp(0.0, 1.0);
     lately.iter().enumerate().map(part).sum()
 }
@@ -359,15 +359,15 @@
 
     /// Adds, and forgets what is not told any more.
     fn add_lately(&mut self, now: Instant, units: f64) {
-        self.forget(now, LATELY_SLOT * LATELY_SLOTS);
-        self.add_coarsely(now, units, LATELY_SLOT / 4);
+        self.forget(now, RECENT_SLOT * LATELY_SLOTS);
+        self.add_coarsely(now, units, RECENT_SLOT / 4);
     }
 
     /// The last slots up to the oldest one with anything in it.
     fn lately(&self, now: Instant) -> RecentUsage {
         let mut slots = RecentUsage::new();
         for (at, units) in &self.parts {
-            let slot = now.saturating_duration_since(*at).as_millis() / LATELY_SLOT.as_millis();
+            let slot = now.saturating_duration_since(*at).as_millis() / RECENT_SLOT.as_millis();
             let slot = slot as usize;
             if slot < LATELY_SLOTS as usize && *units > 0.0 {
                 slots.resize(slots.len().max(slot + 1), 0);
