--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -7,7 +7,7 @@
 
 use crate::ids::{AccountId, EndpointKey, InstanceId, ServiceId, ZoneId};
 use crate::quarantine::Told;
-use crate::quota::{RecentUsage, Window};
+use crate::quota::{RecentUsage, WindowUsage};
 use crate::rollout::evidence::EvidenceKey;
 use crate::rollout::ToldRollout;
 
@@ -120,7 +120,7 @@
     /// What accounts have used in each of the last seconds, the newest first. Told while an instance of its cell has
     /// just started.
     #[serde(rename = "W", default, skip_serializing_if = "Vec::is_empty")]
-    pub windows: Vec<(AccountId, Window)>,
+    pub windows: Vec<(AccountId, WindowUsage)>,
     /// What endpoints have said of themselves. Told with beats only.
     #[serde(rename = "B", default, skip_serializing_if = "ToldEndpoints::is_empty")]
     pub said: ToldEndpoints,
--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -54,7 +54,7 @@
 }
 
 /// Units that an account has used in each of the last seconds, the newest first.
-pub type Window = Vec<u64>;
+pub type WindowUsage = Vec<u64>;
 
 /// Units that were admitted in each of the last spans of [`RECENT_SLOT`], the newest first.
 pub type RecentUsage = Vec<u64>;
@@ -207,7 +207,7 @@
     }
 
     /// What accounts have used in the window, as far as is known.
-    pub fn windows(&mut self, now: Instant) -> Vec<(AccountId, Window)> {
+    pub fn windows(&mut self, now: Instant) -> Vec<(AccountId, WindowUsage)> {
         let window = self.bounds.window;
         let windows = self.usages.iter_mut().filter_map(|(account, usage)| {
             usage.forget(now, window);
@@ -301,8 +301,8 @@
         self.live.sum + self.noted.sum
     }
 
-    fn slots(&self, now: Instant) -> Window {
-        let mut slots = Window::new();
+    fn slots(&self, now: Instant) -> WindowUsage {
+        let mut slots = WindowUsage::new();
         for (at, units) in self.live.parts.iter().chain(&self.noted.parts) {
             let age = now.saturating_duration_since(*at).as_secs() as usize;
             if slots.len() <= age {
--- a/oxbowbend-gateway/src/seam.rs
+++ b/oxbowbend-gateway/src/seam.rs
@@ -11,7 +11,7 @@
     AccountId, EndpointId, EndpointKey, InstanceId, ServiceId, VersionId, ZoneId,
 };
 use oxbowbend_core::quarantine::ToldVerdict;
-use oxbowbend_core::quota::Window;
+use oxbowbend_core::quota::WindowUsage;
 use oxbowbend_core::rollout::{Order, Status, ToldRollout};
 use oxbowbend_core::routes::{Endpoint, Table};
 use oxbowbend_core::subscription::Call;
@@ -137,7 +137,7 @@
     pub paces: Vec<(EndpointKey, u64)>,
     /// What client accounts have used of their quotas, likewise.
     #[serde(default)]
-    pub used: Vec<(AccountId, Window)>,
+    pub used: Vec<(AccountId, WindowUsage)>,
     /// The store's epoch as this instance knew it. What was noted in an earlier one is older than it looks.
     #[serde(default)]
     pub epoch: Epoch,
