--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -46,7 +46,7 @@
 
 /// How old a note of an account's window may be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Note {
+pub enum SnapshotAge {
     /// As old as notes usually are.
     Fresh,
     /// Of an older copy of the store: nobody knows how old. Usage is taken to have gone on for a whole window.
@@ -219,11 +219,11 @@
     }
 
     /// Starts from a note of an account's window. Of several, the fullest counts.
-    pub fn restore(&mut self, now: Instant, account: &str, window: &[u64], note: Note) {
+    pub fn restore(&mut self, now: Instant, account: &str, window: &[u64], note: SnapshotAge) {
         let Some(usage) = self.usages.get_mut(account) else { return };
         let behind = match note {
-            Note::Fresh => NOTE_AGE,
-            Note::Old => self.bounds.window,
+            SnapshotAge::Fresh => NOTE_AGE,
+            SnapshotAge::Old => self.bounds.window,
         };
         let unseen = window.first().map_or(0.0, |last| *last as f64) * behind.as_secs_f64();
         let noted = window.iter().sum::<u64>() as f64 + unseen;
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::quota::{Note, QuotaPolicy, Quotas};
+use oxbowbend_core::quota::{QuotaPolicy, Quotas, SnapshotAge};
 use oxbowbend_core::retries::{Allowance, Repeats};
 use oxbowbend_core::routes::Quota;
 
@@ -53,11 +53,11 @@
         (vec![1000, 14], 0),
     ] {
         let mut fresh = quotas();
-        fresh.restore(now, "a", &window, Note::Fresh);
+        fresh.restore(now, "a", &window, SnapshotAge::Fresh);
         assert_eq!(admitted(&mut fresh, now), room, "{window:?}");
     }
     let mut fresh = quotas();
-    fresh.restore(now, "a", &[0, 0, 0, 0, 0, 0, 0, 1014], Note::Fresh);
+    fresh.restore(now, "a", &[0, 0, 0, 0, 0, 0, 0, 1014], SnapshotAge::Fresh);
     assert_eq!(admitted(&mut fresh, now), 0);
     assert_eq!(admitted(&mut fresh, now + 2 * S), 1014);
 }
@@ -209,7 +209,7 @@
         let mut fresh = quotas();
         noted
             .iter()
-            .for_each(|(account, window)| fresh.restore(back, account, window, Note::Fresh));
+            .for_each(|(account, window)| fresh.restore(back, account, window, SnapshotAge::Fresh));
         let total = used as u32 + admitted(&mut fresh, back);
         assert!(total <= 1090, "{rate} a second after {before}: {total} in all");
         // Nothing that is owed is kept back but the guess of what was not noted.
@@ -245,7 +245,7 @@
         [(10.0, 0, 101), (10.0, 514, 50), (2.0, 514, 250), (10.0, 1014, 0)]
     {
         let mut fresh = quotas();
-        fresh.restore(now, "a", &[0, noted], Note::Fresh);
+        fresh.restore(now, "a", &[0, noted], SnapshotAge::Fresh);
         fresh.set_share(1.0 / instances);
         assert_eq!(admitted(&mut fresh, now), room, "{instances} instances, {noted} noted");
     }
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -15,7 +15,7 @@
 };
 use oxbowbend_core::ids::{AccountId, EndpointKey, InstanceId, ZoneId};
 use oxbowbend_core::quarantine::Quarantine;
-use oxbowbend_core::quota::Note;
+use oxbowbend_core::quota::SnapshotAge;
 use oxbowbend_core::retries::Repeats;
 use oxbowbend_core::rollout::Rollouts;
 use oxbowbend_core::routes::{Endpoint, Table};
@@ -302,7 +302,8 @@
             quarantine.hear_verdicts(now, &noted.collect::<Vec<_>>());
             self.loaded.1.close();
             for entry in world.instances().values() {
-                let note = if entry.epoch < world.epoch() { Note::Old } else { Note::Fresh };
+                let note =
+                    if entry.epoch < world.epoch() { SnapshotAge::Old } else { SnapshotAge::Fresh };
                 for (account, window) in &entry.used {
                     log::info!(
                         "event=window_restored account={account} note={note:?} units={window:?}"
