--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -13,7 +13,7 @@
 
 /// Bounds on what an account may have executed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Bound {
+pub enum QuotaKind {
     /// The account's rate, or the room that is left to its more urgent requests.
     Rate,
     /// The window.
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaExceeded {
     /// Which bound it would pass.
-    pub bound: Bound,
+    pub bound: QuotaKind,
     /// Time until there will be room.
     pub retry_after: Duration,
     /// What it was decided from.
@@ -90,11 +90,11 @@
     ) -> Result<(), QuotaExceeded> {
         if let Err(retry_after) = self.buckets.admit(now, account, units, rank) {
             let usage = self.usage(account);
-            return Err(QuotaExceeded { bound: Bound::Rate, retry_after, usage });
+            return Err(QuotaExceeded { bound: QuotaKind::Rate, retry_after, usage });
         }
         self.quotas.admit(now, account, units).map_err(|retry_after| {
             self.buckets.give_back(account, units);
-            QuotaExceeded { bound: Bound::Window, retry_after, usage: self.usage(account) }
+            QuotaExceeded { bound: QuotaKind::Window, retry_after, usage: self.usage(account) }
         })
     }
 
--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::admission::{Admission, Bound};
+use oxbowbend_core::admission::{Admission, QuotaKind};
 use oxbowbend_core::quota::QuotaPolicy;
 use oxbowbend_core::routes::Quota;
 
@@ -76,7 +76,7 @@
     let mut admission = admission();
     let wait = loop {
         if let Err(exceeded) = admission.admit(now, "a", 10_000, 0) {
-            assert_eq!(exceeded.bound, Bound::Rate);
+            assert_eq!(exceeded.bound, QuotaKind::Rate);
             break exceeded.retry_after;
         }
     };
