--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -50,16 +50,16 @@
 
 /// The bounds of all client accounts.
 #[derive(Debug)]
-pub struct Admission {
+pub struct AdmissionController {
     /// The windows.
     pub quotas: Quotas,
     buckets: TokenBuckets,
 }
 
-impl Admission {
+impl AdmissionController {
     /// No accounts yet.
-    pub fn new(bounds: QuotaPolicy) -> Admission {
-        Admission { quotas: Quotas::new(bounds), buckets: TokenBuckets::new(bounds) }
+    pub fn new(bounds: QuotaPolicy) -> AdmissionController {
+        AdmissionController { quotas: Quotas::new(bounds), buckets: TokenBuckets::new(bounds) }
     }
 
     /// Puts the quotas of a configuration in force.
--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::admission::{Admission, QuotaKind};
+use oxbowbend_core::admission::{AdmissionController, QuotaKind};
 use oxbowbend_core::quota::QuotaPolicy;
 use oxbowbend_core::routes::Quota;
 
@@ -15,8 +15,8 @@
 const USUAL: [(u8, u64, u64); 4] =
     [(0, 10_400, 170), (1, 3_500, 100), (2, 2_000, 105), (2, 200, 125)];
 
-fn admission() -> Admission {
-    let mut admission = Admission::new(BOUNDS);
+fn admission() -> AdmissionController {
+    let mut admission = AdmissionController::new(BOUNDS);
     admission.set([(&"a".into(), QUOTA)]);
     admission
 }
--- a/oxbowbend-gateway/src/gateway.rs
+++ b/oxbowbend-gateway/src/gateway.rs
@@ -10,7 +10,7 @@
 use async_std::task;
 use http::{Response, StatusCode};
 use oxbowbend_clock as clock;
-use oxbowbend_core::admission::Admission;
+use oxbowbend_core::admission::AdmissionController;
 use oxbowbend_core::cell::Cell;
 use oxbowbend_core::ids::{InstanceId, ZoneId};
 use oxbowbend_core::quota::QuotaPolicy;
@@ -128,7 +128,7 @@
             (cfg.instance.clone(), cfg.zone.clone()),
             (cell, cfg.cell_size),
             Sources::new(cfg.in_force),
-            Admission::new(cfg.quotas),
+            AdmissionController::new(cfg.quotas),
             Repeats::new(cfg.repeats),
             Rollouts::new(cfg.rollouts),
         );
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -8,7 +8,7 @@
 use async_std::{channel, task};
 use futures::channel::oneshot;
 use oxbowbend_clock as clock;
-use oxbowbend_core::admission::Admission;
+use oxbowbend_core::admission::AdmissionController;
 use oxbowbend_core::ages::Ages;
 use oxbowbend_core::cell::{
     Assignment, Beyond, Cell, Group, Outcome, Reach, Report, Ticket, Want, UNHEARD,
@@ -35,7 +35,7 @@
 pub(crate) struct State {
     pub(crate) world: World,
     pub(crate) cell: Cell,
-    pub(crate) admission: Admission,
+    pub(crate) admission: AdmissionController,
     pub(crate) repeats: Repeats,
     pub(crate) ages: Ages,
     pub(crate) quarantine: Quarantine,
@@ -223,7 +223,7 @@
         (me, zone): (InstanceId, ZoneId),
         (cell, cell_size): (Cell, usize),
         sources: Sources,
-        admission: Admission,
+        admission: AdmissionController,
         repeats: Repeats,
         rollouts: Rollouts,
     ) -> (Shared, channel::Receiver<()>) {
