--- a/oxbowbend-core/src/ages.rs
+++ b/oxbowbend-core/src/ages.rs
@@ -17,11 +17,11 @@
 
 /// The times that callers give at first, by route.
 #[derive(Debug, Default)]
-pub struct Ages {
+pub struct AgeEstimator {
     usual: HashMap<String, Duration>,
 }
 
-impl Ages {
+impl AgeEstimator {
     /// Forgets everything, as with a new configuration.
     pub fn clear(&mut self) {
         self.usual.clear();
--- a/oxbowbend-core/tests/ages.rs
+++ b/oxbowbend-core/tests/ages.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oxbowbend_core::ages::Ages;
+use oxbowbend_core::ages::AgeEstimator;
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -18,7 +18,7 @@
         (Some(s(2)), s(0)),
         (None, s(0)),
     ] {
-        let mut ages = Ages::default();
+        let mut ages = AgeEstimator::default();
         ages.age("r", Some(s(12)), s(12));
         assert_eq!(ages.age("r", left, s(12)), age, "{left:?} left");
     }
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_single_caller_with_all_the_time_of_the_world_makes_nobody_old() {
-    let mut ages = Ages::default();
+    let mut ages = AgeEstimator::default();
     ages.age("r", Some(Duration::from_secs(3600)), Duration::from_secs(12));
     assert_eq!(
         ages.age("r", Some(Duration::from_secs(12)), Duration::from_secs(12)),
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -9,7 +9,7 @@
 use futures::channel::oneshot;
 use oxbowbend_clock as clock;
 use oxbowbend_core::admission::AdmissionController;
-use oxbowbend_core::ages::Ages;
+use oxbowbend_core::ages::AgeEstimator;
 use oxbowbend_core::cell::{
     Assignment, Beyond, Cell, Group, Outcome, Reach, Report, Ticket, Want, UNHEARD,
 };
@@ -37,7 +37,7 @@
     pub(crate) cell: Cell,
     pub(crate) admission: AdmissionController,
     pub(crate) repeats: Repeats,
-    pub(crate) ages: Ages,
+    pub(crate) ages: AgeEstimator,
     pub(crate) quarantine: Quarantine,
     pub(crate) rollouts: Rollouts,
     /// The stop that is in progress.
@@ -233,7 +233,7 @@
             cell,
             admission,
             repeats,
-            ages: Ages::default(),
+            ages: AgeEstimator::default(),
             quarantine: Quarantine::new(&me),
             rollouts,
             shutdown: None,
