--- a/oxbowbend-core/src/budget.rs
+++ b/oxbowbend-core/src/budget.rs
@@ -61,24 +61,24 @@
 /// Circuit breaker of one endpoint.
 ///
 /// ```
-/// use oxbowbend_core::budget::Breaker;
+/// use oxbowbend_core::budget::CircuitBreaker;
 /// use std::time::{Duration, Instant};
 /// let start = Instant::now();
-/// let mut breaker = Breaker::default();
+/// let mut breaker = CircuitBreaker::default();
 /// (0..3).for_each(|_| breaker.failed(start));
 /// assert!(!breaker.allows(start));
 /// assert!(breaker.allows(start + Duration::from_secs(1)));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Breaker {
+pub struct CircuitBreaker {
     failures: u32,
     open_until: Option<Instant>,
 }
 
-impl Breaker {
+impl CircuitBreaker {
     /// Notes a success and closes the breaker.
     pub fn succeeded(&mut self) {
-        *self = Breaker::default();
+        *self = CircuitBreaker::default();
     }
 
     /// Notes a failure; several in a row open the breaker.
--- a/oxbowbend-core/src/scheduler/site.rs
+++ b/oxbowbend-core/src/scheduler/site.rs
@@ -31,7 +31,7 @@
     pub(super) offers: BTreeMap<ids::InstanceId, Offered>,
     pub(super) speed: speed::Speed,
     pub(super) cache: cache::PrefixCache,
-    pub(super) breaker: budget::Breaker,
+    pub(super) breaker: budget::CircuitBreaker,
     pub(super) running: u32,
     pub(super) reported: u32,
     /// Free permits, kept up to date by [`Scheduler::recount`].
@@ -46,7 +46,7 @@
             cache: cache::PrefixCache::new(endpoint.cache_tokens),
             endpoint,
             offers: BTreeMap::new(),
-            breaker: budget::Breaker::default(),
+            breaker: budget::CircuitBreaker::default(),
             running: 0,
             reported: 0,
             free: 0,
--- a/oxbowbend-core/tests/properties.rs
+++ b/oxbowbend-core/tests/properties.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::budget::{Breaker, RetryBudget};
+use oxbowbend_core::budget::{CircuitBreaker, RetryBudget};
 use oxbowbend_core::cache::{PrefixCache, BLOCK_TOKENS};
 use oxbowbend_core::membership::pick;
 use oxbowbend_core::message::{RunEnd, RunReport};
@@ -119,7 +119,7 @@
     /// An open breaker always lets somebody through in the end.
     fn a_breaker_opens_for_a_bounded_time(failures: u8) -> bool {
         let now = Instant::now();
-        let mut breaker = Breaker::default();
+        let mut breaker = CircuitBreaker::default();
         (0..failures).for_each(|_| breaker.failed(now));
         breaker.allows(now + Duration::from_secs(16))
     }
