--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -8,7 +8,7 @@
 use crate::message;
 use crate::node;
 use crate::queue;
-use crate::selection::{self, Choose};
+use crate::selection::{self, SelectionPolicy};
 
 /// Requests of an account among which the one is chosen whose prompt a free endpoint has cached.
 const LOOK_AHEAD: usize = 32;
@@ -28,7 +28,7 @@
 /// Every permit of an account is in use.
 struct AccountFull;
 
-impl<C: Choose> Scheduler<C> {
+impl<C: SelectionPolicy> Scheduler<C> {
     /// Decides everything that can be decided now.
     pub fn pump(&mut self, now: Instant, directory: &impl Directory, out: &mut Vec<node::Action>) {
         self.give_up_late(now, out);
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -17,7 +17,7 @@
 use crate::ids;
 use crate::message;
 use crate::queue;
-use crate::selection::Choose;
+use crate::selection::SelectionPolicy;
 use crate::topology;
 use account::AccountUse;
 use site::{Offered, Site};
@@ -102,7 +102,7 @@
     fastest: Option<(Instant, f64)>,
 }
 
-impl<C: Choose> Scheduler<C> {
+impl<C: SelectionPolicy> Scheduler<C> {
     /// Creates a scheduler that knows of no requests and no permits.
     pub fn new(
         me: ids::InstanceId,
--- a/oxbowbend-core/src/scheduler/shed.rs
+++ b/oxbowbend-core/src/scheduler/shed.rs
@@ -6,14 +6,14 @@
 use crate::ids;
 use crate::message;
 use crate::node;
-use crate::selection::Choose;
+use crate::selection::SelectionPolicy;
 
 /// Time between two sendings of a shed floor that is in force.
 const FLOOR_RENEW: Duration = Duration::from_millis(500);
 /// Part of the queue bound under which a shed floor is lifted.
 const FLOOR_LIFT: f64 = 0.8;
 
-impl<C: Choose> Scheduler<C> {
+impl<C: SelectionPolicy> Scheduler<C> {
     /// Sheds what is too much: the lowest tier at once, a higher one only when every entry that
     /// may keep requests of the pool has promised to keep none of a lower tier.
     pub(super) fn bound_queue(
--- a/oxbowbend-core/src/selection.rs
+++ b/oxbowbend-core/src/selection.rs
@@ -23,7 +23,7 @@
 }
 
 /// A policy that picks one of the candidates.
-pub trait Choose {
+pub trait SelectionPolicy {
     /// Returns the position in `candidates` of the chosen one; `None` if there are none.
     fn choose(&mut self, candidates: &[Candidate]) -> Option<usize>;
 }
@@ -31,7 +31,7 @@
 /// Earliest predicted finish, stragglers last.
 ///
 /// ```
-/// use oxbowbend_core::selection::{Candidate, Choose, Predicted};
+/// use oxbowbend_core::selection::{Candidate, SelectionPolicy, Predicted};
 /// let c = |index, seconds, avoid| Candidate { index, seconds, outstanding: 0, reported: 0, avoid };
 /// let candidates = [c(0, 3.0, false), c(1, 1.0, true), c(2, 2.0, false)];
 /// assert_eq!(Predicted.choose(&candidates), Some(2));
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Predicted;
 
-impl Choose for Predicted {
+impl SelectionPolicy for Predicted {
     fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
         let key = |c: &Candidate| (c.avoid, c.seconds, c.outstanding);
         position_min(candidates, |a, b| {
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastOutstanding;
 
-impl Choose for LeastOutstanding {
+impl SelectionPolicy for LeastOutstanding {
     fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
         position_min(candidates, |a, b| a.outstanding.cmp(&b.outstanding))
     }
@@ -65,7 +65,7 @@
     last: Option<usize>,
 }
 
-impl Choose for RoundRobin {
+impl SelectionPolicy for RoundRobin {
     fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
         let after = candidates.iter().position(|c| Some(c.index) > self.last);
         let chosen = after.or(if candidates.is_empty() { None } else { Some(0) })?;
@@ -85,7 +85,7 @@
     }
 }
 
-impl Choose for Random {
+impl SelectionPolicy for Random {
     fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
         if candidates.is_empty() {
             return None;
@@ -105,7 +105,7 @@
     }
 }
 
-impl Choose for TwoChoices {
+impl SelectionPolicy for TwoChoices {
     fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
         if candidates.is_empty() {
             return None;
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -7,7 +7,7 @@
 use oxbowbend_core::message;
 use oxbowbend_core::node;
 use oxbowbend_core::scheduler::{self, Directory};
-use oxbowbend_core::selection::{self, Choose};
+use oxbowbend_core::selection::{self, SelectionPolicy};
 use oxbowbend_core::topology;
 
 use super::deployment;
@@ -62,14 +62,14 @@
     alive: Vec<bool>,
 }
 
-impl<C: Choose> Straight<C> {
+impl<C: SelectionPolicy> Straight<C> {
     fn new(choose: C, engines: usize) -> Straight<C> {
         let (outstanding, reported) = (vec![0; engines], vec![0; engines]);
         Straight { choose, outstanding, reported, alive: vec![true; engines] }
     }
 }
 
-impl<C: Choose> Policy for Straight<C> {
+impl<C: SelectionPolicy> Policy for Straight<C> {
     fn arrive(&mut self, _: Instant, request: usize, _: message::Record) -> Vec<Verdict> {
         let living = (0..self.alive.len()).filter(|e| self.alive[*e]);
         let candidates: Vec<selection::Candidate> = living
@@ -141,7 +141,7 @@
     held: BTreeMap<usize, (message::Record, Option<usize>)>,
 }
 
-impl<C: Choose> Scheduled<C> {
+impl<C: SelectionPolicy> Scheduled<C> {
     fn new(config: topology::Pool, fresh: impl Fn() -> C + 'static) -> Scheduled<C> {
         let scheduler = scheduler::Scheduler::new(ENTRY.into(), POOL.into(), &config, fresh());
         let free = config.endpoints.values().map(|e| e.slots).collect();
@@ -217,7 +217,7 @@
     }
 }
 
-impl<C: Choose> Policy for Scheduled<C> {
+impl<C: SelectionPolicy> Policy for Scheduled<C> {
     fn arrive(&mut self, now: Instant, request: usize, record: message::Record) -> Vec<Verdict> {
         self.held.insert(request, (record.clone(), None));
         self.scheduler.enqueue(now, &ENTRY.into(), record);
