--- a/oxbowbend-core/src/node/mod.rs
+++ b/oxbowbend-core/src/node/mod.rs
@@ -206,7 +206,7 @@
     view: View,
     permits: permits::Permits,
     entry: entry::Entry,
-    pools: BTreeMap<ids::PoolId, scheduler::Scheduler<selection::Predicted>>,
+    pools: BTreeMap<ids::PoolId, scheduler::Scheduler<selection::EarliestFinish>>,
     peers: BTreeMap<ids::InstanceId, Peer>,
     local: VecDeque<message::Message>,
     actions: Vec<Action>,
@@ -402,7 +402,7 @@
     fn schedule(
         &mut self,
         pool: &ids::PoolId,
-        with: impl FnOnce(&mut scheduler::Scheduler<selection::Predicted>),
+        with: impl FnOnce(&mut scheduler::Scheduler<selection::EarliestFinish>),
     ) {
         if !self.view.topology.pools.contains_key(pool) {
             return;
@@ -410,7 +410,8 @@
         if !self.pools.contains_key(pool) {
             let config = self.pool_config(pool);
             let me = self.me.clone();
-            let new = scheduler::Scheduler::new(me, pool.clone(), &config, selection::Predicted);
+            let new =
+                scheduler::Scheduler::new(me, pool.clone(), &config, selection::EarliestFinish);
             self.pools.insert(pool.clone(), new);
         }
         if let Some(scheduler) = self.pools.get_mut(pool) {
@@ -484,7 +485,10 @@
     }
 
     /// The scheduler that this instance runs for a pool, if it was chosen for it.
-    pub fn scheduler(&self, pool: &str) -> Option<&scheduler::Scheduler<selection::Predicted>> {
+    pub fn scheduler(
+        &self,
+        pool: &str,
+    ) -> Option<&scheduler::Scheduler<selection::EarliestFinish>> {
         self.pools.get(pool)
     }
 
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -72,10 +72,10 @@
 /// The scheduler of one pool.
 ///
 /// ```
-/// use oxbowbend_core::selection::Predicted;
+/// use oxbowbend_core::selection::EarliestFinish;
 /// use oxbowbend_core::scheduler::Scheduler;
 /// use oxbowbend_core::topology::Pool;
-/// let scheduler = Scheduler::new("a".into(), "p/m".into(), &Pool::default(), Predicted);
+/// let scheduler = Scheduler::new("a".into(), "p/m".into(), &Pool::default(), EarliestFinish);
 /// assert_eq!(scheduler.waiting(), 0);
 /// ```
 #[derive(Clone, Debug)]
--- a/oxbowbend-core/src/selection.rs
+++ b/oxbowbend-core/src/selection.rs
@@ -1,6 +1,6 @@
 //! Choice of endpoint for a request.
 //!
-//! The policy that ships is [`Predicted`]: the endpoint on which the request is expected to finish
+//! The policy that ships is [`EarliestFinish`]: the endpoint on which the request is expected to finish
 //! first, counting the prompt tokens that its cache probably holds. The others are baselines,
 //! kept to be measured against in the experiment tool.
 
@@ -31,15 +31,15 @@
 /// Earliest predicted finish, stragglers last.
 ///
 /// ```
-/// use oxbowbend_core::selection::{Candidate, SelectionPolicy, Predicted};
+/// use oxbowbend_core::selection::{Candidate, EarliestFinish, SelectionPolicy};
 /// let c = |index, seconds, avoid| Candidate { index, seconds, outstanding: 0, reported: 0, avoid };
 /// let candidates = [c(0, 3.0, false), c(1, 1.0, true), c(2, 2.0, false)];
-/// assert_eq!(Predicted.choose(&candidates), Some(2));
+/// assert_eq!(EarliestFinish.choose(&candidates), Some(2));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Predicted;
+pub struct EarliestFinish;
 
-impl SelectionPolicy for Predicted {
+impl SelectionPolicy for EarliestFinish {
     fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
         let key = |c: &Candidate| (c.avoid, c.seconds, c.outstanding);
         position_min(candidates, |a, b| {
--- a/oxbowbend-standin/examples/capacity.rs
+++ b/oxbowbend-standin/examples/capacity.rs
@@ -92,17 +92,19 @@
     let entry: ids::InstanceId = ENTRY.into();
     let config = pool(endpoints);
     let mut s =
-        scheduler::Scheduler::new(entry.clone(), POOL.into(), &config, selection::Predicted);
+        scheduler::Scheduler::new(entry.clone(), POOL.into(), &config, selection::EarliestFinish);
     (0..queue).for_each(|n| s.enqueue(now, &entry, record(n, 16)));
-    let offer =
-        |s: &mut scheduler::Scheduler<selection::Predicted>, n: usize, free: u32, seen: u64| {
-            let endpoint = format!("engine-{}", n % endpoints);
-            let endpoint = endpoint.as_str().into();
-            s.offer(
-                &entry,
-                &message::Offer { pool: POOL.into(), endpoint, free, owned: 4, asks_seen: seen },
-            );
-        };
+    let offer = |s: &mut scheduler::Scheduler<selection::EarliestFinish>,
+                 n: usize,
+                 free: u32,
+                 seen: u64| {
+        let endpoint = format!("engine-{}", n % endpoints);
+        let endpoint = endpoint.as_str().into();
+        s.offer(
+            &entry,
+            &message::Offer { pool: POOL.into(), endpoint, free, owned: 4, asks_seen: seen },
+        );
+    };
     let mut out = Vec::new();
     let mut seen = 0;
     let mut granted = 0;
@@ -138,7 +140,7 @@
     let entry: ids::InstanceId = ENTRY.into();
     let before = resident();
     let mut s =
-        scheduler::Scheduler::new(entry.clone(), POOL.into(), &pool(10), selection::Predicted);
+        scheduler::Scheduler::new(entry.clone(), POOL.into(), &pool(10), selection::EarliestFinish);
     (0..queue).for_each(|n| s.enqueue(now, &entry, record(n, 16)));
     let used = resident() - before;
     black_box(&s);
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -343,7 +343,7 @@
     let config = pool(engines, deployment);
     let n = engines.len();
     Some(match name {
-        "oxbowbend" => Box::new(Scheduled::new(config, || selection::Predicted)),
+        "oxbowbend" => Box::new(Scheduled::new(config, || selection::EarliestFinish)),
         "order+random" => Box::new(Scheduled::new(config, move || selection::Random::new(seed))),
         "order+round-robin" => Box::new(Scheduled::new(config, selection::RoundRobin::default)),
         "order+least" => Box::new(Scheduled::new(config, || selection::LeastOutstanding)),
