--- a/oxbowbend-core/src/selection.rs
+++ b/oxbowbend-core/src/selection.rs
@@ -96,16 +96,16 @@
 
 /// Baseline: the less loaded of two random endpoints by their stale reports.
 #[derive(Clone, Debug)]
-pub struct TwoChoices(Pcg32);
+pub struct PowerOfTwoChoices(Pcg32);
 
-impl TwoChoices {
+impl PowerOfTwoChoices {
     /// Creates the policy from a seed.
-    pub fn new(seed: u64) -> TwoChoices {
-        TwoChoices(Pcg32::seed_from_u64(seed))
+    pub fn new(seed: u64) -> PowerOfTwoChoices {
+        PowerOfTwoChoices(Pcg32::seed_from_u64(seed))
     }
 }
 
-impl SelectionPolicy for TwoChoices {
+impl SelectionPolicy for PowerOfTwoChoices {
     fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
         if candidates.is_empty() {
             return None;
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -348,12 +348,12 @@
         "order+round-robin" => Box::new(Scheduled::new(config, selection::RoundRobin::default)),
         "order+least" => Box::new(Scheduled::new(config, || selection::LeastOutstanding)),
         "order+two-choices" => {
-            Box::new(Scheduled::new(config, move || selection::TwoChoices::new(seed)))
+            Box::new(Scheduled::new(config, move || selection::PowerOfTwoChoices::new(seed)))
         }
         "fcfs random" => Box::new(Straight::new(selection::Random::new(seed), n)),
         "fcfs round-robin" => Box::new(Straight::new(selection::RoundRobin::default(), n)),
         "fcfs least" => Box::new(Straight::new(selection::LeastOutstanding, n)),
-        "fcfs two-choices" => Box::new(Straight::new(selection::TwoChoices::new(seed), n)),
+        "fcfs two-choices" => Box::new(Straight::new(selection::PowerOfTwoChoices::new(seed), n)),
         _ => return None,
     })
 }
