--- a/oxbowbend-core/src/ids.rs
+++ b/oxbowbend-core/src/ids.rs
@@ -28,6 +28,6 @@
 /// Number of a request's attempt to be granted. A higher one voids every earlier grant.
 pub type Attempt = u32;
 /// Version of the platform's instance list.
-pub type ListVersion = u64;
+pub type InstanceListVersion = u64;
 /// Revision of the configuration.
 pub type Revision = u64;
--- a/oxbowbend-core/src/membership.rs
+++ b/oxbowbend-core/src/membership.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct InstanceList {
     /// Version; the platform only ever raises it.
-    pub version: ids::ListVersion,
+    pub version: ids::InstanceListVersion,
     /// Live and leaving instances.
     pub members: BTreeMap<ids::InstanceId, Member>,
 }
