--- a/oxbowbend-core/src/ids.rs
+++ b/oxbowbend-core/src/ids.rs
@@ -30,4 +30,4 @@
 /// Version of the platform's instance list.
 pub type InstanceListVersion = u64;
 /// Revision of the configuration.
-pub type Revision = u64;
+pub type ConfigRevision = u64;
