--- a/oxbowbend-core/src/ids.rs
+++ b/oxbowbend-core/src/ids.rs
@@ -20,7 +20,7 @@
 /// A pool: the endpoints that serve one model or service inside one place.
 pub type PoolId = Arc<str>;
 /// A declared place.
-pub type PlaceId = Arc<str>;
+pub type LocationId = Arc<str>;
 /// An availability zone.
 pub type ZoneId = Arc<str>;
 /// Rank of a tier; 0 is the highest.
