--- a/oxbowbend-core/src/lib.rs
+++ b/oxbowbend-core/src/lib.rs
@@ -13,7 +13,7 @@
 
 [`cell::Cell`] is the decision where endpoints do not promise their slots: every instance tells the
 others what it runs and what waits, and all come to the same order on their own. [`routes::Table`],
-[`quota::Quotas`] and [`retries::Repeats`] stand beside it.
+[`quota::Quotas`] and [`retries::RetryLimiter`] stand beside it.
 
 # Limits
 
--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -46,15 +46,15 @@
 
 /// Repeats of all services at one instance.
 #[derive(Debug)]
-pub struct Repeats {
+pub struct RetryLimiter {
     allowance: Allowance,
     services: HashMap<ServiceId, Counts>,
 }
 
-impl Repeats {
+impl RetryLimiter {
     /// Counts nothing yet.
-    pub fn new(allowance: Allowance) -> Repeats {
-        Repeats { allowance, services: HashMap::new() }
+    pub fn new(allowance: Allowance) -> RetryLimiter {
+        RetryLimiter { allowance, services: HashMap::new() }
     }
 
     /// Counts a request that a caller has sent.
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::quota::{QuotaPolicy, Quotas, SnapshotAge};
-use oxbowbend_core::retries::{Allowance, Repeats};
+use oxbowbend_core::retries::{Allowance, RetryLimiter};
 use oxbowbend_core::routes::Quota;
 
 const S: Duration = Duration::from_secs(1);
@@ -133,7 +133,7 @@
     let now = Instant::now();
     // Requests, instances, repeats allowed: 0.2 x requests + 0.7 x 50 / instances.
     for (requests, instances, allowed) in [(0, 1, 35), (0, 7, 5), (100, 7, 25), (10, 700, 2)] {
-        let mut repeats = Repeats::new(allowance);
+        let mut repeats = RetryLimiter::new(allowance);
         (0..requests).for_each(|_| repeats.requested(now, "s"));
         let n = (0..500).filter(|_| repeats.repeat(now, "s", instances)).count();
         assert_eq!(n, allowed, "{requests} requests, {instances} instances");
@@ -153,7 +153,7 @@
         [(160, 200, 140), (100, 200, 100), (100, 100, 50), (200, 200, 200)]
     {
         let start = Instant::now();
-        let mut repeats = Repeats::new(allowance);
+        let mut repeats = RetryLimiter::new(allowance);
         let (mut first, mut again) = (Vec::new(), Vec::new());
         for ms in 0..60_000_u32 {
             let now = start + MS * ms;
--- a/oxbowbend-gateway/src/gateway.rs
+++ b/oxbowbend-gateway/src/gateway.rs
@@ -14,7 +14,7 @@
 use oxbowbend_core::cell::Cell;
 use oxbowbend_core::ids::{InstanceId, ZoneId};
 use oxbowbend_core::quota::QuotaPolicy;
-use oxbowbend_core::retries::{Allowance, Repeats};
+use oxbowbend_core::retries::{Allowance, RetryLimiter};
 use oxbowbend_core::rollout::{RolloutBounds, Rollouts};
 use oxbowbend_http::h1;
 use thiserror::Error;
@@ -129,7 +129,7 @@
             (cell, cfg.cell_size),
             Sources::new(cfg.in_force),
             AdmissionController::new(cfg.quotas),
-            Repeats::new(cfg.repeats),
+            RetryLimiter::new(cfg.repeats),
             Rollouts::new(cfg.rollouts),
         );
         let door = Arc::new(h1::Door::default());
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -16,7 +16,7 @@
 use oxbowbend_core::ids::{AccountId, EndpointKey, InstanceId, ZoneId};
 use oxbowbend_core::quarantine::Quarantine;
 use oxbowbend_core::quota::SnapshotAge;
-use oxbowbend_core::retries::Repeats;
+use oxbowbend_core::retries::RetryLimiter;
 use oxbowbend_core::rollout::Rollouts;
 use oxbowbend_core::routes::{Endpoint, Table};
 use oxbowbend_core::shutdown::Shutdown;
@@ -36,7 +36,7 @@
     pub(crate) world: World,
     pub(crate) cell: Cell,
     pub(crate) admission: AdmissionController,
-    pub(crate) repeats: Repeats,
+    pub(crate) repeats: RetryLimiter,
     pub(crate) ages: AgeEstimator,
     pub(crate) quarantine: Quarantine,
     pub(crate) rollouts: Rollouts,
@@ -224,7 +224,7 @@
         (cell, cell_size): (Cell, usize),
         sources: Sources,
         admission: AdmissionController,
-        repeats: Repeats,
+        repeats: RetryLimiter,
         rollouts: Rollouts,
     ) -> (Shared, channel::Receiver<()>) {
         let (changed, rx) = channel::bounded(1);
