--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -25,7 +25,7 @@
 
 /// Bound on repeats.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowance {
+pub struct RetryLimit {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats beside that, over all instances.
@@ -47,13 +47,13 @@
 /// Repeats of all services at one instance.
 #[derive(Debug)]
 pub struct RetryLimiter {
-    allowance: Allowance,
+    allowance: RetryLimit,
     services: HashMap<ServiceId, Counts>,
 }
 
 impl RetryLimiter {
     /// Counts nothing yet.
-    pub fn new(allowance: Allowance) -> RetryLimiter {
+    pub fn new(allowance: RetryLimit) -> RetryLimiter {
         RetryLimiter { allowance, services: HashMap::new() }
     }
 
@@ -64,7 +64,7 @@
 
     /// Whether a request may be sent once more; counts it if so.
     pub fn repeat(&mut self, now: Instant, service: &str, instances: usize) -> bool {
-        let Allowance { ratio, fixed, window } = self.allowance;
+        let RetryLimit { ratio, fixed, window } = self.allowance;
         let counts = self.counts(now, service);
         let fixed = fixed * USED / instances.max(1) as f64;
         let allowed = counts.sure_requests(now, window) as f64 * ratio + fixed;
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::quota::{QuotaPolicy, Quotas, SnapshotAge};
-use oxbowbend_core::retries::{Allowance, RetryLimiter};
+use oxbowbend_core::retries::{RetryLimit, RetryLimiter};
 use oxbowbend_core::routes::Quota;
 
 const S: Duration = Duration::from_secs(1);
@@ -129,7 +129,7 @@
 
 #[test]
 fn repeats_keep_to_ratio_and_share() {
-    let allowance = Allowance { ratio: 0.2, fixed: 50.0, window: 10 * S };
+    let allowance = RetryLimit { ratio: 0.2, fixed: 50.0, window: 10 * S };
     let now = Instant::now();
     // Requests, instances, repeats allowed: 0.2 x requests + 0.7 x 50 / instances.
     for (requests, instances, allowed) in [(0, 1, 35), (0, 7, 5), (100, 7, 25), (10, 700, 2)] {
@@ -147,7 +147,7 @@
 #[test]
 fn repeats_after_a_crest_stay_within_every_window() {
     const MS: Duration = Duration::from_millis(1);
-    let allowance = Allowance { ratio: 0.2, fixed: 50.0, window: 10 * S };
+    let allowance = RetryLimit { ratio: 0.2, fixed: 50.0, window: 10 * S };
     // Requests a second until 20 s, for the next 10 s, and after that.
     for (before, crest, after) in
         [(160, 200, 140), (100, 200, 100), (100, 100, 50), (200, 200, 200)]
--- a/oxbowbend-gateway/src/gateway.rs
+++ b/oxbowbend-gateway/src/gateway.rs
@@ -14,7 +14,7 @@
 use oxbowbend_core::cell::Cell;
 use oxbowbend_core::ids::{InstanceId, ZoneId};
 use oxbowbend_core::quota::QuotaPolicy;
-use oxbowbend_core::retries::{Allowance, RetryLimiter};
+use oxbowbend_core::retries::{RetryLimit, RetryLimiter};
 use oxbowbend_core::rollout::{RolloutBounds, Rollouts};
 use oxbowbend_http::h1;
 use thiserror::Error;
@@ -69,7 +69,7 @@
     /// Time between the signal to stop and the end by force.
     pub grace: Duration,
     /// Bound on repeats over all instances.
-    pub repeats: Allowance,
+    pub repeats: RetryLimit,
     /// Bounds of roll-outs over all instances.
     pub rollouts: RolloutBounds,
     /// Bounds of quotas over all instances.
