--- a/oxbowbend-core/src/lib.rs
+++ b/oxbowbend-core/src/lib.rs
@@ -12,7 +12,7 @@
 instance owns. The daemon feeds it [`node::Event`]s and carries out the [`node::Action`]s.
 
 [`cell::Cell`] is the decision where endpoints do not promise their slots: every instance tells the
-others what it runs and what waits, and all come to the same order on their own. [`routes::Table`],
+others what it runs and what waits, and all come to the same order on their own. [`routes::RoutingTable`],
 [`quota::Quotas`] and [`retries::RetryLimiter`] stand beside it.
 
 # Limits
--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -1,6 +1,6 @@
 //! What the operator has declared for plain routing: routes, client accounts, services, limits.
 //!
-//! A [`Table`] is one version of it, whole and immutable. A table is never changed in place, so
+//! A [`RoutingTable`] is one version of it, whole and immutable. A table is never changed in place, so
 //! that a request is handled by one version from its arrival to its end, whatever comes in force
 //! meanwhile.
 
@@ -147,7 +147,7 @@
 
 /// One version of the operator's configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Table {
+pub struct RoutingTable {
     version: u64,
     limits: Limits,
     by_host: HashMap<String, Vec<Arc<Route>>>,
@@ -156,10 +156,10 @@
     services: HashMap<ServiceId, Service>,
 }
 
-impl Table {
+impl RoutingTable {
     /// Builds a table. Of two accounts with the same key the later one has it.
-    pub fn new(version: u64, limits: Limits) -> Table {
-        Table {
+    pub fn new(version: u64, limits: Limits) -> RoutingTable {
+        RoutingTable {
             version,
             limits,
             by_host: HashMap::new(),
@@ -202,10 +202,10 @@
     /// The route of a request: of its host, the one with the longest prefix of its path.
     ///
     /// ```
-    /// use oxbowbend_core::routes::{Limits, Table};
+    /// use oxbowbend_core::routes::{Limits, RoutingTable};
     /// use std::time::Duration;
     /// let limits = Limits { head: 8192, body: 1 << 20, idle: Duration::from_secs(60) };
-    /// assert!(Table::new(1, limits).route("example.org", "/a/").is_none());
+    /// assert!(RoutingTable::new(1, limits).route("example.org", "/a/").is_none());
     /// ```
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(&host.to_ascii_lowercase())?;
@@ -230,10 +230,10 @@
     /// Connections that the most modest service accepts, from all instances together.
     ///
     /// ```
-    /// use oxbowbend_core::routes::{Limits, Service, Table};
+    /// use oxbowbend_core::routes::{Limits, RoutingTable, Service};
     /// use std::time::Duration;
     /// let limits = Limits { head: 8192, body: 1 << 20, idle: Duration::from_secs(60) };
-    /// let mut table = Table::new(1, limits);
+    /// let mut table = RoutingTable::new(1, limits);
     /// table.add_service("s".into(), Service { connections: 96, tokens_per_event: 0 });
     /// assert_eq!(table.fewest_connections(), Some(96));
     /// ```
--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oxbowbend_core::routes::{Account, Limits, Repeat, Route, Table};
+use oxbowbend_core::routes::{Account, Limits, Repeat, Route, RoutingTable};
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
     Route {
@@ -22,9 +22,9 @@
     }
 }
 
-fn table() -> Table {
+fn table() -> RoutingTable {
     let limits = Limits { head: 16384, body: 1 << 20, idle: Duration::from_secs(15) };
-    let mut table = Table::new(7, limits);
+    let mut table = RoutingTable::new(7, limits);
     table.add_route(route("short", "h.example", "/a/"));
     table.add_route(route("long", "h.example", "/a/b/"));
     table.add_route(route("other", "o.example", "/"));
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use oxbowbend_core::cell::Stall;
 use oxbowbend_core::fingerprint::{fingerprint, Fingerprint};
-use oxbowbend_core::routes::{Account, Route, Table};
+use oxbowbend_core::routes::{Account, Route, RoutingTable};
 use rand::Rng;
 
 use super::job::Job;
@@ -63,7 +63,7 @@
     }
 
     /// Waits a moment for what the store holds, after a start.
-    async fn await_table(&self, arrived: Instant) -> Result<Arc<Table>, Refusal> {
+    async fn await_table(&self, arrived: Instant) -> Result<Arc<RoutingTable>, Refusal> {
         let is_store_away = self.shared.lock().world.is_store_away();
         if !is_store_away && future::timeout(LOADING, self.shared.loaded()).await.is_ok() {
             if let Some(table) = self.shared.table() {
@@ -86,7 +86,7 @@
 
     fn check(
         &self,
-        table: &Table,
+        table: &RoutingTable,
         head: request::Parts,
         ask: Ask,
         body: Bytes,
@@ -152,7 +152,11 @@
     }
 }
 
-fn account<'a>(table: &'a Table, route: &Route, ask: &Ask) -> Result<Option<&'a Account>, Refusal> {
+fn account<'a>(
+    table: &'a RoutingTable,
+    route: &Route,
+    ask: &Ask,
+) -> Result<Option<&'a Account>, Refusal> {
     let account = ask.key.as_ref().and_then(|key| table.account_of(key));
     match account {
         Some(account) => Ok(Some(account)),
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -9,7 +9,7 @@
 use oxbowbend_core::ids::ServiceId;
 use oxbowbend_core::rollout::evidence::{Answer, SideCounts};
 use oxbowbend_core::rollout::{Change, Order, Part, Phase, Status, Teller, ToldRollout, Why};
-use oxbowbend_core::routes::{Endpoint, Table};
+use oxbowbend_core::routes::{Endpoint, RoutingTable};
 
 use crate::observe;
 use crate::seam::{NotedStatus, Store, StoreError};
@@ -133,7 +133,7 @@
     }
 }
 
-fn longest(table: Option<&Table>, service: &ServiceId) -> Duration {
+fn longest(table: Option<&RoutingTable>, service: &ServiceId) -> Duration {
     table.map_or(Duration::ZERO, |table| table.longest(service))
 }
 
--- a/oxbowbend-gateway/src/seam.rs
+++ b/oxbowbend-gateway/src/seam.rs
@@ -13,7 +13,7 @@
 use oxbowbend_core::quarantine::ToldVerdict;
 use oxbowbend_core::quota::WindowUsage;
 use oxbowbend_core::rollout::{Order, Status, ToldRollout};
-use oxbowbend_core::routes::{Endpoint, Table};
+use oxbowbend_core::routes::{Endpoint, RoutingTable};
 use oxbowbend_core::subscription::Call;
 use thiserror::Error;
 
@@ -121,7 +121,7 @@
     /// # Errors
     ///
     /// Fails with all that is wrong.
-    fn table(&self, document: &[u8]) -> Result<Table, Unreadable>;
+    fn table(&self, document: &[u8]) -> Result<RoutingTable, Unreadable>;
 }
 
 /// How an instance enters itself in the store.
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -18,7 +18,7 @@
 use oxbowbend_core::quota::SnapshotAge;
 use oxbowbend_core::retries::RetryLimiter;
 use oxbowbend_core::rollout::Rollouts;
-use oxbowbend_core::routes::{Endpoint, Table};
+use oxbowbend_core::routes::{Endpoint, RoutingTable};
 use oxbowbend_core::shutdown::Shutdown;
 use oxbowbend_core::subscription::GivenUp;
 
@@ -267,7 +267,7 @@
     }
 
     /// The configuration in force, if requests can be served.
-    pub(crate) fn table(&self) -> Option<Arc<Table>> {
+    pub(crate) fn table(&self) -> Option<Arc<RoutingTable>> {
         let state = self.lock();
         state.world.table().filter(|_| state.world.is_loaded()).cloned()
     }
--- a/oxbowbend-gateway/src/world/mod.rs
+++ b/oxbowbend-gateway/src/world/mod.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use oxbowbend_core::ids::{EndpointId, InstanceId, ServiceId, ZoneId};
 use oxbowbend_core::rollout::Order;
-use oxbowbend_core::routes::{Endpoint, Table};
+use oxbowbend_core::routes::{Endpoint, RoutingTable};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::seam::{Entry, Epoch, Named, Position, Record, Revision, Snapshot, UnreadableEntry};
@@ -53,7 +53,7 @@
     position: Position,
     is_loaded: bool,
     document: Bytes,
-    table: Option<Arc<Table>>,
+    table: Option<Arc<RoutingTable>>,
     endpoints: Endpoints,
     instances: BTreeMap<InstanceId, Entry>,
     /// Orders of roll-outs.
@@ -80,7 +80,7 @@
     }
 
     /// The configuration in force.
-    pub fn table(&self) -> Option<&Arc<Table>> {
+    pub fn table(&self) -> Option<&Arc<RoutingTable>> {
         self.table.as_ref()
     }
 
@@ -168,7 +168,7 @@
     /// Takes in everything that the store holds.
     pub fn load<F>(&mut self, now: Instant, snapshot: Snapshot, read: F) -> Vec<News>
     where
-        F: Fn(&[u8]) -> Result<Table, String>,
+        F: Fn(&[u8]) -> Result<RoutingTable, String>,
     {
         if snapshot.epoch < self.epoch() {
             return vec![News::Outdated(snapshot.position())];
@@ -183,7 +183,7 @@
     /// Takes in everything that the store holds, but for orders of roll-outs, as another instance tells it.
     fn load_told<F>(&mut self, now: Instant, snapshot: Snapshot, read: F) -> Vec<News>
     where
-        F: Fn(&[u8]) -> Result<Table, String>,
+        F: Fn(&[u8]) -> Result<RoutingTable, String>,
     {
         let is_restored = self.is_restored(&snapshot);
         let missing = self.endpoints.missing(&snapshot);
@@ -231,7 +231,7 @@
     /// Takes in changes.
     pub fn change<F>(&mut self, now: Instant, changes: Snapshot, read: F) -> Vec<News>
     where
-        F: Fn(&[u8]) -> Result<Table, String>,
+        F: Fn(&[u8]) -> Result<RoutingTable, String>,
     {
         self.take(now, changes, Origin::Change, read)
     }
@@ -239,7 +239,7 @@
     /// Takes in records.
     fn take<F>(&mut self, now: Instant, changes: Snapshot, origin: Origin, read: F) -> Vec<News>
     where
-        F: Fn(&[u8]) -> Result<Table, String>,
+        F: Fn(&[u8]) -> Result<RoutingTable, String>,
     {
         let mut news = Vec::new();
         let position = changes.position();
@@ -268,7 +268,7 @@
     /// is, with those that it keeps for a moment, unless this instance has newer word.
     pub fn copy<F>(&mut self, now: Instant, snapshot: Snapshot, read: F) -> Vec<News>
     where
-        F: Fn(&[u8]) -> Result<Table, String>,
+        F: Fn(&[u8]) -> Result<RoutingTable, String>,
     {
         if snapshot.position() < self.position {
             return self.learn(now, snapshot, Teller::Other, read);
@@ -285,7 +285,7 @@
     /// Takes in the rest of what an instance knows that has the same list of endpoints.
     pub fn confirm<F>(&mut self, now: Instant, snapshot: Snapshot, read: F) -> Vec<News>
     where
-        F: Fn(&[u8]) -> Result<Table, String>,
+        F: Fn(&[u8]) -> Result<RoutingTable, String>,
     {
         self.replace_instances(&snapshot);
         self.change(now, Snapshot { epoch: 0, revision: 0, ..snapshot }, read)
@@ -302,7 +302,7 @@
         read: F,
     ) -> Vec<News>
     where
-        F: Fn(&[u8]) -> Result<Table, String>,
+        F: Fn(&[u8]) -> Result<RoutingTable, String>,
     {
         let snapshot = self.without_lapsed(snapshot);
         if self.is_cut_off() {
@@ -358,7 +358,7 @@
 
     fn configure<F>(&mut self, document: Bytes, read: F) -> Option<News>
     where
-        F: Fn(&[u8]) -> Result<Table, String>,
+        F: Fn(&[u8]) -> Result<RoutingTable, String>,
     {
         if !self.document.is_empty() && document == self.document {
             return None;
--- a/oxbowbend-gateway/tests/world.rs
+++ b/oxbowbend-gateway/tests/world.rs
@@ -3,16 +3,16 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use oxbowbend_core::routes::{Endpoint, Limits, Table};
+use oxbowbend_core::routes::{Endpoint, Limits, RoutingTable};
 use oxbowbend_gateway::seam::{Record, Snapshot};
 use oxbowbend_gateway::world::{News, Teller, World, CONFIRM, LAPSE};
 
 /// The version is the document.
-fn read(document: &[u8]) -> Result<Table, String> {
+fn read(document: &[u8]) -> Result<RoutingTable, String> {
     let text = std::str::from_utf8(document).map_err(|e| e.to_string())?;
     let version = text.parse().map_err(|_| format!("{text} is no version"))?;
     let limits = Limits { head: 1, body: 1, idle: Duration::from_secs(1) };
-    Ok(Table::new(version, limits))
+    Ok(RoutingTable::new(version, limits))
 }
 
 fn config(version: &'static str) -> Record {
