--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -87,7 +87,7 @@
 
 /// Bounds on what callers may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
+pub struct RequestLimits {
     /// Bytes of a head.
     pub head: usize,
     /// Bytes of a body.
@@ -149,7 +149,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingTable {
     version: u64,
-    limits: Limits,
+    limits: RequestLimits,
     by_host: HashMap<String, Vec<Arc<Route>>>,
     accounts: HashMap<AccountId, Account>,
     by_key: HashMap<String, AccountId>,
@@ -158,7 +158,7 @@
 
 impl RoutingTable {
     /// Builds a table. Of two accounts with the same key the later one has it.
-    pub fn new(version: u64, limits: Limits) -> RoutingTable {
+    pub fn new(version: u64, limits: RequestLimits) -> RoutingTable {
         RoutingTable {
             version,
             limits,
@@ -195,16 +195,16 @@
     }
 
     /// Bounds on what callers may send.
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> RequestLimits {
         self.limits
     }
 
     /// The route of a request: of its host, the one with the longest prefix of its path.
     ///
     /// ```
-    /// use oxbowbend_core::routes::{Limits, RoutingTable};
+    /// use oxbowbend_core::routes::{RequestLimits, RoutingTable};
     /// use std::time::Duration;
-    /// let limits = Limits { head: 8192, body: 1 << 20, idle: Duration::from_secs(60) };
+    /// let limits = RequestLimits { head: 8192, body: 1 << 20, idle: Duration::from_secs(60) };
     /// assert!(RoutingTable::new(1, limits).route("example.org", "/a/").is_none());
     /// ```
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
@@ -230,9 +230,9 @@
     /// Connections that the most modest service accepts, from all instances together.
     ///
     /// ```
-    /// use oxbowbend_core::routes::{Limits, RoutingTable, Service};
+    /// use oxbowbend_core::routes::{RequestLimits, RoutingTable, Service};
     /// use std::time::Duration;
-    /// let limits = Limits { head: 8192, body: 1 << 20, idle: Duration::from_secs(60) };
+    /// let limits = RequestLimits { head: 8192, body: 1 << 20, idle: Duration::from_secs(60) };
     /// let mut table = RoutingTable::new(1, limits);
     /// table.add_service("s".into(), Service { connections: 96, tokens_per_event: 0 });
     /// assert_eq!(table.fewest_connections(), Some(96));
--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oxbowbend_core::routes::{Account, Limits, Repeat, Route, RoutingTable};
+use oxbowbend_core::routes::{Account, Repeat, RequestLimits, Route, RoutingTable};
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
     Route {
@@ -23,7 +23,7 @@
 }
 
 fn table() -> RoutingTable {
-    let limits = Limits { head: 16384, body: 1 << 20, idle: Duration::from_secs(15) };
+    let limits = RequestLimits { head: 16384, body: 1 << 20, idle: Duration::from_secs(15) };
     let mut table = RoutingTable::new(7, limits);
     table.add_route(route("short", "h.example", "/a/"));
     table.add_route(route("long", "h.example", "/a/b/"));
