--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -14,7 +14,7 @@
 
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// A request may run more than once.
     Idempotent,
     /// A request runs at most once.
@@ -33,7 +33,7 @@
     /// Services with their weights.
     pub targets: Vec<(ServiceId, u32)>,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Whether the answer is a stream of events.
     pub stream: bool,
     /// Whether a broken stream may be continued by another endpoint.
--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oxbowbend_core::routes::{Account, Repeat, RequestLimits, Route, RoutingTable};
+use oxbowbend_core::routes::{Account, Idempotency, RequestLimits, Route, RoutingTable};
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
     Route {
@@ -10,7 +10,7 @@
         host: host.to_owned(),
         prefix: prefix.to_owned(),
         targets: vec![("one".into(), 90), ("two".into(), 10)],
-        repeat: Repeat::Once,
+        repeat: Idempotency::Once,
         stream: false,
         resumable: false,
         sends: 1,
--- a/oxbowbend-gateway/src/relay/job.rs
+++ b/oxbowbend-gateway/src/relay/job.rs
@@ -8,7 +8,7 @@
 use oxbowbend_core::cell::Stall;
 use oxbowbend_core::fingerprint::Fingerprint;
 use oxbowbend_core::ids::{AccountId, ServiceId};
-use oxbowbend_core::routes::{Repeat, Route};
+use oxbowbend_core::routes::{Idempotency, Route};
 
 use crate::seam::Ask;
 
@@ -38,7 +38,7 @@
     pub(crate) fn is_repeatable(&self) -> bool {
         match self.route.stream {
             true => self.route.resumable,
-            false => self.route.repeat == Repeat::Idempotent,
+            false => self.route.repeat == Idempotency::Idempotent,
         }
     }
 }
