--- a/oxbowbend-core/src/scheduler/site.rs
+++ b/oxbowbend-core/src/scheduler/site.rs
@@ -29,7 +29,7 @@
     pub(super) id: ids::EndpointId,
     pub(super) endpoint: topology::Endpoint,
     pub(super) offers: BTreeMap<ids::InstanceId, Offered>,
-    pub(super) speed: speed::Speed,
+    pub(super) speed: speed::SpeedEstimate,
     pub(super) cache: cache::PrefixCache,
     pub(super) breaker: budget::CircuitBreaker,
     pub(super) running: u32,
@@ -42,7 +42,7 @@
     pub(super) fn new(id: ids::EndpointId, endpoint: topology::Endpoint) -> Site {
         Site {
             id,
-            speed: speed::Speed::new(endpoint.prefill_rate, endpoint.decode_rate),
+            speed: speed::SpeedEstimate::new(endpoint.prefill_rate, endpoint.decode_rate),
             cache: cache::PrefixCache::new(endpoint.cache_tokens),
             endpoint,
             offers: BTreeMap::new(),
--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -23,12 +23,12 @@
 /// Estimates for one endpoint.
 ///
 /// ```
-/// use oxbowbend_core::speed::Speed;
-/// let speed = Speed::new(1000.0, 10.0);
+/// use oxbowbend_core::speed::SpeedEstimate;
+/// let speed = SpeedEstimate::new(1000.0, 10.0);
 /// assert_eq!(speed.predict_seconds(500, 20), 2.5);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Speed {
+pub struct SpeedEstimate {
     prefill: f64,
     decode: f64,
     history: f64,
@@ -37,13 +37,13 @@
     probing: bool,
 }
 
-impl Speed {
+impl SpeedEstimate {
     /// Starts from declared rates in tokens per second.
-    pub fn new(prefill_rate: f64, decode_rate: f64) -> Speed {
+    pub fn new(prefill_rate: f64, decode_rate: f64) -> SpeedEstimate {
         let decode = 1.0 / decode_rate.max(f64::MIN_POSITIVE);
         let prefill = 1.0 / prefill_rate.max(f64::MIN_POSITIVE);
         let (history, runs) = (1.0, 0);
-        Speed { prefill, decode, history, runs, straggling_since: None, probing: false }
+        SpeedEstimate { prefill, decode, history, runs, straggling_since: None, probing: false }
     }
 
     /// Learns from a finished run.
@@ -99,7 +99,7 @@
     }
 
     /// Whether the endpoint should be passed over. After a while it is let through once; the
-    /// caller then says so with [`Speed::probe`].
+    /// caller then says so with [`SpeedEstimate::probe`].
     pub fn avoid(&self, now: Instant) -> bool {
         match self.straggling_since {
             None => false,
--- a/oxbowbend-core/tests/properties.rs
+++ b/oxbowbend-core/tests/properties.rs
@@ -8,7 +8,7 @@
 use oxbowbend_core::membership::pick;
 use oxbowbend_core::message::{RunEnd, RunReport};
 use oxbowbend_core::queue::{Item, Queue};
-use oxbowbend_core::speed::Speed;
+use oxbowbend_core::speed::SpeedEstimate;
 use quickcheck::{quickcheck, TestResult};
 
 fn item(n: usize, account: u8, tier: u8, work: u16) -> Item {
@@ -127,7 +127,7 @@
     /// Predictions stay finite and positive, whatever is reported.
     fn predictions_stay_sane(reports: Vec<(u16, u16, u16, u16)>) -> bool {
         let now = Instant::now();
-        let mut speed = Speed::new(1000.0, 10.0);
+        let mut speed = SpeedEstimate::new(1000.0, 10.0);
         for (first, total, prompt, output) in reports {
             let report = RunReport {
                 end: RunEnd::Complete,
