--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -63,10 +63,10 @@
     }
 
     /// Puts the quotas of a configuration in force.
-    pub fn set<'a>(&mut self, quotas: impl IntoIterator<Item = (&'a AccountId, Quota)>) {
+    pub fn configure<'a>(&mut self, quotas: impl IntoIterator<Item = (&'a AccountId, Quota)>) {
         let quotas: Vec<_> = quotas.into_iter().collect();
-        self.quotas.set(quotas.iter().copied());
-        self.buckets.set(quotas);
+        self.quotas.configure(quotas.iter().copied());
+        self.buckets.configure(quotas);
     }
 
     /// Sets the share of the fleet that is heard, this instance included.
--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -117,7 +117,7 @@
     }
 
     /// Puts the quotas of a configuration in force. What accounts have used stays.
-    pub fn set<'a>(&mut self, quotas: impl IntoIterator<Item = (&'a AccountId, Quota)>) {
+    pub fn configure<'a>(&mut self, quotas: impl IntoIterator<Item = (&'a AccountId, Quota)>) {
         let mut old = std::mem::take(&mut self.usages);
         for (account, quota) in quotas {
             let usage = match old.remove(account) {
--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -53,7 +53,7 @@
     }
 
     /// Puts the quotas of a configuration in force. Levels stay.
-    pub fn set<'a>(&mut self, quotas: impl IntoIterator<Item = (&'a AccountId, Quota)>) {
+    pub fn configure<'a>(&mut self, quotas: impl IntoIterator<Item = (&'a AccountId, Quota)>) {
         let mut old = std::mem::take(&mut self.buckets);
         for (account, quota) in quotas {
             let level = old.remove(account).and_then(|bucket| bucket.level);
--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -17,7 +17,7 @@
 
 fn admission() -> AdmissionController {
     let mut admission = AdmissionController::new(BOUNDS);
-    admission.set([(&"a".into(), QUOTA)]);
+    admission.configure([(&"a".into(), QUOTA)]);
     admission
 }
 
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -44,7 +44,7 @@
         let name = format!("i{n:02}");
         let cell = Cell::new(name.as_str().into(), "z".into(), life);
         let mut quotas = Quotas::new(BOUNDS);
-        quotas.set([(&"a".into(), QUOTA)]);
+        quotas.configure([(&"a".into(), QUOTA)]);
         let (represents, is_up, is_stopping) = (None, true, false);
         Node { name, cell, quotas, since: now, represents, is_up, is_stopping }
     }
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -14,7 +14,7 @@
 
 fn quotas() -> Quotas {
     let mut quotas = Quotas::new(BOUNDS);
-    quotas.set([(&"a".into(), QUOTA)]);
+    quotas.configure([(&"a".into(), QUOTA)]);
     quotas
 }
 
@@ -117,7 +117,7 @@
     let now = start + 9 * S;
     let mut quotas = quotas();
     quotas.admit(now, "a", 700).expect("the window is empty");
-    quotas.set([(&"a".into(), Quota { per_s: 50.0, burst: 50.0 })]);
+    quotas.configure([(&"a".into(), Quota { per_s: 50.0, burst: 50.0 })]);
     assert_eq!(admitted(&mut quotas, now), 0);
 }
 
@@ -229,7 +229,7 @@
     assert!(quotas.is_busy());
     // The smaller the part of the fleet that is heard, the sooner.
     let mut alone = Quotas::new(BOUNDS);
-    alone.set([(&"a".into(), QUOTA)]);
+    alone.configure([(&"a".into(), QUOTA)]);
     alone.set_share(0.5);
     alone.admit(now, "a", 271).expect("room");
     assert!(alone.is_busy());
@@ -271,7 +271,7 @@
     let account = "a".into();
     let fresh = || {
         let mut quotas = Quotas::new(bounds);
-        quotas.set([(&account, quota)]);
+        quotas.configure([(&account, quota)]);
         quotas
     };
     // (units of the window told, admitted here before, heard of before, may still be admitted)
--- a/oxbowbend-core/tests/reach.rs
+++ b/oxbowbend-core/tests/reach.rs
@@ -57,7 +57,7 @@
         .iter()
         .map(|reach| {
             let mut quotas = Quotas::new(BOUNDS);
-            quotas.set([(&"a".into(), QUOTA)]);
+            quotas.configure([(&"a".into(), QUOTA)]);
             quotas.set_share((reach.covered + 1) as f64 / INSTANCES as f64);
             quotas
         })
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -290,7 +290,7 @@
         if news.iter().any(|n| matches!(n, News::Config(_))) {
             if let Some(table) = world.table() {
                 let limited = table.accounts().filter_map(|a| Some((&a.name, a.quota?)));
-                admission.set(limited);
+                admission.configure(limited);
                 ages.clear();
             }
         }
