--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -138,7 +138,7 @@
     }
 
     /// Sets the share of the fleet that is heard, this instance included.
-    pub fn set_share(&mut self, share: f64) {
+    pub fn set_reachable_share(&mut self, share: f64) {
         self.share = share.clamp(0.0, 1.0);
     }
 
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -80,7 +80,7 @@
             .iter()
             .map(|share| {
                 let mut quotas = quotas();
-                quotas.set_share(*share);
+                quotas.set_reachable_share(*share);
                 admitted(&mut quotas, now)
             })
             .sum();
@@ -230,7 +230,7 @@
     // The smaller the part of the fleet that is heard, the sooner.
     let mut alone = Quotas::new(BOUNDS);
     alone.configure([(&"a".into(), QUOTA)]);
-    alone.set_share(0.5);
+    alone.set_reachable_share(0.5);
     alone.admit(now, "a", 271).expect("room");
     assert!(alone.is_busy());
 }
@@ -246,7 +246,7 @@
     {
         let mut fresh = quotas();
         fresh.restore(now, "a", &[0, noted], SnapshotAge::Fresh);
-        fresh.set_share(1.0 / instances);
+        fresh.set_reachable_share(1.0 / instances);
         assert_eq!(admitted(&mut fresh, now), room, "{instances} instances, {noted} noted");
     }
 }
--- a/oxbowbend-core/tests/reach.rs
+++ b/oxbowbend-core/tests/reach.rs
@@ -58,7 +58,7 @@
         .map(|reach| {
             let mut quotas = Quotas::new(BOUNDS);
             quotas.configure([(&"a".into(), QUOTA)]);
-            quotas.set_share((reach.covered + 1) as f64 / INSTANCES as f64);
+            quotas.set_reachable_share((reach.covered + 1) as f64 / INSTANCES as f64);
             quotas
         })
         .collect();
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -127,7 +127,7 @@
         // instances do not agree on who belongs to it, each hears somebody whom another does not.
         let covered = if self.group.cells > 1 { near } else { covered };
         let share = part(self.heard(now), self.instances.saturating_sub(1));
-        self.admission.set_share(share * part(covered, near));
+        self.admission.set_reachable_share(share * part(covered, near));
         self.cell.set_share(part(near, self.group.peers.len()));
     }
 
