--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -93,7 +93,7 @@
             return Err(QuotaExceeded { bound: QuotaKind::Rate, retry_after, usage });
         }
         self.quotas.admit(now, account, units).map_err(|retry_after| {
-            self.buckets.give_back(account, units);
+            self.buckets.refund(account, units);
             QuotaExceeded { bound: QuotaKind::Window, retry_after, usage: self.usage(account) }
         })
     }
@@ -106,9 +106,9 @@
     }
 
     /// Gives back the units of a request that has not run.
-    pub fn give_back(&mut self, account: &str, units: u64) {
-        self.quotas.give_back(account, units);
-        self.buckets.give_back(account, units);
+    pub fn refund(&mut self, account: &str, units: u64) {
+        self.quotas.refund(account, units);
+        self.buckets.refund(account, units);
     }
 
     /// Adds what another instance has admitted, or another cell.
--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -173,7 +173,7 @@
     }
 
     /// Gives back the units of a request that has not run.
-    pub fn give_back(&mut self, account: &str, units: u64) {
+    pub fn refund(&mut self, account: &str, units: u64) {
         if let Some(usage) = self.usages.get_mut(account) {
             usage.live.take_back(units as f64);
             usage.near_lately.take_back(units as f64);
--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -110,7 +110,7 @@
     }
 
     /// Gives back the units of a request that has not run.
-    pub fn give_back(&mut self, account: &str, units: u64) {
+    pub fn refund(&mut self, account: &str, units: u64) {
         let bucket = self.buckets.get_mut(account);
         if let Some((level, _)) = bucket.and_then(|bucket| bucket.level.as_mut()) {
             *level += units as f64;
--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -90,7 +90,7 @@
     let mut admission = admission();
     admission.draw(now, "a", 345_000.0, true);
     assert!(admission.admit(now, "a", 10_000, 0).is_err());
-    admission.give_back("a", 10_000);
+    admission.refund("a", 10_000);
     assert!(admission.admit(now, "a", 10_000, 0).is_ok());
 }
 
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -96,7 +96,7 @@
     let mut quotas = quotas();
     assert!(quotas.admit(now, "a", 1014).is_ok());
     assert!(quotas.admit(now, "a", 1).is_err());
-    quotas.give_back("a", 1014);
+    quotas.refund("a", 1014);
     assert!(quotas.admit(now, "a", 1014).is_ok());
 }
 
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -251,7 +251,7 @@
 
     fn give_back(&self, job: &Job) {
         if let Some(account) = &job.account {
-            self.shared.lock().admission.give_back(account, job.units);
+            self.shared.lock().admission.refund(account, job.units);
         }
     }
 }
