--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -182,7 +182,7 @@
     }
 
     /// Adds what another instance has admitted, or another cell.
-    pub fn draw(&mut self, now: Instant, account: &str, units: f64, is_near: bool) {
+    pub fn record_remote(&mut self, now: Instant, account: &str, units: f64, is_near: bool) {
         if let Some(usage) = self.usages.get_mut(account) {
             match is_near {
                 true => {
--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -93,7 +93,7 @@
     }
 
     /// Takes out what others have admitted.
-    pub fn draw(&mut self, now: Instant, account: &str, units: f64) {
+    pub fn record_remote(&mut self, now: Instant, account: &str, units: f64) {
         let (bounds, share) = (self.bounds, self.share);
         if let Some(bucket) = self.buckets.get_mut(account) {
             let flow = bucket.flow(&bounds, share);
--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -88,7 +88,7 @@
 fn what_others_admit_and_what_did_not_run_counts() {
     let now = Instant::now();
     let mut admission = admission();
-    admission.draw(now, "a", 345_000.0, true);
+    admission.record_remote(now, "a", 345_000.0, true);
     assert!(admission.admit(now, "a", 10_000, 0).is_err());
     admission.refund("a", 10_000);
     assert!(admission.admit(now, "a", 10_000, 0).is_ok());
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -97,10 +97,10 @@
             }
         }
         for (account, units) in heard.spent.near {
-            self.quotas.draw(now, &account, units as f64, true);
+            self.quotas.record_remote(now, &account, units as f64, true);
         }
         for (account, units) in heard.spent.far {
-            self.quotas.draw(now, &account, units as f64, false);
+            self.quotas.record_remote(now, &account, units as f64, false);
         }
     }
 }
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -67,7 +67,7 @@
     let start = Instant::now();
     let now = start + 9 * S;
     let mut quotas = quotas();
-    quotas.draw(now, "a", 800.0, true);
+    quotas.record_remote(now, "a", 800.0, true);
     assert_eq!(admitted(&mut quotas, now), 214);
 }
 
@@ -256,8 +256,8 @@
     let now = Instant::now();
     let mut quotas = quotas();
     quotas.admit(now, "a", 5).expect("room");
-    quotas.draw(now, "a", 30.0, true);
-    quotas.draw(now, "a", 700.0, false);
+    quotas.record_remote(now, "a", 30.0, true);
+    quotas.record_remote(now, "a", 700.0, false);
     let told = |spent: Option<(&oxbowbend_core::ids::AccountId, u64)>| spent.map(|(_, n)| n);
     assert_eq!(told(quotas.spent().next()), Some(5));
     assert_eq!(told(quotas.cell_spent().next()), Some(35));
@@ -287,7 +287,7 @@
     for (told, admitted, heard, left) in cases {
         let (mut quotas, now) = (fresh(), Instant::now());
         assert_eq!(quotas.admit(now, "a", admitted), Ok(()));
-        quotas.draw(now, "a", heard, true);
+        quotas.record_remote(now, "a", heard, true);
         quotas.restore_told(now, "a", told);
         quotas.restore_told(now, "a", told);
         assert!(quotas.admit(now, "a", left + 1).is_err(), "{told:?}");
--- a/oxbowbend-core/tests/reach.rs
+++ b/oxbowbend-core/tests/reach.rs
@@ -67,7 +67,7 @@
         let mine = (0..200).filter(|_| quotas[at].admit(now, "a", 10).is_ok()).count() as u64 * 10;
         sum += mine;
         for other in (0..INSTANCES).filter(|other| links.are_linked(at, *other)) {
-            quotas[other].draw(now, "a", mine as f64, true);
+            quotas[other].record_remote(now, "a", mine as f64, true);
         }
     }
     sum
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -184,7 +184,7 @@
     /// Notes what others have admitted.
     fn draw(&mut self, now: Instant, spent: Vec<(AccountId, u64)>, is_near: bool) {
         for (account, units) in spent.into_iter().filter(|(_, units)| *units > 0) {
-            self.admission.draw(now, &account, units as f64, is_near);
+            self.admission.record_remote(now, &account, units as f64, is_near);
         }
     }
 
