--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AccountUsage {
     /// Units admitted in the window by this instance, and by others as they told.
-    pub live: f64,
+    pub admitted_units: f64,
     /// Units that were in the window before this instance's start, as was noted or told.
     pub noted: f64,
     /// Units that this instance may use of the window.
--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -164,7 +164,7 @@
     pub fn usage(&self, account: &str) -> AccountUsage {
         let Some(usage) = self.usages.get(account) else { return AccountUsage::default() };
         AccountUsage {
-            live: usage.live.sum,
+            admitted_units: usage.live.sum,
             noted: usage.noted.sum,
             limit: usage.usable(&self.bounds, self.share),
             share: self.share,
