--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -37,7 +37,7 @@
     /// Units admitted in the window by this instance, and by others as they told.
     pub admitted_units: f64,
     /// Units that were in the window before this instance's start, as was noted or told.
-    pub noted: f64,
+    pub restored_units: f64,
     /// Units that this instance may use of the window.
     pub limit: f64,
     /// Units left in the bucket; below 0, what others have taken beyond it.
--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -165,7 +165,7 @@
         let Some(usage) = self.usages.get(account) else { return AccountUsage::default() };
         AccountUsage {
             admitted_units: usage.live.sum,
-            noted: usage.noted.sum,
+            restored_units: usage.noted.sum,
             limit: usage.usable(&self.bounds, self.share),
             share: self.share,
             ..AccountUsage::default()
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -165,7 +165,7 @@
             beliefs.push(Belief {
                 _instance: node.name.clone(),
                 _at: now - start,
-                believed: usage.admitted_units + usage.noted,
+                believed: usage.admitted_units + usage.restored_units,
                 used: used as f64,
             });
         }
