--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -41,7 +41,7 @@
     /// Units that this instance may use of the window.
     pub limit: f64,
     /// Units left in the bucket; below 0, what others have taken beyond it.
-    pub level: f64,
+    pub bucket_level: f64,
     /// Units a second that the bucket gets.
     pub per_s: f64,
     /// Share of the fleet that is heard.
--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -104,7 +104,7 @@
     /// Adds what is known of an account's bucket.
     pub(crate) fn add_usage(&self, account: &str, usage: &mut AccountUsage) {
         if let Some(bucket) = self.buckets.get(account) {
-            usage.level = bucket.level.map_or(0.0, |(level, _)| level);
+            usage.bucket_level = bucket.level.map_or(0.0, |(level, _)| level);
             usage.per_s = bucket.flow(&self.bounds, self.share).per_s;
         }
     }
--- a/oxbowbend-gateway/src/relay/refusal.rs
+++ b/oxbowbend-gateway/src/relay/refusal.rs
@@ -144,8 +144,14 @@
 
 /// What a refusal over a quota was decided from.
 fn over_quota(account: &AccountId, exceeded: &QuotaExceeded, units: u64) -> String {
-    let AccountUsage { admitted_units: live, restored_units: noted, limit, level, per_s, share } =
-        exceeded.usage;
+    let AccountUsage {
+        admitted_units: live,
+        restored_units: noted,
+        limit,
+        bucket_level: level,
+        per_s,
+        share,
+    } = exceeded.usage;
     format!(
         "bound={:?} account={account} units={units} live={live:.0} noted={noted:.0} \
          limit={limit:.0} level={level:.0} per_s={per_s:.0} share={share:.3}",
