--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -43,7 +43,7 @@
     /// Units left in the bucket; below 0, what others have taken beyond it.
     pub bucket_level: f64,
     /// Units a second that the bucket gets.
-    pub per_s: f64,
+    pub refill_per_s: f64,
     /// Share of the fleet that is heard.
     pub share: f64,
 }
--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -105,7 +105,7 @@
     pub(crate) fn add_usage(&self, account: &str, usage: &mut AccountUsage) {
         if let Some(bucket) = self.buckets.get(account) {
             usage.bucket_level = bucket.level.map_or(0.0, |(level, _)| level);
-            usage.per_s = bucket.flow(&self.bounds, self.share).per_s;
+            usage.refill_per_s = bucket.flow(&self.bounds, self.share).per_s;
         }
     }
 
--- a/oxbowbend-gateway/src/relay/refusal.rs
+++ b/oxbowbend-gateway/src/relay/refusal.rs
@@ -149,7 +149,7 @@
         restored_units: noted,
         limit,
         bucket_level: level,
-        per_s,
+        refill_per_s: per_s,
         share,
     } = exceeded.usage;
     format!(
