--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -45,7 +45,7 @@
     /// Units a second that the bucket gets.
     pub refill_per_s: f64,
     /// Share of the fleet that is heard.
-    pub share: f64,
+    pub reachable_share: f64,
 }
 
 /// The bounds of all client accounts.
--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -167,7 +167,7 @@
             admitted_units: usage.live.sum,
             restored_units: usage.noted.sum,
             limit: usage.usable(&self.bounds, self.share),
-            share: self.share,
+            reachable_share: self.share,
             ..AccountUsage::default()
         }
     }
--- a/oxbowbend-gateway/src/relay/refusal.rs
+++ b/oxbowbend-gateway/src/relay/refusal.rs
@@ -150,7 +150,7 @@
         limit,
         bucket_level: level,
         refill_per_s: per_s,
-        share,
+        reachable_share: share,
     } = exceeded.usage;
     format!(
         "bound={:?} account={account} units={units} live={live:.0} noted={noted:.0} \
