--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaExceeded {
     /// Which bound it would pass.
-    pub bound: QuotaKind,
+    pub kind: QuotaKind,
     /// Time until there will be room.
     pub retry_after: Duration,
     /// What it was decided from.
@@ -90,11 +90,11 @@
     ) -> Result<(), QuotaExceeded> {
         if let Err(retry_after) = self.buckets.admit(now, account, units, rank) {
             let usage = self.usage(account);
-            return Err(QuotaExceeded { bound: QuotaKind::Rate, retry_after, usage });
+            return Err(QuotaExceeded { kind: QuotaKind::Rate, retry_after, usage });
         }
         self.quotas.admit(now, account, units).map_err(|retry_after| {
             self.buckets.refund(account, units);
-            QuotaExceeded { bound: QuotaKind::Window, retry_after, usage: self.usage(account) }
+            QuotaExceeded { kind: QuotaKind::Window, retry_after, usage: self.usage(account) }
         })
     }
 
--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -76,7 +76,7 @@
     let mut admission = admission();
     let wait = loop {
         if let Err(exceeded) = admission.admit(now, "a", 10_000, 0) {
-            assert_eq!(exceeded.bound, QuotaKind::Rate);
+            assert_eq!(exceeded.kind, QuotaKind::Rate);
             break exceeded.retry_after;
         }
     };
--- a/oxbowbend-gateway/src/relay/refusal.rs
+++ b/oxbowbend-gateway/src/relay/refusal.rs
@@ -155,6 +155,6 @@
     format!(
         "bound={:?} account={account} units={units} live={live:.0} noted={noted:.0} \
          limit={limit:.0} level={level:.0} per_s={per_s:.0} share={share:.3}",
-        exceeded.bound
+        exceeded.kind
     )
 }
