--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -199,7 +199,7 @@
     }
 
     /// Whether an account is so near its limit that the others must know at once what is admitted.
-    pub fn is_busy(&self) -> bool {
+    pub fn is_near_limit(&self) -> bool {
         self.usages.values().any(|u| {
             let limit = (u.limit(&self.bounds) - u.noted.sum) * self.share;
             u.live.sum > limit * BUSY_SHARE
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -224,15 +224,15 @@
     let now = Instant::now();
     let mut quotas = quotas();
     quotas.admit(now, "a", 540).expect("room");
-    assert!(!quotas.is_busy());
+    assert!(!quotas.is_near_limit());
     quotas.admit(now, "a", 1).expect("room");
-    assert!(quotas.is_busy());
+    assert!(quotas.is_near_limit());
     // The smaller the part of the fleet that is heard, the sooner.
     let mut alone = Quotas::new(BOUNDS);
     alone.configure([(&"a".into(), QUOTA)]);
     alone.set_reachable_share(0.5);
     alone.admit(now, "a", 271).expect("room");
-    assert!(alone.is_busy());
+    assert!(alone.is_near_limit());
 }
 
 /// After a restart of the whole fleet no instance hears the others yet. What the note tells was used
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -145,7 +145,7 @@
         report.is_stopping = state.shutdown.is_some();
         report.has_store = state.has_store() && !self.door.is_closing();
         let quotas = &state.admission.quotas;
-        if reach != Reach::Cell || quotas.is_busy() {
+        if reach != Reach::Cell || quotas.is_near_limit() {
             report.spent = changed(quotas.spent(), &told.spent.near, reach);
             report.evidence = changed(state.rollouts.counters(), &told.evidence.near, reach);
             report.fleet = report.is_representative.then(|| FleetView {
