--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -207,7 +207,7 @@
     }
 
     /// What accounts have used in the window, as far as is known.
-    pub fn windows(&mut self, now: Instant) -> Vec<(AccountId, WindowUsage)> {
+    pub fn window_usage(&mut self, now: Instant) -> Vec<(AccountId, WindowUsage)> {
         let window = self.bounds.window;
         let windows = self.usages.iter_mut().filter_map(|(account, usage)| {
             usage.forget(now, window);
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -70,7 +70,7 @@
         let (spent, cell_spent) = (owned(quotas.spent()), owned(quotas.cell_spent()));
         let cell_lately = if has_begun { quotas.cell_lately(now) } else { Vec::new() };
         let windows = match self.cell.has_newcomer(now) {
-            true => self.quotas.windows(now),
+            true => self.quotas.window_usage(now),
             false => Vec::new(),
         };
         let extent = if is_full { Extent::Full } else { Extent::Changes };
@@ -160,7 +160,7 @@
             if beat < 80 || now - node.since < Duration::from_secs(2) {
                 continue;
             }
-            node.quotas.windows(now);
+            node.quotas.window_usage(now);
             let usage = node.quotas.usage("a");
             beliefs.push(Belief {
                 _instance: node.name.clone(),
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -200,7 +200,7 @@
         for ms in (0..2500).step_by(5) {
             let at = now + Duration::from_millis(ms);
             if ms % 400 == 0 {
-                noted = old.windows(at);
+                noted = old.window_usage(at);
             }
             let units = rate * ms / 1000 - rate * ms.saturating_sub(5) / 1000;
             used += (0..units).filter(|_| old.admit(at, "a", 1).is_ok()).count();
--- a/oxbowbend-gateway/src/follow.rs
+++ b/oxbowbend-gateway/src/follow.rs
@@ -343,7 +343,7 @@
     let is_first = !all.any(is_before);
     drop(all);
     if state.has_store() && is_first {
-        used = state.admission.quotas.windows(now);
+        used = state.admission.quotas.window_usage(now);
         paces = state.cell.known_paces(now);
     }
     let quarantined = state.quarantine.notes(now, is_first);
--- a/oxbowbend-gateway/src/knowledge.rs
+++ b/oxbowbend-gateway/src/knowledge.rs
@@ -75,7 +75,7 @@
     /// What this instance knows.
     pub(crate) fn of(shared: &Shared, me: &InstanceId, address: SocketAddr) -> Knowledge {
         let mut state = shared.lock();
-        let used = state.admission.quotas.windows(clock::now());
+        let used = state.admission.quotas.window_usage(clock::now());
         let paces = state.cell.known_paces(clock::now());
         let zone = state.zone.clone();
         let has_store = state.has_store();
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -160,7 +160,7 @@
             report.rollouts = state.rollouts.tell(now, Teller::Near);
         }
         if reach != Reach::Cell && state.cell.has_newcomer(now) {
-            report.windows = state.admission.quotas.windows(now);
+            report.windows = state.admission.quotas.window_usage(now);
         }
         let passes_on = state.group.cells <= 1 || report.is_representative;
         report.quarantine = state.quarantine.tell(now, reach.extent(), passes_on);
