--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -241,7 +241,7 @@
 
     /// Starts from what another instance tells of an account's window some moments after the start. What was
     /// admitted since the start is among it.
-    pub fn restore_told(&mut self, now: Instant, account: &str, window: &[u64]) {
+    pub fn restore_from_peer(&mut self, now: Instant, account: &str, window: &[u64]) {
         let Some(usage) = self.usages.get_mut(account) else { return };
         let told = window.iter().sum::<u64>() as f64;
         if told - usage.live.sum <= usage.noted.sum {
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -93,7 +93,7 @@
         let Some(heard) = self.cell.hear(now, report, is_near) else { return };
         if is_near && now - self.since < Duration::from_secs(1) {
             for (account, window) in &windows {
-                self.quotas.restore_told(now, account, window);
+                self.quotas.restore_from_peer(now, account, window);
             }
         }
         for (account, units) in heard.spent.near {
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -288,8 +288,8 @@
         let (mut quotas, now) = (fresh(), Instant::now());
         assert_eq!(quotas.admit(now, "a", admitted), Ok(()));
         quotas.record_remote(now, "a", heard, true);
-        quotas.restore_told(now, "a", told);
-        quotas.restore_told(now, "a", told);
+        quotas.restore_from_peer(now, "a", told);
+        quotas.restore_from_peer(now, "a", told);
         assert!(quotas.admit(now, "a", left + 1).is_err(), "{told:?}");
         assert_eq!(quotas.admit(now, "a", left), Ok(()), "{told:?}");
         // And all of it leaves the window.
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -357,7 +357,7 @@
         state.log_said();
         if is_near && state.is_new(now) {
             for (account, window) in &windows {
-                state.admission.quotas.restore_told(now, account, window);
+                state.admission.quotas.restore_from_peer(now, account, window);
             }
         }
         state.draw(now, heard.spent.near, true);
