--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -258,7 +258,7 @@
     }
 
     /// What this instance has admitted since its start, for each account.
-    pub fn spent(&self) -> impl Iterator<Item = (&AccountId, u64)> {
+    pub fn local_totals(&self) -> impl Iterator<Item = (&AccountId, u64)> {
         self.usages.iter().map(|(account, u)| (account, u.spent))
     }
 
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -146,7 +146,7 @@
         report.has_store = state.has_store() && !self.door.is_closing();
         let quotas = &state.admission.quotas;
         if reach != Reach::Cell || quotas.is_near_limit() {
-            report.spent = changed(quotas.spent(), &told.spent.near, reach);
+            report.spent = changed(quotas.local_totals(), &told.spent.near, reach);
             report.evidence = changed(state.rollouts.counters(), &told.evidence.near, reach);
             report.fleet = report.is_representative.then(|| FleetView {
                 beyond: state.beyond(now),
