--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -280,7 +280,7 @@
     }
 
     /// What this cell has admitted since this instance's start, as far as it has heard.
-    pub fn cell_spent(&self) -> impl Iterator<Item = (&AccountId, u64)> {
+    pub fn cell_totals(&self) -> impl Iterator<Item = (&AccountId, u64)> {
         self.usages.iter().map(|(account, u)| (account, u.spent + u.relayed))
     }
 }
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -67,7 +67,7 @@
             is_full,
             ..FleetView::default()
         };
-        let (spent, cell_spent) = (owned(quotas.local_totals()), owned(quotas.cell_spent()));
+        let (spent, cell_spent) = (owned(quotas.local_totals()), owned(quotas.cell_totals()));
         let cell_lately = if has_begun { quotas.cell_lately(now) } else { Vec::new() };
         let windows = match self.cell.has_newcomer(now) {
             true => self.quotas.window_usage(now),
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -260,7 +260,7 @@
     quotas.record_remote(now, "a", 700.0, false);
     let told = |spent: Option<(&oxbowbend_core::ids::AccountId, u64)>| spent.map(|(_, n)| n);
     assert_eq!(told(quotas.local_totals().next()), Some(5));
-    assert_eq!(told(quotas.cell_spent().next()), Some(35));
+    assert_eq!(told(quotas.cell_totals().next()), Some(35));
     assert_eq!(admitted(&mut quotas, now), 1014 - 735);
 }
 
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -184,7 +184,7 @@
         let quotas = &state.admission.quotas;
         let (mut cell_spent, mut cell_evidence) = (Vec::new(), Vec::new());
         if is_representative {
-            cell_spent = changed(quotas.cell_spent(), &told.spent.far, reach);
+            cell_spent = changed(quotas.cell_totals(), &told.spent.far, reach);
             cell_evidence = changed(state.rollouts.cell_counters(), &told.evidence.far, reach);
         }
         let peers = match reach {
