--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -263,7 +263,7 @@
     }
 
     /// What other cells have admitted since this instance's start, as far as it has heard.
-    pub fn far_spent(&self) -> impl Iterator<Item = (&AccountId, u64)> {
+    pub fn other_cells_totals(&self) -> impl Iterator<Item = (&AccountId, u64)> {
         self.usages.iter().map(|(account, u)| (account, u.far))
     }
 
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -62,7 +62,7 @@
         let is_full = beat.is_multiple_of(8) || has_begun || now - self.since < 6 * BEAT;
         let quotas = &self.quotas;
         let view = FleetView {
-            spent: owned(quotas.far_spent()),
+            spent: owned(quotas.other_cells_totals()),
             lately: if has_begun { quotas.far_lately(now) } else { Vec::new() },
             is_full,
             ..FleetView::default()
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -150,7 +150,7 @@
             report.evidence = changed(state.rollouts.counters(), &told.evidence.near, reach);
             report.fleet = report.is_representative.then(|| FleetView {
                 beyond: state.beyond(now),
-                spent: changed(quotas.far_spent(), &told.spent.fleet, reach),
+                spent: changed(quotas.other_cells_totals(), &told.spent.fleet, reach),
                 lately: told.lately(now, || quotas.far_lately(now)),
                 evidence: changed(state.rollouts.far_counters(), &told.evidence.fleet, reach),
                 is_full: reach.is_full() || told.has_just_begun(now),
