--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -268,7 +268,7 @@
     }
 
     /// What this cell has admitted lately, as far as this instance has heard.
-    pub fn cell_lately(&self, now: Instant) -> Vec<(AccountId, RecentUsage)> {
+    pub fn cell_recent(&self, now: Instant) -> Vec<(AccountId, RecentUsage)> {
         let lately = self.usages.iter().map(|(a, u)| (a.clone(), u.near_lately.lately(now)));
         lately.filter(|(_, slots)| !slots.is_empty()).collect()
     }
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -68,7 +68,7 @@
             ..FleetView::default()
         };
         let (spent, cell_spent) = (owned(quotas.local_totals()), owned(quotas.cell_totals()));
-        let cell_lately = if has_begun { quotas.cell_lately(now) } else { Vec::new() };
+        let cell_lately = if has_begun { quotas.cell_recent(now) } else { Vec::new() };
         let windows = match self.cell.has_newcomer(now) {
             true => self.quotas.window_usage(now),
             false => Vec::new(),
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -212,7 +212,7 @@
             is_cell_told: is_representative && (reach.is_full() || told.has_just_begun(now)),
             cell: state.group.index as u32,
             cell_spent,
-            cell_lately: told.lately(now, || quotas.cell_lately(now)),
+            cell_lately: told.lately(now, || quotas.cell_recent(now)),
             cell_evidence,
             rollouts: state.rollouts.tell(now, Teller::Far),
             quarantine: near.quarantine.clone(),
