--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -274,7 +274,7 @@
     }
 
     /// What other cells have admitted lately, likewise.
-    pub fn far_lately(&self, now: Instant) -> Vec<(AccountId, RecentUsage)> {
+    pub fn other_cells_recent(&self, now: Instant) -> Vec<(AccountId, RecentUsage)> {
         let lately = self.usages.iter().map(|(a, u)| (a.clone(), u.far_lately.lately(now)));
         lately.filter(|(_, slots)| !slots.is_empty()).collect()
     }
--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -63,7 +63,7 @@
         let quotas = &self.quotas;
         let view = FleetView {
             spent: owned(quotas.other_cells_totals()),
-            lately: if has_begun { quotas.far_lately(now) } else { Vec::new() },
+            lately: if has_begun { quotas.other_cells_recent(now) } else { Vec::new() },
             is_full,
             ..FleetView::default()
         };
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -151,7 +151,7 @@
             report.fleet = report.is_representative.then(|| FleetView {
                 beyond: state.beyond(now),
                 spent: changed(quotas.other_cells_totals(), &told.spent.fleet, reach),
-                lately: told.lately(now, || quotas.far_lately(now)),
+                lately: told.lately(now, || quotas.other_cells_recent(now)),
                 evidence: changed(state.rollouts.far_counters(), &told.evidence.fleet, reach),
                 is_full: reach.is_full() || told.has_just_begun(now),
             });
