--- a/oxbowbend-core/src/ages.rs
+++ b/oxbowbend-core/src/ages.rs
@@ -28,7 +28,7 @@
     }
 
     /// Time since the first try of a caller of that route who has so much time left.
-    pub fn age(&mut self, route: &str, left: Option<Duration>, timeout: Duration) -> Duration {
+    pub fn estimate(&mut self, route: &str, left: Option<Duration>, timeout: Duration) -> Duration {
         let Some(left) = left else { return Duration::ZERO };
         let longest = timeout * 4;
         let usual = match self.usual.get_mut(route) {
--- a/oxbowbend-core/tests/ages.rs
+++ b/oxbowbend-core/tests/ages.rs
@@ -19,17 +19,17 @@
         (None, s(0)),
     ] {
         let mut ages = AgeEstimator::default();
-        ages.age("r", Some(s(12)), s(12));
-        assert_eq!(ages.age("r", left, s(12)), age, "{left:?} left");
+        ages.estimate("r", Some(s(12)), s(12));
+        assert_eq!(ages.estimate("r", left, s(12)), age, "{left:?} left");
     }
 }
 
 #[test]
 fn a_single_caller_with_all_the_time_of_the_world_makes_nobody_old() {
     let mut ages = AgeEstimator::default();
-    ages.age("r", Some(Duration::from_secs(3600)), Duration::from_secs(12));
+    ages.estimate("r", Some(Duration::from_secs(3600)), Duration::from_secs(12));
     assert_eq!(
-        ages.age("r", Some(Duration::from_secs(12)), Duration::from_secs(12)),
+        ages.estimate("r", Some(Duration::from_secs(12)), Duration::from_secs(12)),
         Duration::ZERO
     );
 }
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -110,7 +110,7 @@
             Refusal::OverQuota { account, exceeded, units }
         })?;
         state.repeats.requested(arrived, &service);
-        let age = state.ages.age(&route.name, ask.patience, route.timeout);
+        let age = state.ages.estimate(&route.name, ask.patience, route.timeout);
         drop(state);
         let patience = ask.patience.unwrap_or(Duration::MAX).min(route.timeout);
         let tier = account.and_then(|a| a.tier).map_or(0, u16::from);
