--- a/oxbowbend-core/src/budget.rs
+++ b/oxbowbend-core/src/budget.rs
@@ -23,11 +23,11 @@
 /// ```
 /// use oxbowbend_core::budget::RetryBudget;
 /// let mut budget = RetryBudget::default();
-/// let spent = (0..100).filter(|_| budget.withdraw()).count();
+/// let spent = (0..100).filter(|_| budget.try_withdraw()).count();
 /// assert_eq!(spent, 20);
 /// (0..10).for_each(|_| budget.deposit());
-/// assert!(budget.withdraw());
-/// assert!(!budget.withdraw());
+/// assert!(budget.try_withdraw());
+/// assert!(!budget.try_withdraw());
 /// ```
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
@@ -47,7 +47,7 @@
     }
 
     /// Takes one retry out of the budget, if it allows one.
-    pub fn withdraw(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         // Ten deposits of a tenth must buy a whole retry in spite of rounding.
         const ROUNDING: f64 = 1e-9;
         if self.balance + ROUNDING < 1.0 {
--- a/oxbowbend-core/tests/properties.rs
+++ b/oxbowbend-core/tests/properties.rs
@@ -107,7 +107,7 @@
         let (mut first, mut retries) = (0, 0);
         for retry in asked {
             if retry {
-                retries += usize::from(budget.withdraw());
+                retries += usize::from(budget.try_withdraw());
             } else {
                 budget.deposit();
                 first += 1;
--- a/oxbowbend-daemon/src/callers/flow.rs
+++ b/oxbowbend-daemon/src/callers/flow.rs
@@ -100,7 +100,7 @@
         self.admitted.repeatable
             && self.admitted.key.is_none()
             && self.runs < MAX_RUNS
-            && self.service.retries.lock().expect("no panic under lock").withdraw()
+            && self.service.retries.lock().expect("no panic under lock").try_withdraw()
     }
 
     /// The id of the request's next run; the first has the request's own.
