--- a/oxbowbend-core/src/budget.rs
+++ b/oxbowbend-core/src/budget.rs
@@ -77,7 +77,7 @@
 
 impl CircuitBreaker {
     /// Notes a success and closes the breaker.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         *self = CircuitBreaker::default();
     }
 
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -281,7 +281,7 @@
         let site = &mut self.sites[site];
         match report.end {
             message::RunEnd::Complete => {
-                site.breaker.succeeded();
+                site.breaker.record_success();
                 site.speed.learn(now, report);
             }
             message::RunEnd::Failed => site.breaker.failed(now),
