--- a/oxbowbend-core/src/budget.rs
+++ b/oxbowbend-core/src/budget.rs
@@ -65,7 +65,7 @@
 /// use std::time::{Duration, Instant};
 /// let start = Instant::now();
 /// let mut breaker = CircuitBreaker::default();
-/// (0..3).for_each(|_| breaker.failed(start));
+/// (0..3).for_each(|_| breaker.record_failure(start));
 /// assert!(!breaker.allows(start));
 /// assert!(breaker.allows(start + Duration::from_secs(1)));
 /// ```
@@ -82,7 +82,7 @@
     }
 
     /// Notes a failure; several in a row open the breaker.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.failures += 1;
         if self.failures < OPEN_AFTER {
             return;
--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -284,7 +284,7 @@
                 site.breaker.record_success();
                 site.speed.learn(now, report);
             }
-            message::RunEnd::Failed => site.breaker.failed(now),
+            message::RunEnd::Failed => site.breaker.record_failure(now),
             message::RunEnd::Cancelled => {}
         }
     }
--- a/oxbowbend-core/tests/properties.rs
+++ b/oxbowbend-core/tests/properties.rs
@@ -120,7 +120,7 @@
     fn a_breaker_opens_for_a_bounded_time(failures: u8) -> bool {
         let now = Instant::now();
         let mut breaker = CircuitBreaker::default();
-        (0..failures).for_each(|_| breaker.failed(now));
+        (0..failures).for_each(|_| breaker.record_failure(now));
         breaker.allows(now + Duration::from_secs(16))
     }
 
