--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -188,7 +188,7 @@
                 avoid: s.speed.avoid(now),
             })
             .collect();
-        let chosen = self.choose.choose(&candidates)?;
+        let chosen = self.choose.select(&candidates)?;
         Some(candidates[chosen].index)
     }
 
--- a/oxbowbend-core/src/selection.rs
+++ b/oxbowbend-core/src/selection.rs
@@ -25,7 +25,7 @@
 /// A policy that picks one of the candidates.
 pub trait SelectionPolicy {
     /// Returns the position in `candidates` of the chosen one; `None` if there are none.
-    fn choose(&mut self, candidates: &[Candidate]) -> Option<usize>;
+    fn select(&mut self, candidates: &[Candidate]) -> Option<usize>;
 }
 
 /// Earliest predicted finish, stragglers last.
@@ -34,13 +34,13 @@
 /// use oxbowbend_core::selection::{Candidate, EarliestFinish, SelectionPolicy};
 /// let c = |index, seconds, avoid| Candidate { index, seconds, outstanding: 0, reported: 0, avoid };
 /// let candidates = [c(0, 3.0, false), c(1, 1.0, true), c(2, 2.0, false)];
-/// assert_eq!(EarliestFinish.choose(&candidates), Some(2));
+/// assert_eq!(EarliestFinish.select(&candidates), Some(2));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EarliestFinish;
 
 impl SelectionPolicy for EarliestFinish {
-    fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
+    fn select(&mut self, candidates: &[Candidate]) -> Option<usize> {
         let key = |c: &Candidate| (c.avoid, c.seconds, c.outstanding);
         position_min(candidates, |a, b| {
             let ((x, s, n), (y, t, m)) = (key(a), key(b));
@@ -54,7 +54,7 @@
 pub struct LeastOutstanding;
 
 impl SelectionPolicy for LeastOutstanding {
-    fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
+    fn select(&mut self, candidates: &[Candidate]) -> Option<usize> {
         position_min(candidates, |a, b| a.outstanding.cmp(&b.outstanding))
     }
 }
@@ -66,7 +66,7 @@
 }
 
 impl SelectionPolicy for RoundRobin {
-    fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
+    fn select(&mut self, candidates: &[Candidate]) -> Option<usize> {
         let after = candidates.iter().position(|c| Some(c.index) > self.last);
         let chosen = after.or(if candidates.is_empty() { None } else { Some(0) })?;
         self.last = Some(candidates[chosen].index);
@@ -86,7 +86,7 @@
 }
 
 impl SelectionPolicy for Random {
-    fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
+    fn select(&mut self, candidates: &[Candidate]) -> Option<usize> {
         if candidates.is_empty() {
             return None;
         }
@@ -106,7 +106,7 @@
 }
 
 impl SelectionPolicy for PowerOfTwoChoices {
-    fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
+    fn select(&mut self, candidates: &[Candidate]) -> Option<usize> {
         if candidates.is_empty() {
             return None;
         }
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -81,7 +81,7 @@
                 avoid: false,
             })
             .collect();
-        let Some(chosen) = self.choose.choose(&candidates) else {
+        let Some(chosen) = self.choose.select(&candidates) else {
             return vec![Verdict::Refuse(request)];
         };
         let engine = candidates[chosen].index;
