--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -182,7 +182,7 @@
             .open_sites(now)
             .map(|(index, s)| selection::Candidate {
                 index,
-                seconds: s.cost(record, self.prefill_bias),
+                predicted_seconds: s.cost(record, self.prefill_bias),
                 outstanding: s.running,
                 reported: s.reported,
                 avoid: s.speed.avoid(now),
--- a/oxbowbend-core/src/selection.rs
+++ b/oxbowbend-core/src/selection.rs
@@ -13,7 +13,7 @@
     /// Position in the pool's list of endpoints.
     pub index: usize,
     /// Predicted seconds from dispatch to the last token.
-    pub seconds: f64,
+    pub predicted_seconds: f64,
     /// Requests known to be outstanding there, from our own grants.
     pub outstanding: u32,
     /// Requests running according to the endpoint's last, stale report.
@@ -32,7 +32,7 @@
 ///
 /// ```
 /// use oxbowbend_core::selection::{Candidate, EarliestFinish, SelectionPolicy};
-/// let c = |index, seconds, avoid| Candidate { index, seconds, outstanding: 0, reported: 0, avoid };
+/// let c = |index, seconds, avoid| Candidate { index, predicted_seconds: seconds, outstanding: 0, reported: 0, avoid };
 /// let candidates = [c(0, 3.0, false), c(1, 1.0, true), c(2, 2.0, false)];
 /// assert_eq!(EarliestFinish.select(&candidates), Some(2));
 /// ```
@@ -41,7 +41,7 @@
 
 impl SelectionPolicy for EarliestFinish {
     fn select(&mut self, candidates: &[Candidate]) -> Option<usize> {
-        let key = |c: &Candidate| (c.avoid, c.seconds, c.outstanding);
+        let key = |c: &Candidate| (c.avoid, c.predicted_seconds, c.outstanding);
         position_min(candidates, |a, b| {
             let ((x, s, n), (y, t, m)) = (key(a), key(b));
             x.cmp(&y).then(s.total_cmp(&t)).then(n.cmp(&m))
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -75,7 +75,7 @@
         let candidates: Vec<selection::Candidate> = living
             .map(|index| selection::Candidate {
                 index,
-                seconds: 0.0,
+                predicted_seconds: 0.0,
                 outstanding: self.outstanding[index],
                 reported: self.reported[index],
                 avoid: false,
