--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -184,7 +184,7 @@
                 index,
                 predicted_seconds: s.cost(record, self.prefill_bias),
                 outstanding: s.running,
-                reported: s.reported,
+                reported_running: s.reported,
                 avoid: s.speed.avoid(now),
             })
             .collect();
--- a/oxbowbend-core/src/selection.rs
+++ b/oxbowbend-core/src/selection.rs
@@ -17,7 +17,7 @@
     /// Requests known to be outstanding there, from our own grants.
     pub outstanding: u32,
     /// Requests running according to the endpoint's last, stale report.
-    pub reported: u32,
+    pub reported_running: u32,
     /// Whether it straggles and is to be avoided for now.
     pub avoid: bool,
 }
@@ -32,7 +32,7 @@
 ///
 /// ```
 /// use oxbowbend_core::selection::{Candidate, EarliestFinish, SelectionPolicy};
-/// let c = |index, seconds, avoid| Candidate { index, predicted_seconds: seconds, outstanding: 0, reported: 0, avoid };
+/// let c = |index, seconds, avoid| Candidate { index, predicted_seconds: seconds, outstanding: 0, reported_running: 0, avoid };
 /// let candidates = [c(0, 3.0, false), c(1, 1.0, true), c(2, 2.0, false)];
 /// assert_eq!(EarliestFinish.select(&candidates), Some(2));
 /// ```
@@ -112,7 +112,7 @@
         }
         let a = self.0.random_range(0..candidates.len());
         let b = self.0.random_range(0..candidates.len());
-        Some(if candidates[b].reported < candidates[a].reported { b } else { a })
+        Some(if candidates[b].reported_running < candidates[a].reported_running { b } else { a })
     }
 }
 
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -77,7 +77,7 @@
                 index,
                 predicted_seconds: 0.0,
                 outstanding: self.outstanding[index],
-                reported: self.reported[index],
+                reported_running: self.reported[index],
                 avoid: false,
             })
             .collect();
