--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -58,7 +58,7 @@
     }
 
     /// Counts a request that a caller has sent.
-    pub fn requested(&mut self, now: Instant, service: &str) {
+    pub fn record_request(&mut self, now: Instant, service: &str) {
         self.counts(now, service).first.add(now);
     }
 
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -134,7 +134,7 @@
     // Requests, instances, repeats allowed: 0.2 x requests + 0.7 x 50 / instances.
     for (requests, instances, allowed) in [(0, 1, 35), (0, 7, 5), (100, 7, 25), (10, 700, 2)] {
         let mut repeats = RetryLimiter::new(allowance);
-        (0..requests).for_each(|_| repeats.requested(now, "s"));
+        (0..requests).for_each(|_| repeats.record_request(now, "s"));
         let n = (0..500).filter(|_| repeats.repeat(now, "s", instances)).count();
         assert_eq!(n, allowed, "{requests} requests, {instances} instances");
         assert!(!repeats.repeat(now + 9 * S, "s", instances));
@@ -165,7 +165,7 @@
                 after
             };
             if ms * rate / 1000 != (ms + 1) * rate / 1000 {
-                repeats.requested(now, "s");
+                repeats.record_request(now, "s");
                 first.push(ms);
             }
             // From the middle of the crest on, more are asked for than may be.
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -109,7 +109,7 @@
             let account = account.map(|a| a.name.clone()).unwrap_or_default();
             Refusal::OverQuota { account, exceeded, units }
         })?;
-        state.repeats.requested(arrived, &service);
+        state.repeats.record_request(arrived, &service);
         let age = state.ages.estimate(&route.name, ask.patience, route.timeout);
         drop(state);
         let patience = ask.patience.unwrap_or(Duration::MAX).min(route.timeout);
