--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -63,7 +63,7 @@
     }
 
     /// Whether a request may be sent once more; counts it if so.
-    pub fn repeat(&mut self, now: Instant, service: &str, instances: usize) -> bool {
+    pub fn try_retry(&mut self, now: Instant, service: &str, instances: usize) -> bool {
         let RetryLimit { ratio, fixed, window } = self.allowance;
         let counts = self.counts(now, service);
         let fixed = fixed * USED / instances.max(1) as f64;
--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -135,10 +135,10 @@
     for (requests, instances, allowed) in [(0, 1, 35), (0, 7, 5), (100, 7, 25), (10, 700, 2)] {
         let mut repeats = RetryLimiter::new(allowance);
         (0..requests).for_each(|_| repeats.record_request(now, "s"));
-        let n = (0..500).filter(|_| repeats.repeat(now, "s", instances)).count();
+        let n = (0..500).filter(|_| repeats.try_retry(now, "s", instances)).count();
         assert_eq!(n, allowed, "{requests} requests, {instances} instances");
-        assert!(!repeats.repeat(now + 9 * S, "s", instances));
-        assert!(repeats.repeat(now + 11 * S, "s", instances.min(30)));
+        assert!(!repeats.try_retry(now + 9 * S, "s", instances));
+        assert!(repeats.try_retry(now + 11 * S, "s", instances.min(30)));
     }
 }
 
@@ -169,7 +169,7 @@
                 first.push(ms);
             }
             // From the middle of the crest on, more are asked for than may be.
-            if ms >= 25_000 && repeats.repeat(now, "s", 1) {
+            if ms >= 25_000 && repeats.try_retry(now, "s", 1) {
                 again.push(ms);
             }
         }
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -157,7 +157,7 @@
     fn may_repeat(&self, job: &Job, why: &'static str) -> bool {
         let mut state = self.shared.lock();
         let instances = state.instances;
-        let may = state.repeats.repeat(clock::now(), &job.service, instances);
+        let may = state.repeats.try_retry(clock::now(), &job.service, instances);
         drop(state);
         if may {
             observe::sent_again(why);
