--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -18,7 +18,7 @@
     /// A request may run more than once.
     Idempotent,
     /// A request runs at most once.
-    Once,
+    NonIdempotent,
 }
 
 /// One route.
