--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -33,7 +33,7 @@
     /// Services with their weights.
     pub targets: Vec<(ServiceId, u32)>,
     /// What may be repeated.
-    pub repeat: Idempotency,
+    pub idempotency: Idempotency,
     /// Whether the answer is a stream of events.
     pub stream: bool,
     /// Whether a broken stream may be continued by another endpoint.
--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -10,7 +10,7 @@
         host: host.to_owned(),
         prefix: prefix.to_owned(),
         targets: vec![("one".into(), 90), ("two".into(), 10)],
-        repeat: Idempotency::NonIdempotent,
+        idempotency: Idempotency::NonIdempotent,
         stream: false,
         resumable: false,
         sends: 1,
--- a/oxbowbend-gateway/src/relay/job.rs
+++ b/oxbowbend-gateway/src/relay/job.rs
@@ -38,7 +38,7 @@
     pub(crate) fn is_repeatable(&self) -> bool {
         match self.route.stream {
             true => self.route.resumable,
-            false => self.route.repeat == Idempotency::Idempotent,
+            false => self.route.idempotency == Idempotency::Idempotent,
         }
     }
 }
