--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -39,7 +39,7 @@
     /// Whether a broken stream may be continued by another endpoint.
     pub resumable: bool,
     /// Endpoints that one request may be sent to.
-    pub sends: u32,
+    pub max_attempts: u32,
     /// Longest time that a request is kept.
     pub timeout: Duration,
     /// Time within which the answer, or its first event, should be there.
--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -13,7 +13,7 @@
         idempotency: Idempotency::NonIdempotent,
         stream: false,
         resumable: false,
-        sends: 1,
+        max_attempts: 1,
         timeout: Duration::from_secs(5),
         objective: Duration::from_millis(500),
         pause: None,
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -133,7 +133,7 @@
                     tries.maybe_run += 1;
                     let may = job.is_repeatable()
                         && !failure.is_timeout()
-                        && tries.maybe_run < job.route.sends
+                        && tries.maybe_run < job.route.max_attempts
                         && self.may_repeat(job, "failed");
                     if !may {
                         return tries.settle(failure.into_refusal());
@@ -150,7 +150,7 @@
             return false;
         }
         tries.maybe_run += 1;
-        tries.maybe_run < job.route.sends && self.may_repeat(job, "error")
+        tries.maybe_run < job.route.max_attempts && self.may_repeat(job, "error")
     }
 
     /// Whether the allowance has a repeat left; takes it.
--- a/oxbowbend-gateway/src/relay/stream.rs
+++ b/oxbowbend-gateway/src/relay/stream.rs
@@ -140,7 +140,10 @@
         }
         self.events.drop_rest();
         let mut unrun = 0;
-        while self.job.route.resumable && self.sends < self.job.route.sends && unrun < MAX_UNRUN {
+        while self.job.route.resumable
+            && self.sends < self.job.route.max_attempts
+            && unrun < MAX_UNRUN
+        {
             if !self.relay.may_repeat(&self.job, "stream_broken") {
                 return false;
             }
