--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -45,7 +45,7 @@
     /// Time within which the answer, or its first event, should be there.
     pub objective: Duration,
     /// Longest pause between two events of a stream that is still in time.
-    pub pause: Option<Duration>,
+    pub event_gap_objective: Option<Duration>,
     /// Rank; 0 goes first.
     pub tier: u8,
     /// Whether requests need no key.
--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -16,7 +16,7 @@
         max_attempts: 1,
         timeout: Duration::from_secs(5),
         objective: Duration::from_millis(500),
-        pause: None,
+        event_gap_objective: None,
         tier: 0,
         public: false,
     }
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -130,7 +130,7 @@
         let tokens_per_event = table.service(&service).map_or(0, |s| s.tokens_per_event);
         let stall = Stall {
             tokens: ask.prompt.min(tokens_per_event.saturating_mul(READ_CHUNK)),
-            pause_ms: route.pause.map_or(0, |p| p.as_millis() as u32),
+            pause_ms: route.event_gap_objective.map_or(0, |p| p.as_millis() as u32),
         };
         Ok(Job {
             method: head.method,
