--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -71,7 +71,7 @@
     /// Bound; none if unlimited.
     pub quota: Option<Quota>,
     /// Units of a request that does not tell its own.
-    pub plain_units: u64,
+    pub default_units: u64,
     /// Whether requests count by their tokens rather than one each.
     pub by_tokens: bool,
 }
--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -29,7 +29,7 @@
     table.add_route(route("long", "h.example", "/a/b/"));
     table.add_route(route("other", "o.example", "/"));
     let account =
-        Account { name: "acc".into(), tier: None, quota: None, plain_units: 1, by_tokens: false };
+        Account { name: "acc".into(), tier: None, quota: None, default_units: 1, by_tokens: false };
     table.add_account(account, ["k1".to_owned(), "k2".to_owned()]);
     table
 }
