--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -73,7 +73,7 @@
     /// Units of a request that does not tell its own.
     pub default_units: u64,
     /// Whether requests count by their tokens rather than one each.
-    pub by_tokens: bool,
+    pub counts_tokens: bool,
 }
 
 /// One service.
--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -28,8 +28,13 @@
     table.add_route(route("short", "h.example", "/a/"));
     table.add_route(route("long", "h.example", "/a/b/"));
     table.add_route(route("other", "o.example", "/"));
-    let account =
-        Account { name: "acc".into(), tier: None, quota: None, default_units: 1, by_tokens: false };
+    let account = Account {
+        name: "acc".into(),
+        tier: None,
+        quota: None,
+        default_units: 1,
+        counts_tokens: false,
+    };
     table.add_account(account, ["k1".to_owned(), "k2".to_owned()]);
     table
 }
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -171,7 +171,7 @@
 }
 
 fn units(account: &Account, ask: &Ask) -> u64 {
-    match account.by_tokens {
+    match account.counts_tokens {
         true => ask.units.unwrap_or(account.default_units),
         false => 1,
     }
