--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Connections that each of its endpoints accepts from all instances.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Tokens in an event of its streams; 0 if its endpoints are no model engines.
     pub tokens_per_event: u32,
 }
@@ -234,11 +234,11 @@
     /// use std::time::Duration;
     /// let limits = RequestLimits { head: 8192, body: 1 << 20, idle: Duration::from_secs(60) };
     /// let mut table = RoutingTable::new(1, limits);
-    /// table.add_service("s".into(), Service { connections: 96, tokens_per_event: 0 });
+    /// table.add_service("s".into(), Service { max_connections: 96, tokens_per_event: 0 });
     /// assert_eq!(table.fewest_connections(), Some(96));
     /// ```
     pub fn fewest_connections(&self) -> Option<u32> {
-        self.services.values().map(|s| s.connections).filter(|n| *n > 0).min()
+        self.services.values().map(|s| s.max_connections).filter(|n| *n > 0).min()
     }
 
     /// A service by name.
