--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -23,8 +23,11 @@
 }
 
 fn table() -> RoutingTable {
-    let limits =
-        RequestLimits { max_head_bytes: 16384, body: 1 << 20, idle: Duration::from_secs(15) };
+    let limits = RequestLimits {
+        max_head_bytes: 16384,
+        max_body_bytes: 1 << 20,
+        idle: Duration::from_secs(15),
+    };
     let mut table = RoutingTable::new(7, limits);
     table.add_route(route("short", "h.example", "/a/"));
     table.add_route(route("long", "h.example", "/a/b/"));
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -48,7 +48,7 @@
     ) -> Result<Job, Refused> {
         let (head, body) = req.into_parts();
         let table = self.shared.table();
-        let limit = table.as_ref().map_or(MAX_UNKNOWN_BODY, |t| t.limits().body);
+        let limit = table.as_ref().map_or(MAX_UNKNOWN_BODY, |t| t.limits().max_body_bytes);
         let ask = self.wire.read(&head);
         let id = ask.as_ref().map_or("-", |ask| &ask.id).to_owned();
         let refused = |refusal| (id.clone(), refusal);
