--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -93,7 +93,7 @@
     /// Bytes of a body.
     pub max_body_bytes: usize,
     /// Time for which callers may leave a connection idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// An endpoint as it has registered itself.
@@ -204,7 +204,7 @@
     /// ```
     /// use oxbowbend_core::routes::{RequestLimits, RoutingTable};
     /// use std::time::Duration;
-    /// let limits = RequestLimits { max_head_bytes: 8192, max_body_bytes: 1 << 20, idle: Duration::from_secs(60) };
+    /// let limits = RequestLimits { max_head_bytes: 8192, max_body_bytes: 1 << 20, idle_timeout: Duration::from_secs(60) };
     /// assert!(RoutingTable::new(1, limits).route("example.org", "/a/").is_none());
     /// ```
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
@@ -232,7 +232,7 @@
     /// ```
     /// use oxbowbend_core::routes::{RequestLimits, RoutingTable, Service};
     /// use std::time::Duration;
-    /// let limits = RequestLimits { max_head_bytes: 8192, max_body_bytes: 1 << 20, idle: Duration::from_secs(60) };
+    /// let limits = RequestLimits { max_head_bytes: 8192, max_body_bytes: 1 << 20, idle_timeout: Duration::from_secs(60) };
     /// let mut table = RoutingTable::new(1, limits);
     /// table.add_service("s".into(), Service { max_connections: 96, tokens_per_event: 0 });
     /// assert_eq!(table.fewest_connections(), Some(96));
--- a/oxbowbend-gateway/tests/world.rs
+++ b/oxbowbend-gateway/tests/world.rs
@@ -11,8 +11,11 @@
 fn read(document: &[u8]) -> Result<RoutingTable, String> {
     let text = std::str::from_utf8(document).map_err(|e| e.to_string())?;
     let version = text.parse().map_err(|_| format!("{text} is no version"))?;
-    let limits =
-        RequestLimits { max_head_bytes: 1, max_body_bytes: 1, idle: Duration::from_secs(1) };
+    let limits = RequestLimits {
+        max_head_bytes: 1,
+        max_body_bytes: 1,
+        idle_timeout: Duration::from_secs(1),
+    };
     Ok(RoutingTable::new(version, limits))
 }
 
