--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -213,7 +213,7 @@
     }
 
     /// The account that holds a key.
-    pub fn account_of(&self, key: &str) -> Option<&Account> {
+    pub fn account_by_key(&self, key: &str) -> Option<&Account> {
         self.accounts.get(self.by_key.get(key)?)
     }
 
--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -65,7 +65,7 @@
 fn keys_belong_to_accounts() {
     let table = table();
     for (key, expected) in [("k1", Some("acc")), ("k2", Some("acc")), ("k3", None), ("", None)] {
-        assert_eq!(table.account_of(key).map(|a| &*a.name), expected, "{key}");
+        assert_eq!(table.account_by_key(key).map(|a| &*a.name), expected, "{key}");
     }
 }
 
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -157,7 +157,7 @@
     route: &Route,
     ask: &Ask,
 ) -> Result<Option<&'a Account>, Refusal> {
-    let account = ask.key.as_ref().and_then(|key| table.account_of(key));
+    let account = ask.key.as_ref().and_then(|key| table.account_by_key(key));
     match account {
         Some(account) => Ok(Some(account)),
         None if route.public || !table.has_accounts() => Ok(None),
