--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -235,9 +235,9 @@
     /// let limits = RequestLimits { max_head_bytes: 8192, max_body_bytes: 1 << 20, idle_timeout: Duration::from_secs(60) };
     /// let mut table = RoutingTable::new(1, limits);
     /// table.add_service("s".into(), Service { max_connections: 96, tokens_per_event: 0 });
-    /// assert_eq!(table.fewest_connections(), Some(96));
+    /// assert_eq!(table.min_service_connections(), Some(96));
     /// ```
-    pub fn fewest_connections(&self) -> Option<u32> {
+    pub fn min_service_connections(&self) -> Option<u32> {
         self.services.values().map(|s| s.max_connections).filter(|n| *n > 0).min()
     }
 
