--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -247,7 +247,7 @@
     }
 
     /// Longest time that a request to a service may take, by its routes.
-    pub fn longest(&self, service: &ServiceId) -> Duration {
+    pub fn max_timeout(&self, service: &ServiceId) -> Duration {
         let is_target = |route: &&Arc<Route>| route.targets.iter().any(|(name, _)| name == service);
         let routes = self.by_host.values().flatten().filter(is_target);
         routes.map(|route| route.timeout).max().unwrap_or(Duration::ZERO)
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -134,7 +134,7 @@
 }
 
 fn longest(table: Option<&RoutingTable>, service: &ServiceId) -> Duration {
-    table.map_or(Duration::ZERO, |table| table.longest(service))
+    table.map_or(Duration::ZERO, |table| table.max_timeout(service))
 }
 
 impl Shared {
