--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -254,7 +254,7 @@
     }
 
     /// Number of routes.
-    pub fn routes(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         self.by_host.values().map(Vec::len).sum()
     }
 }
