--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -261,7 +261,7 @@
 
 impl Route {
     /// The service for a request, by weight; `draw` is a random number.
-    pub fn target(&self, draw: u64) -> Option<&ServiceId> {
+    pub fn pick_target(&self, draw: u64) -> Option<&ServiceId> {
         let total: u64 = self.targets.iter().map(|(_, w)| u64::from(*w)).sum();
         let mut left = draw % total.max(1);
         for (service, weight) in &self.targets {
--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -72,6 +72,6 @@
 #[test]
 fn weights_split_a_route() {
     let route = route("r", "h", "/");
-    let n = (0..100).filter(|n| route.target(*n).map(|s| &**s) == Some("two")).count();
+    let n = (0..100).filter(|n| route.pick_target(*n).map(|s| &**s) == Some("two")).count();
     assert_eq!(n, 10);
 }
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -94,7 +94,7 @@
     ) -> Result<Job, Refusal> {
         let route = table.route(&ask.host, head.uri.path()).ok_or(Refusal::NoRoute)?.clone();
         let account = account(table, &route, &ask)?;
-        let service = route.target(rand::random()).cloned().ok_or(Refusal::NoRoute)?;
+        let service = route.pick_target(rand::random()).cloned().ok_or(Refusal::NoRoute)?;
         let units = account.map_or(0, |a| units(a, &ask));
         let fingerprint = identify(account, &head, &body);
         let mut state = self.shared.lock();
