--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -43,7 +43,7 @@
     }
 
     /// When whatever is left is cut off.
-    pub fn limit(&self) -> Instant {
+    pub fn deadline(&self) -> Instant {
         self.began + self.grace.mul_f64(GRACE_SHARE)
     }
 
@@ -62,7 +62,7 @@
     /// How long a request may wait for a place that would otherwise wait for `wait`: no longer than it can
     /// still be told that it has not run.
     pub fn hold(&self, now: Instant, wait: Duration) -> Duration {
-        wait.min((self.limit() - MARGIN).saturating_duration_since(now))
+        wait.min((self.deadline() - MARGIN).saturating_duration_since(now))
     }
 
     /// Whether to take on an answer of that expected length; none if the length is not known.
@@ -84,7 +84,7 @@
         match expected {
             _ if now < self.linger() => true,
             _ if others_ready => false,
-            Some(expected) => now + expected.mul_f64(SAFETY_TIMES) + MARGIN <= self.limit(),
+            Some(expected) => now + expected.mul_f64(SAFETY_TIMES) + MARGIN <= self.deadline(),
             None => false,
         }
     }
--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -77,7 +77,7 @@
             // Without others it is never quiet; with them its last stream ends 1.2 s after it took it.
             let is_idle = others_ready && now >= shutdown.linger() + 1200 * MS;
             let is_done = shutdown.is_done(now, usize::from(!is_idle), 50 * MS, others_ready);
-            if is_done || now >= shutdown.limit() {
+            if is_done || now >= shutdown.deadline() {
                 ended[n as usize] = Some(now);
             }
         }
@@ -106,6 +106,6 @@
         let now = began + at * MS;
         let hold = shutdown.hold(now, wait * MS);
         assert_eq!(hold.as_millis(), waits, "{at} ms");
-        assert!(hold.is_zero() || now + hold < shutdown.limit(), "{at} ms");
+        assert!(hold.is_zero() || now + hold < shutdown.deadline(), "{at} ms");
     }
 }
--- a/oxbowbend-gateway/src/stop.rs
+++ b/oxbowbend-gateway/src/stop.rs
@@ -60,7 +60,7 @@
         let others_ready = shared.lock().are_others_ready(now);
         shutdown.is_done(now, door.busy(), door.quiet_for(), others_ready)
     };
-    while clock::now() < shutdown.limit() && !is_done(clock::now()) {
+    while clock::now() < shutdown.deadline() && !is_done(clock::now()) {
         task::sleep(LOOK).await;
     }
     let left = door.busy();
