--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -48,7 +48,7 @@
     }
 
     /// Until when the instance serves as before.
-    pub fn linger(&self) -> Instant {
+    pub fn full_service_until(&self) -> Instant {
         self.began + LINGER.min(self.grace / 3)
     }
 
@@ -56,7 +56,7 @@
     /// long if others are ready.
     pub fn is_done(&self, now: Instant, busy: usize, quiet: Duration, others_ready: bool) -> bool {
         let enough = if others_ready { UNREAD } else { QUIET };
-        now >= self.linger() && busy == 0 && quiet >= enough
+        now >= self.full_service_until() && busy == 0 && quiet >= enough
     }
 
     /// How long a request may wait for a place that would otherwise wait for `wait`: no longer than it can
@@ -82,7 +82,7 @@
     /// ```
     pub fn admits(&self, now: Instant, expected: Option<Duration>, others_ready: bool) -> bool {
         match expected {
-            _ if now < self.linger() => true,
+            _ if now < self.full_service_until() => true,
             _ if others_ready => false,
             Some(expected) => now + expected.mul_f64(SAFETY_TIMES) + MARGIN <= self.deadline(),
             None => false,
--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -75,7 +75,7 @@
             let others_ready = ready * 2 + 1 >= 6;
             takers += usize::from(shutdown.admits(now, Some(100 * MS), others_ready));
             // Without others it is never quiet; with them its last stream ends 1.2 s after it took it.
-            let is_idle = others_ready && now >= shutdown.linger() + 1200 * MS;
+            let is_idle = others_ready && now >= shutdown.full_service_until() + 1200 * MS;
             let is_done = shutdown.is_done(now, usize::from(!is_idle), 50 * MS, others_ready);
             if is_done || now >= shutdown.deadline() {
                 ended[n as usize] = Some(now);
--- a/oxbowbend-gateway/src/stop.rs
+++ b/oxbowbend-gateway/src/stop.rs
@@ -52,7 +52,7 @@
     log::info!("event=stopping in_progress={} connections={}", door.busy(), door.open());
     shared.lock().shutdown = Some(shutdown);
     door.close();
-    while clock::now() < shutdown.linger() && door.open() > 0 {
+    while clock::now() < shutdown.full_service_until() && door.open() > 0 {
         task::sleep(LOOK).await;
     }
     door.shut();
