--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -54,7 +54,7 @@
 
     /// Whether the instance may end: nothing is in progress, and nobody has come for a moment, which need not be
     /// long if others are ready.
-    pub fn is_done(&self, now: Instant, busy: usize, quiet: Duration, others_ready: bool) -> bool {
+    pub fn can_exit(&self, now: Instant, busy: usize, quiet: Duration, others_ready: bool) -> bool {
         let enough = if others_ready { UNREAD } else { QUIET };
         now >= self.full_service_until() && busy == 0 && quiet >= enough
     }
--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -47,7 +47,7 @@
         (2600, 0, 300, false, true),
     ] {
         let now = began + at * MS;
-        assert_eq!(shutdown.is_done(now, busy, quiet * MS, others), done, "{at} ms, {busy} busy");
+        assert_eq!(shutdown.can_exit(now, busy, quiet * MS, others), done, "{at} ms, {busy} busy");
     }
 }
 
@@ -76,7 +76,7 @@
             takers += usize::from(shutdown.admits(now, Some(100 * MS), others_ready));
             // Without others it is never quiet; with them its last stream ends 1.2 s after it took it.
             let is_idle = others_ready && now >= shutdown.full_service_until() + 1200 * MS;
-            let is_done = shutdown.is_done(now, usize::from(!is_idle), 50 * MS, others_ready);
+            let is_done = shutdown.can_exit(now, usize::from(!is_idle), 50 * MS, others_ready);
             if is_done || now >= shutdown.deadline() {
                 ended[n as usize] = Some(now);
             }
--- a/oxbowbend-gateway/src/stop.rs
+++ b/oxbowbend-gateway/src/stop.rs
@@ -58,7 +58,7 @@
     door.shut();
     let is_done = |now| {
         let others_ready = shared.lock().are_others_ready(now);
-        shutdown.is_done(now, door.busy(), door.quiet_for(), others_ready)
+        shutdown.can_exit(now, door.busy(), door.quiet_for(), others_ready)
     };
     while clock::now() < shutdown.deadline() && !is_done(clock::now()) {
         task::sleep(LOOK).await;
