--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -61,7 +61,7 @@
 
     /// How long a request may wait for a place that would otherwise wait for `wait`: no longer than it can
     /// still be told that it has not run.
-    pub fn hold(&self, now: Instant, wait: Duration) -> Duration {
+    pub fn cap_wait(&self, now: Instant, wait: Duration) -> Duration {
         wait.min((self.deadline() - MARGIN).saturating_duration_since(now))
     }
 
--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -104,7 +104,7 @@
         (9000, 1, 0),
     ] {
         let now = began + at * MS;
-        let hold = shutdown.hold(now, wait * MS);
+        let hold = shutdown.cap_wait(now, wait * MS);
         assert_eq!(hold.as_millis(), waits, "{at} ms");
         assert!(hold.is_zero() || now + hold < shutdown.deadline(), "{at} ms");
     }
--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -181,7 +181,7 @@
         let hold = hold.saturating_duration_since(now).min(left);
         // A stop ends whatever waits; without an answer the caller could not tell that it has not run.
         let shutdown = self.shared.lock().shutdown;
-        let hold = shutdown.map_or(hold, |s| s.hold(now, hold));
+        let hold = shutdown.map_or(hold, |s| s.cap_wait(now, hold));
         let service = self.shared.lock().deal(&job.service, tries.avoid.is_empty());
         // Waiting is of no use where no endpoint wants a request in time.
         if self.shared.lock().cell.opens_in(now, &service).is_some_and(|opens_in| opens_in > hold) {
