--- a/oxbowbend-core/src/scheduler/mod.rs
+++ b/oxbowbend-core/src/scheduler/mod.rs
@@ -282,7 +282,7 @@
         match report.end {
             message::RunEnd::Complete => {
                 site.breaker.record_success();
-                site.speed.learn(now, report);
+                site.speed.record_run(now, report);
             }
             message::RunEnd::Failed => site.breaker.record_failure(now),
             message::RunEnd::Cancelled => {}
--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -47,7 +47,7 @@
     }
 
     /// Learns from a finished run.
-    pub fn learn(&mut self, now: Instant, report: &message::RunReport) {
+    pub fn record_run(&mut self, now: Instant, report: &message::RunReport) {
         if report.end != message::RunEnd::Complete {
             return;
         }
--- a/oxbowbend-core/tests/properties.rs
+++ b/oxbowbend-core/tests/properties.rs
@@ -137,7 +137,7 @@
                 cached_tokens: u32::from(prompt / 2),
                 output_tokens: u32::from(output),
             };
-            speed.learn(now, &report);
+            speed.record_run(now, &report);
         }
         let seconds = speed.predict_seconds(100, 10);
         seconds.is_finite() && seconds >= 0.0
