--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -153,7 +153,7 @@
         if self.requests.get(&head.id)?.passed >= MAX_PASSED {
             return None;
         }
-        let free = self.open_sites(now).filter(|(_, s)| !s.speed.avoid(now));
+        let free = self.open_sites(now).filter(|(_, s)| !s.speed.should_avoid(now));
         let free: Vec<(usize, &site::Site)> = free.take(FEW_SITES + 1).collect();
         if free.len() > FEW_SITES {
             return None;
@@ -185,7 +185,7 @@
                 predicted_seconds: s.cost(record, self.prefill_bias),
                 outstanding: s.running,
                 reported_running: s.reported,
-                avoid: s.speed.avoid(now),
+                avoid: s.speed.should_avoid(now),
             })
             .collect();
         let chosen = self.choose.select(&candidates)?;
--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -100,7 +100,7 @@
 
     /// Whether the endpoint should be passed over. After a while it is let through once; the
     /// caller then says so with [`SpeedEstimate::probe`].
-    pub fn avoid(&self, now: Instant) -> bool {
+    pub fn should_avoid(&self, now: Instant) -> bool {
         match self.straggling_since {
             None => false,
             Some(since) => self.probing || now.duration_since(since) < PROBE_AFTER,
