--- a/oxbowbend-core/src/scheduler/decide.rs
+++ b/oxbowbend-core/src/scheduler/decide.rs
@@ -211,7 +211,7 @@
         let target = &mut self.sites[site];
         target.running += 1;
         target.cache.insert(&known.record.prefix);
-        target.speed.probe();
+        target.speed.start_probe();
         target.offers.entry(owner.clone()).or_default().pending.insert(ask);
         self.recount(site);
         let target = &self.sites[site];
--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -99,7 +99,7 @@
     }
 
     /// Whether the endpoint should be passed over. After a while it is let through once; the
-    /// caller then says so with [`SpeedEstimate::probe`].
+    /// caller then says so with [`SpeedEstimate::start_probe`].
     pub fn should_avoid(&self, now: Instant) -> bool {
         match self.straggling_since {
             None => false,
@@ -108,7 +108,7 @@
     }
 
     /// Notes that a request was sent although the endpoint is a straggler.
-    pub fn probe(&mut self) {
+    pub fn start_probe(&mut self) {
         self.probing = self.straggling_since.is_some();
     }
 }
