--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -28,7 +28,7 @@
 use crate::routes::Quota;
 
 /// Time by which a note may be behind: the time between two, and the way to the store and back.
-const NOTE_AGE: Duration = Duration::from_millis(600);
+const SNAPSHOT_DELAY: Duration = Duration::from_millis(600);
 /// Length of the slots of a note.
 const SLOT: Duration = Duration::from_secs(1);
 /// Span of time for which is told what was admitted lately, and how many of them are told: whoever represented a cell
@@ -222,7 +222,7 @@
     pub fn restore(&mut self, now: Instant, account: &str, window: &[u64], note: SnapshotAge) {
         let Some(usage) = self.usages.get_mut(account) else { return };
         let behind = match note {
-            SnapshotAge::Fresh => NOTE_AGE,
+            SnapshotAge::Fresh => SNAPSHOT_DELAY,
             SnapshotAge::Old => self.bounds.window,
         };
         let unseen = window.first().map_or(0.0, |last| *last as f64) * behind.as_secs_f64();
