--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -30,7 +30,7 @@
 /// Time by which a note may be behind: the time between two, and the way to the store and back.
 const SNAPSHOT_DELAY: Duration = Duration::from_millis(600);
 /// Length of the slots of a note.
-const SLOT: Duration = Duration::from_secs(1);
+const SNAPSHOT_SLOT: Duration = Duration::from_secs(1);
 /// Span of time for which is told what was admitted lately, and how many of them are told: whoever represented a cell
 /// before has been silent for up to 1.5 s.
 pub const RECENT_SLOT: Duration = Duration::from_millis(250);
@@ -233,7 +233,7 @@
         usage.noted = Parts::default();
         for (age, units) in window.iter().enumerate().rev() {
             // The newest end of a slot, so that nothing leaves the window too early.
-            let at = now.checked_sub(SLOT * age as u32).unwrap_or(now);
+            let at = now.checked_sub(SNAPSHOT_SLOT * age as u32).unwrap_or(now);
             usage.noted.add(at, *units as f64);
         }
         usage.noted.add(now, unseen);
@@ -252,7 +252,7 @@
         for (age, units) in window.iter().enumerate() {
             let rest = (*units as f64 - known).max(0.0);
             known -= *units as f64 - rest;
-            let at = now.checked_sub(SLOT * age as u32).unwrap_or(now);
+            let at = now.checked_sub(SNAPSHOT_SLOT * age as u32).unwrap_or(now);
             usage.noted.add_first(at, rest);
         }
     }
