--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -34,7 +34,7 @@
 /// Span of time for which is told what was admitted lately, and how many of them are told: whoever represented a cell
 /// before has been silent for up to 1.5 s.
 pub const RECENT_SLOT: Duration = Duration::from_millis(250);
-const LATELY_SLOTS: u32 = 12;
+const RECENT_SLOTS: u32 = 12;
 /// Parts of the window in which units are added up.
 const PARTS: u32 = 32;
 /// Part of what is tolerated beyond the limit that is used where an instance hears only some of
@@ -359,7 +359,7 @@
 
     /// Adds, and forgets what is not told any more.
     fn add_lately(&mut self, now: Instant, units: f64) {
-        self.forget(now, RECENT_SLOT * LATELY_SLOTS);
+        self.forget(now, RECENT_SLOT * RECENT_SLOTS);
         self.add_coarsely(now, units, RECENT_SLOT / 4);
     }
 
@@ -369,7 +369,7 @@
         for (at, units) in &self.parts {
             let slot = now.saturating_duration_since(*at).as_millis() / RECENT_SLOT.as_millis();
             let slot = slot as usize;
-            if slot < LATELY_SLOTS as usize && *units > 0.0 {
+            if slot < RECENT_SLOTS as usize && *units > 0.0 {
                 slots.resize(slots.len().max(slot + 1), 0);
                 slots[slot] += *units as u64;
             }
