--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -36,7 +36,7 @@
 pub const RECENT_SLOT: Duration = Duration::from_millis(250);
 const RECENT_SLOTS: u32 = 12;
 /// Parts of the window in which units are added up.
-const PARTS: u32 = 32;
+const WINDOW_SLICES: u32 = 32;
 /// Part of what is tolerated beyond the limit that is used where an instance hears only some of
 /// the others; the rest covers reports on their way.
 pub(crate) const TOLERANCE_SHARE: f64 = 0.6;
@@ -154,7 +154,7 @@
         if usage.live.sum + units as f64 > limit {
             return Err(usage.room_in(now, limit, units as f64, self.bounds.window));
         }
-        usage.live.add_coarsely(now, units as f64, self.bounds.window / PARTS);
+        usage.live.add_coarsely(now, units as f64, self.bounds.window / WINDOW_SLICES);
         usage.near_lately.add_lately(now, units as f64);
         usage.spent += units;
         Ok(())
@@ -194,7 +194,7 @@
                     usage.far_lately.add_lately(now, units);
                 }
             }
-            usage.live.add_coarsely(now, units, self.bounds.window / PARTS);
+            usage.live.add_coarsely(now, units, self.bounds.window / WINDOW_SLICES);
         }
     }
 
@@ -315,8 +315,8 @@
 
     /// A part counts until its last unit is out of the window.
     fn forget(&mut self, now: Instant, window: Duration) {
-        self.live.forget(now, window + window / PARTS);
-        self.noted.forget(now, window + window / PARTS);
+        self.live.forget(now, window + window / WINDOW_SLICES);
+        self.noted.forget(now, window + window / WINDOW_SLICES);
     }
 
     /// Time until the window has room for so many units.
@@ -327,7 +327,7 @@
         for (at, sum) in parts {
             excess -= sum;
             if excess <= 0.0 {
-                return (*at + window + window / PARTS).saturating_duration_since(now);
+                return (*at + window + window / WINDOW_SLICES).saturating_duration_since(now);
             }
         }
         window
