--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -42,7 +42,7 @@
 pub(crate) const TOLERANCE_SHARE: f64 = 0.6;
 /// Part of the limit from which an account is busy: what is admitted then must be told at once, since
 /// the limit may be reached before the next beat.
-const BUSY_SHARE: f64 = 0.6;
+const NEAR_LIMIT_SHARE: f64 = 0.6;
 
 /// How old a note of an account's window may be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -202,7 +202,7 @@
     pub fn is_near_limit(&self) -> bool {
         self.usages.values().any(|u| {
             let limit = (u.limit(&self.bounds) - u.noted.sum) * self.share;
-            u.live.sum > limit * BUSY_SHARE
+            u.live.sum > limit * NEAR_LIMIT_SHARE
         })
     }
 
