--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -87,17 +87,17 @@
     /// Units admitted by other cells, likewise.
     far: u64,
     /// What of both was admitted lately.
-    near_lately: Parts,
-    far_lately: Parts,
+    near_lately: TimedUnits,
+    far_lately: TimedUnits,
     /// What was admitted in this life, here and as others told.
-    live: Parts,
+    live: TimedUnits,
     /// What a note told at the start of this life.
-    noted: Parts,
+    noted: TimedUnits,
 }
 
 /// Units admitted lately, the oldest first.
 #[derive(Debug, Default)]
-struct Parts {
+struct TimedUnits {
     parts: VecDeque<(Instant, f64)>,
     sum: f64,
 }
@@ -127,10 +127,10 @@
                     spent: 0,
                     relayed: 0,
                     far: 0,
-                    near_lately: Parts::default(),
-                    far_lately: Parts::default(),
-                    live: Parts::default(),
-                    noted: Parts::default(),
+                    near_lately: TimedUnits::default(),
+                    far_lately: TimedUnits::default(),
+                    live: TimedUnits::default(),
+                    noted: TimedUnits::default(),
                 },
             };
             self.usages.insert(account.clone(), usage);
@@ -230,7 +230,7 @@
         if noted <= usage.noted.sum {
             return;
         }
-        usage.noted = Parts::default();
+        usage.noted = TimedUnits::default();
         for (age, units) in window.iter().enumerate().rev() {
             // The newest end of a slot, so that nothing leaves the window too early.
             let at = now.checked_sub(SNAPSHOT_SLOT * age as u32).unwrap_or(now);
@@ -248,7 +248,7 @@
             return;
         }
         let mut known = usage.live.sum;
-        usage.noted = Parts::default();
+        usage.noted = TimedUnits::default();
         for (age, units) in window.iter().enumerate() {
             let rest = (*units as f64 - known).max(0.0);
             known -= *units as f64 - rest;
@@ -334,7 +334,7 @@
     }
 }
 
-impl Parts {
+impl TimedUnits {
     fn add(&mut self, now: Instant, units: f64) {
         self.parts.push_back((now, units));
         self.sum += units;
