--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -98,7 +98,7 @@
 /// Units admitted lately, the oldest first.
 #[derive(Debug, Default)]
 struct TimedUnits {
-    parts: VecDeque<(Instant, f64)>,
+    entries: VecDeque<(Instant, f64)>,
     sum: f64,
 }
 
@@ -303,7 +303,7 @@
 
     fn slots(&self, now: Instant) -> WindowUsage {
         let mut slots = WindowUsage::new();
-        for (at, units) in self.live.parts.iter().chain(&self.noted.parts) {
+        for (at, units) in self.live.entries.iter().chain(&self.noted.entries) {
             let age = now.saturating_duration_since(*at).as_secs() as usize;
             if slots.len() <= age {
                 slots.resize(age + 1, 0);
@@ -322,9 +322,9 @@
     /// Time until the window has room for so many units.
     fn room_in(&self, now: Instant, limit: f64, units: f64, window: Duration) -> Duration {
         let mut excess = self.live.sum + units - limit;
-        let mut parts: Vec<_> = self.live.parts.iter().chain(&self.noted.parts).collect();
-        parts.sort_by_key(|(at, _)| *at);
-        for (at, sum) in parts {
+        let mut entries: Vec<_> = self.live.entries.iter().chain(&self.noted.entries).collect();
+        entries.sort_by_key(|(at, _)| *at);
+        for (at, sum) in entries {
             excess -= sum;
             if excess <= 0.0 {
                 return (*at + window + window / WINDOW_SLICES).saturating_duration_since(now);
@@ -336,19 +336,19 @@
 
 impl TimedUnits {
     fn add(&mut self, now: Instant, units: f64) {
-        self.parts.push_back((now, units));
+        self.entries.push_back((now, units));
         self.sum += units;
     }
 
     /// Adds what is older than all before.
     fn add_first(&mut self, at: Instant, units: f64) {
-        self.parts.push_front((at, units));
+        self.entries.push_front((at, units));
         self.sum += units;
     }
 
     /// Adds to the newest part if that is not older than a part may be.
     fn add_coarsely(&mut self, now: Instant, units: f64, part: Duration) {
-        match self.parts.back_mut() {
+        match self.entries.back_mut() {
             Some((at, sum)) if now.saturating_duration_since(*at) < part => {
                 *sum += units;
                 self.sum += units;
@@ -366,7 +366,7 @@
     /// The last slots up to the oldest one with anything in it.
     fn lately(&self, now: Instant) -> RecentUsage {
         let mut slots = RecentUsage::new();
-        for (at, units) in &self.parts {
+        for (at, units) in &self.entries {
             let slot = now.saturating_duration_since(*at).as_millis() / RECENT_SLOT.as_millis();
             let slot = slot as usize;
             if slot < RECENT_SLOTS as usize && *units > 0.0 {
@@ -379,7 +379,7 @@
 
     fn take_back(&mut self, units: f64) {
         let mut left = units;
-        for (_, sum) in self.parts.iter_mut().rev() {
+        for (_, sum) in self.entries.iter_mut().rev() {
             let taken = left.min(*sum);
             *sum -= taken;
             self.sum -= taken;
@@ -388,12 +388,12 @@
     }
 
     fn forget(&mut self, now: Instant, keep: Duration) {
-        while let Some((at, sum)) = self.parts.front() {
+        while let Some((at, sum)) = self.entries.front() {
             if now.saturating_duration_since(*at) < keep {
                 break;
             }
             self.sum -= sum;
-            self.parts.pop_front();
+            self.entries.pop_front();
         }
     }
 }
