--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -99,7 +99,7 @@
 #[derive(Debug, Default)]
 struct TimedUnits {
     entries: VecDeque<(Instant, f64)>,
-    sum: f64,
+    total: f64,
 }
 
 /// The quotas of all accounts as one instance sees them.
@@ -151,7 +151,7 @@
         let Some(usage) = self.usages.get_mut(account) else { return Ok(()) };
         usage.forget(now, self.bounds.window);
         let limit = usage.usable(&self.bounds, self.share);
-        if usage.live.sum + units as f64 > limit {
+        if usage.live.total + units as f64 > limit {
             return Err(usage.room_in(now, limit, units as f64, self.bounds.window));
         }
         usage.live.add_coarsely(now, units as f64, self.bounds.window / WINDOW_SLICES);
@@ -164,8 +164,8 @@
     pub fn usage(&self, account: &str) -> AccountUsage {
         let Some(usage) = self.usages.get(account) else { return AccountUsage::default() };
         AccountUsage {
-            admitted_units: usage.live.sum,
-            restored_units: usage.noted.sum,
+            admitted_units: usage.live.total,
+            restored_units: usage.noted.total,
             limit: usage.usable(&self.bounds, self.share),
             reachable_share: self.share,
             ..AccountUsage::default()
@@ -201,8 +201,8 @@
     /// Whether an account is so near its limit that the others must know at once what is admitted.
     pub fn is_near_limit(&self) -> bool {
         self.usages.values().any(|u| {
-            let limit = (u.limit(&self.bounds) - u.noted.sum) * self.share;
-            u.live.sum > limit * NEAR_LIMIT_SHARE
+            let limit = (u.limit(&self.bounds) - u.noted.total) * self.share;
+            u.live.total > limit * NEAR_LIMIT_SHARE
         })
     }
 
@@ -227,7 +227,7 @@
         };
         let unseen = window.first().map_or(0.0, |last| *last as f64) * behind.as_secs_f64();
         let noted = window.iter().sum::<u64>() as f64 + unseen;
-        if noted <= usage.noted.sum {
+        if noted <= usage.noted.total {
             return;
         }
         usage.noted = TimedUnits::default();
@@ -244,10 +244,10 @@
     pub fn restore_from_peer(&mut self, now: Instant, account: &str, window: &[u64]) {
         let Some(usage) = self.usages.get_mut(account) else { return };
         let told = window.iter().sum::<u64>() as f64;
-        if told - usage.live.sum <= usage.noted.sum {
+        if told - usage.live.total <= usage.noted.total {
             return;
         }
-        let mut known = usage.live.sum;
+        let mut known = usage.live.total;
         usage.noted = TimedUnits::default();
         for (age, units) in window.iter().enumerate() {
             let rest = (*units as f64 - known).max(0.0);
@@ -294,11 +294,11 @@
     fn usable(&self, bounds: &QuotaPolicy, share: f64) -> f64 {
         let limit = self.limit(bounds);
         let tolerated = (limit * bounds.overage + bounds.slack) * TOLERANCE_SHARE;
-        share * (limit + tolerated - self.noted.sum)
+        share * (limit + tolerated - self.noted.total)
     }
 
     fn sum(&self) -> f64 {
-        self.live.sum + self.noted.sum
+        self.live.total + self.noted.total
     }
 
     fn slots(&self, now: Instant) -> WindowUsage {
@@ -321,7 +321,7 @@
 
     /// Time until the window has room for so many units.
     fn room_in(&self, now: Instant, limit: f64, units: f64, window: Duration) -> Duration {
-        let mut excess = self.live.sum + units - limit;
+        let mut excess = self.live.total + units - limit;
         let mut entries: Vec<_> = self.live.entries.iter().chain(&self.noted.entries).collect();
         entries.sort_by_key(|(at, _)| *at);
         for (at, sum) in entries {
@@ -337,13 +337,13 @@
 impl TimedUnits {
     fn add(&mut self, now: Instant, units: f64) {
         self.entries.push_back((now, units));
-        self.sum += units;
+        self.total += units;
     }
 
     /// Adds what is older than all before.
     fn add_first(&mut self, at: Instant, units: f64) {
         self.entries.push_front((at, units));
-        self.sum += units;
+        self.total += units;
     }
 
     /// Adds to the newest part if that is not older than a part may be.
@@ -351,7 +351,7 @@
         match self.entries.back_mut() {
             Some((at, sum)) if now.saturating_duration_since(*at) < part => {
                 *sum += units;
-                self.sum += units;
+                self.total += units;
             }
             _ => self.add(now, units),
         }
@@ -382,7 +382,7 @@
         for (_, sum) in self.entries.iter_mut().rev() {
             let taken = left.min(*sum);
             *sum -= taken;
-            self.sum -= taken;
+            self.total -= taken;
             left -= taken;
         }
     }
@@ -392,7 +392,7 @@
             if now.saturating_duration_since(*at) < keep {
                 break;
             }
-            self.sum -= sum;
+            self.total -= sum;
             self.entries.pop_front();
         }
     }
