--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -211,7 +211,7 @@
         let window = self.bounds.window;
         let windows = self.usages.iter_mut().filter_map(|(account, usage)| {
             usage.forget(now, window);
-            (usage.sum() >= 1.0).then(|| (account.clone(), usage.slots(now)))
+            (usage.total() >= 1.0).then(|| (account.clone(), usage.slots(now)))
         });
         let mut windows: Vec<_> = windows.collect();
         windows.sort();
@@ -297,7 +297,7 @@
         share * (limit + tolerated - self.noted.total)
     }
 
-    fn sum(&self) -> f64 {
+    fn total(&self) -> f64 {
         self.live.total + self.noted.total
     }
 
