--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -81,7 +81,7 @@
 struct Usage {
     quota: Quota,
     /// Units admitted here in this life.
-    spent: u64,
+    local_total: u64,
     /// Units admitted by the other instances of the cell, as they told.
     relayed: u64,
     /// Units admitted by other cells, likewise.
@@ -124,7 +124,7 @@
                 Some(usage) => Usage { quota, ..usage },
                 None => Usage {
                     quota,
-                    spent: 0,
+                    local_total: 0,
                     relayed: 0,
                     far: 0,
                     near_lately: TimedUnits::default(),
@@ -156,7 +156,7 @@
         }
         usage.live.add_coarsely(now, units as f64, self.bounds.window / WINDOW_SLICES);
         usage.near_lately.add_lately(now, units as f64);
-        usage.spent += units;
+        usage.local_total += units;
         Ok(())
     }
 
@@ -177,7 +177,7 @@
         if let Some(usage) = self.usages.get_mut(account) {
             usage.live.take_back(units as f64);
             usage.near_lately.take_back(units as f64);
-            usage.spent = usage.spent.saturating_sub(units);
+            usage.local_total = usage.local_total.saturating_sub(units);
         }
     }
 
@@ -259,7 +259,7 @@
 
     /// What this instance has admitted since its start, for each account.
     pub fn local_totals(&self) -> impl Iterator<Item = (&AccountId, u64)> {
-        self.usages.iter().map(|(account, u)| (account, u.spent))
+        self.usages.iter().map(|(account, u)| (account, u.local_total))
     }
 
     /// What other cells have admitted since this instance's start, as far as it has heard.
@@ -281,7 +281,7 @@
 
     /// What this cell has admitted since this instance's start, as far as it has heard.
     pub fn cell_totals(&self) -> impl Iterator<Item = (&AccountId, u64)> {
-        self.usages.iter().map(|(account, u)| (account, u.spent + u.relayed))
+        self.usages.iter().map(|(account, u)| (account, u.local_total + u.relayed))
     }
 }
 
