--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -83,7 +83,7 @@
     /// Units admitted here in this life.
     local_total: u64,
     /// Units admitted by the other instances of the cell, as they told.
-    relayed: u64,
+    cell_peers_total: u64,
     /// Units admitted by other cells, likewise.
     far: u64,
     /// What of both was admitted lately.
@@ -125,7 +125,7 @@
                 None => Usage {
                     quota,
                     local_total: 0,
-                    relayed: 0,
+                    cell_peers_total: 0,
                     far: 0,
                     near_lately: TimedUnits::default(),
                     far_lately: TimedUnits::default(),
@@ -186,7 +186,7 @@
         if let Some(usage) = self.usages.get_mut(account) {
             match is_near {
                 true => {
-                    usage.relayed += units as u64;
+                    usage.cell_peers_total += units as u64;
                     usage.near_lately.add_lately(now, units);
                 }
                 false => {
@@ -281,7 +281,7 @@
 
     /// What this cell has admitted since this instance's start, as far as it has heard.
     pub fn cell_totals(&self) -> impl Iterator<Item = (&AccountId, u64)> {
-        self.usages.iter().map(|(account, u)| (account, u.local_total + u.relayed))
+        self.usages.iter().map(|(account, u)| (account, u.local_total + u.cell_peers_total))
     }
 }
 
