--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -85,7 +85,7 @@
     /// Units admitted by the other instances of the cell, as they told.
     cell_peers_total: u64,
     /// Units admitted by other cells, likewise.
-    far: u64,
+    other_cells_total: u64,
     /// What of both was admitted lately.
     near_lately: TimedUnits,
     far_lately: TimedUnits,
@@ -126,7 +126,7 @@
                     quota,
                     local_total: 0,
                     cell_peers_total: 0,
-                    far: 0,
+                    other_cells_total: 0,
                     near_lately: TimedUnits::default(),
                     far_lately: TimedUnits::default(),
                     live: TimedUnits::default(),
@@ -190,7 +190,7 @@
                     usage.near_lately.add_lately(now, units);
                 }
                 false => {
-                    usage.far += units as u64;
+                    usage.other_cells_total += units as u64;
                     usage.far_lately.add_lately(now, units);
                 }
             }
@@ -264,7 +264,7 @@
 
     /// What other cells have admitted since this instance's start, as far as it has heard.
     pub fn other_cells_totals(&self) -> impl Iterator<Item = (&AccountId, u64)> {
-        self.usages.iter().map(|(account, u)| (account, u.far))
+        self.usages.iter().map(|(account, u)| (account, u.other_cells_total))
     }
 
     /// What this cell has admitted lately, as far as this instance has heard.
