--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -87,7 +87,7 @@
     /// Units admitted by other cells, likewise.
     other_cells_total: u64,
     /// What of both was admitted lately.
-    near_lately: TimedUnits,
+    cell_recent: TimedUnits,
     far_lately: TimedUnits,
     /// What was admitted in this life, here and as others told.
     live: TimedUnits,
@@ -127,7 +127,7 @@
                     local_total: 0,
                     cell_peers_total: 0,
                     other_cells_total: 0,
-                    near_lately: TimedUnits::default(),
+                    cell_recent: TimedUnits::default(),
                     far_lately: TimedUnits::default(),
                     live: TimedUnits::default(),
                     noted: TimedUnits::default(),
@@ -155,7 +155,7 @@
             return Err(usage.room_in(now, limit, units as f64, self.bounds.window));
         }
         usage.live.add_coarsely(now, units as f64, self.bounds.window / WINDOW_SLICES);
-        usage.near_lately.add_lately(now, units as f64);
+        usage.cell_recent.add_lately(now, units as f64);
         usage.local_total += units;
         Ok(())
     }
@@ -176,7 +176,7 @@
     pub fn refund(&mut self, account: &str, units: u64) {
         if let Some(usage) = self.usages.get_mut(account) {
             usage.live.take_back(units as f64);
-            usage.near_lately.take_back(units as f64);
+            usage.cell_recent.take_back(units as f64);
             usage.local_total = usage.local_total.saturating_sub(units);
         }
     }
@@ -187,7 +187,7 @@
             match is_near {
                 true => {
                     usage.cell_peers_total += units as u64;
-                    usage.near_lately.add_lately(now, units);
+                    usage.cell_recent.add_lately(now, units);
                 }
                 false => {
                     usage.other_cells_total += units as u64;
@@ -269,7 +269,7 @@
 
     /// What this cell has admitted lately, as far as this instance has heard.
     pub fn cell_recent(&self, now: Instant) -> Vec<(AccountId, RecentUsage)> {
-        let lately = self.usages.iter().map(|(a, u)| (a.clone(), u.near_lately.lately(now)));
+        let lately = self.usages.iter().map(|(a, u)| (a.clone(), u.cell_recent.lately(now)));
         lately.filter(|(_, slots)| !slots.is_empty()).collect()
     }
 
