--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -88,7 +88,7 @@
     other_cells_total: u64,
     /// What of both was admitted lately.
     cell_recent: TimedUnits,
-    far_lately: TimedUnits,
+    other_cells_recent: TimedUnits,
     /// What was admitted in this life, here and as others told.
     live: TimedUnits,
     /// What a note told at the start of this life.
@@ -128,7 +128,7 @@
                     cell_peers_total: 0,
                     other_cells_total: 0,
                     cell_recent: TimedUnits::default(),
-                    far_lately: TimedUnits::default(),
+                    other_cells_recent: TimedUnits::default(),
                     live: TimedUnits::default(),
                     noted: TimedUnits::default(),
                 },
@@ -191,7 +191,7 @@
                 }
                 false => {
                     usage.other_cells_total += units as u64;
-                    usage.far_lately.add_lately(now, units);
+                    usage.other_cells_recent.add_lately(now, units);
                 }
             }
             usage.live.add_coarsely(now, units, self.bounds.window / WINDOW_SLICES);
@@ -275,7 +275,7 @@
 
     /// What other cells have admitted lately, likewise.
     pub fn other_cells_recent(&self, now: Instant) -> Vec<(AccountId, RecentUsage)> {
-        let lately = self.usages.iter().map(|(a, u)| (a.clone(), u.far_lately.lately(now)));
+        let lately = self.usages.iter().map(|(a, u)| (a.clone(), u.other_cells_recent.lately(now)));
         lately.filter(|(_, slots)| !slots.is_empty()).collect()
     }
 
