--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -90,7 +90,7 @@
     cell_recent: TimedUnits,
     other_cells_recent: TimedUnits,
     /// What was admitted in this life, here and as others told.
-    live: TimedUnits,
+    admitted: TimedUnits,
     /// What a note told at the start of this life.
     noted: TimedUnits,
 }
@@ -129,7 +129,7 @@
                     other_cells_total: 0,
                     cell_recent: TimedUnits::default(),
                     other_cells_recent: TimedUnits::default(),
-                    live: TimedUnits::default(),
+                    admitted: TimedUnits::default(),
                     noted: TimedUnits::default(),
                 },
             };
@@ -151,10 +151,10 @@
         let Some(usage) = self.usages.get_mut(account) else { return Ok(()) };
         usage.forget(now, self.bounds.window);
         let limit = usage.usable(&self.bounds, self.share);
-        if usage.live.total + units as f64 > limit {
+        if usage.admitted.total + units as f64 > limit {
             return Err(usage.room_in(now, limit, units as f64, self.bounds.window));
         }
-        usage.live.add_coarsely(now, units as f64, self.bounds.window / WINDOW_SLICES);
+        usage.admitted.add_coarsely(now, units as f64, self.bounds.window / WINDOW_SLICES);
         usage.cell_recent.add_lately(now, units as f64);
         usage.local_total += units;
         Ok(())
@@ -164,7 +164,7 @@
     pub fn usage(&self, account: &str) -> AccountUsage {
         let Some(usage) = self.usages.get(account) else { return AccountUsage::default() };
         AccountUsage {
-            admitted_units: usage.live.total,
+            admitted_units: usage.admitted.total,
             restored_units: usage.noted.total,
             limit: usage.usable(&self.bounds, self.share),
             reachable_share: self.share,
@@ -175,7 +175,7 @@
     /// Gives back the units of a request that has not run.
     pub fn refund(&mut self, account: &str, units: u64) {
         if let Some(usage) = self.usages.get_mut(account) {
-            usage.live.take_back(units as f64);
+            usage.admitted.take_back(units as f64);
             usage.cell_recent.take_back(units as f64);
             usage.local_total = usage.local_total.saturating_sub(units);
         }
@@ -194,7 +194,7 @@
                     usage.other_cells_recent.add_lately(now, units);
                 }
             }
-            usage.live.add_coarsely(now, units, self.bounds.window / WINDOW_SLICES);
+            usage.admitted.add_coarsely(now, units, self.bounds.window / WINDOW_SLICES);
         }
     }
 
@@ -202,7 +202,7 @@
     pub fn is_near_limit(&self) -> bool {
         self.usages.values().any(|u| {
             let limit = (u.limit(&self.bounds) - u.noted.total) * self.share;
-            u.live.total > limit * NEAR_LIMIT_SHARE
+            u.admitted.total > limit * NEAR_LIMIT_SHARE
         })
     }
 
@@ -244,10 +244,10 @@
     pub fn restore_from_peer(&mut self, now: Instant, account: &str, window: &[u64]) {
         let Some(usage) = self.usages.get_mut(account) else { return };
         let told = window.iter().sum::<u64>() as f64;
-        if told - usage.live.total <= usage.noted.total {
+        if told - usage.admitted.total <= usage.noted.total {
             return;
         }
-        let mut known = usage.live.total;
+        let mut known = usage.admitted.total;
         usage.noted = TimedUnits::default();
         for (age, units) in window.iter().enumerate() {
             let rest = (*units as f64 - known).max(0.0);
@@ -298,12 +298,12 @@
     }
 
     fn total(&self) -> f64 {
-        self.live.total + self.noted.total
+        self.admitted.total + self.noted.total
     }
 
     fn slots(&self, now: Instant) -> WindowUsage {
         let mut slots = WindowUsage::new();
-        for (at, units) in self.live.entries.iter().chain(&self.noted.entries) {
+        for (at, units) in self.admitted.entries.iter().chain(&self.noted.entries) {
             let age = now.saturating_duration_since(*at).as_secs() as usize;
             if slots.len() <= age {
                 slots.resize(age + 1, 0);
@@ -315,14 +315,14 @@
 
     /// A part counts until its last unit is out of the window.
     fn forget(&mut self, now: Instant, window: Duration) {
-        self.live.forget(now, window + window / WINDOW_SLICES);
+        self.admitted.forget(now, window + window / WINDOW_SLICES);
         self.noted.forget(now, window + window / WINDOW_SLICES);
     }
 
     /// Time until the window has room for so many units.
     fn room_in(&self, now: Instant, limit: f64, units: f64, window: Duration) -> Duration {
-        let mut excess = self.live.total + units - limit;
-        let mut entries: Vec<_> = self.live.entries.iter().chain(&self.noted.entries).collect();
+        let mut excess = self.admitted.total + units - limit;
+        let mut entries: Vec<_> = self.admitted.entries.iter().chain(&self.noted.entries).collect();
         entries.sort_by_key(|(at, _)| *at);
         for (at, sum) in entries {
             excess -= sum;
