--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -92,7 +92,7 @@
     /// What was admitted in this life, here and as others told.
     admitted: TimedUnits,
     /// What a note told at the start of this life.
-    noted: TimedUnits,
+    restored: TimedUnits,
 }
 
 /// Units admitted lately, the oldest first.
@@ -130,7 +130,7 @@
                     cell_recent: TimedUnits::default(),
                     other_cells_recent: TimedUnits::default(),
                     admitted: TimedUnits::default(),
-                    noted: TimedUnits::default(),
+                    restored: TimedUnits::default(),
                 },
             };
             self.usages.insert(account.clone(), usage);
@@ -165,7 +165,7 @@
         let Some(usage) = self.usages.get(account) else { return AccountUsage::default() };
         AccountUsage {
             admitted_units: usage.admitted.total,
-            restored_units: usage.noted.total,
+            restored_units: usage.restored.total,
             limit: usage.usable(&self.bounds, self.share),
             reachable_share: self.share,
             ..AccountUsage::default()
@@ -201,7 +201,7 @@
     /// Whether an account is so near its limit that the others must know at once what is admitted.
     pub fn is_near_limit(&self) -> bool {
         self.usages.values().any(|u| {
-            let limit = (u.limit(&self.bounds) - u.noted.total) * self.share;
+            let limit = (u.limit(&self.bounds) - u.restored.total) * self.share;
             u.admitted.total > limit * NEAR_LIMIT_SHARE
         })
     }
@@ -226,17 +226,17 @@
             SnapshotAge::Old => self.bounds.window,
         };
         let unseen = window.first().map_or(0.0, |last| *last as f64) * behind.as_secs_f64();
-        let noted = window.iter().sum::<u64>() as f64 + unseen;
-        if noted <= usage.noted.total {
+        let restored = window.iter().sum::<u64>() as f64 + unseen;
+        if restored <= usage.restored.total {
             return;
         }
-        usage.noted = TimedUnits::default();
+        usage.restored = TimedUnits::default();
         for (age, units) in window.iter().enumerate().rev() {
             // The newest end of a slot, so that nothing leaves the window too early.
             let at = now.checked_sub(SNAPSHOT_SLOT * age as u32).unwrap_or(now);
-            usage.noted.add(at, *units as f64);
+            usage.restored.add(at, *units as f64);
         }
-        usage.noted.add(now, unseen);
+        usage.restored.add(now, unseen);
     }
 
     /// Starts from what another instance tells of an account's window some moments after the start. What was
@@ -244,16 +244,16 @@
     pub fn restore_from_peer(&mut self, now: Instant, account: &str, window: &[u64]) {
         let Some(usage) = self.usages.get_mut(account) else { return };
         let told = window.iter().sum::<u64>() as f64;
-        if told - usage.admitted.total <= usage.noted.total {
+        if told - usage.admitted.total <= usage.restored.total {
             return;
         }
         let mut known = usage.admitted.total;
-        usage.noted = TimedUnits::default();
+        usage.restored = TimedUnits::default();
         for (age, units) in window.iter().enumerate() {
             let rest = (*units as f64 - known).max(0.0);
             known -= *units as f64 - rest;
             let at = now.checked_sub(SNAPSHOT_SLOT * age as u32).unwrap_or(now);
-            usage.noted.add_first(at, rest);
+            usage.restored.add_first(at, rest);
         }
     }
 
@@ -294,16 +294,16 @@
     fn usable(&self, bounds: &QuotaPolicy, share: f64) -> f64 {
         let limit = self.limit(bounds);
         let tolerated = (limit * bounds.overage + bounds.slack) * TOLERANCE_SHARE;
-        share * (limit + tolerated - self.noted.total)
+        share * (limit + tolerated - self.restored.total)
     }
 
     fn total(&self) -> f64 {
-        self.admitted.total + self.noted.total
+        self.admitted.total + self.restored.total
     }
 
     fn slots(&self, now: Instant) -> WindowUsage {
         let mut slots = WindowUsage::new();
-        for (at, units) in self.admitted.entries.iter().chain(&self.noted.entries) {
+        for (at, units) in self.admitted.entries.iter().chain(&self.restored.entries) {
             let age = now.saturating_duration_since(*at).as_secs() as usize;
             if slots.len() <= age {
                 slots.resize(age + 1, 0);
@@ -316,13 +316,14 @@
     /// A part counts until its last unit is out of the window.
     fn forget(&mut self, now: Instant, window: Duration) {
         self.admitted.forget(now, window + window / WINDOW_SLICES);
-        self.noted.forget(now, window + window / WINDOW_SLICES);
+        self.restored.forget(now, window + window / WINDOW_SLICES);
     }
 
     /// Time until the window has room for so many units.
     fn room_in(&self, now: Instant, limit: f64, units: f64, window: Duration) -> Duration {
         let mut excess = self.admitted.total + units - limit;
-        let mut entries: Vec<_> = self.admitted.entries.iter().chain(&self.noted.entries).collect();
+        let mut entries: Vec<_> =
+            self.admitted.entries.iter().chain(&self.restored.entries).collect();
         entries.sort_by_key(|(at, _)| *at);
         for (at, sum) in entries {
             excess -= sum;
