--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -107,13 +107,13 @@
 pub struct Quotas {
     bounds: QuotaPolicy,
     usages: HashMap<AccountId, Usage>,
-    share: f64,
+    reachable_share: f64,
 }
 
 impl Quotas {
     /// No quotas yet.
     pub fn new(bounds: QuotaPolicy) -> Quotas {
-        Quotas { bounds, usages: HashMap::new(), share: 1.0 }
+        Quotas { bounds, usages: HashMap::new(), reachable_share: 1.0 }
     }
 
     /// Puts the quotas of a configuration in force. What accounts have used stays.
@@ -138,8 +138,8 @@
     }
 
     /// Sets the share of the fleet that is heard, this instance included.
-    pub fn set_reachable_share(&mut self, share: f64) {
-        self.share = share.clamp(0.0, 1.0);
+    pub fn set_reachable_share(&mut self, reachable_share: f64) {
+        self.reachable_share = reachable_share.clamp(0.0, 1.0);
     }
 
     /// Admits a request of so many units, or tells when to come back.
@@ -150,7 +150,7 @@
     pub fn admit(&mut self, now: Instant, account: &str, units: u64) -> Result<(), Duration> {
         let Some(usage) = self.usages.get_mut(account) else { return Ok(()) };
         usage.forget(now, self.bounds.window);
-        let limit = usage.usable(&self.bounds, self.share);
+        let limit = usage.usable(&self.bounds, self.reachable_share);
         if usage.admitted.total + units as f64 > limit {
             return Err(usage.room_in(now, limit, units as f64, self.bounds.window));
         }
@@ -166,8 +166,8 @@
         AccountUsage {
             admitted_units: usage.admitted.total,
             restored_units: usage.restored.total,
-            limit: usage.usable(&self.bounds, self.share),
-            reachable_share: self.share,
+            limit: usage.usable(&self.bounds, self.reachable_share),
+            reachable_share: self.reachable_share,
             ..AccountUsage::default()
         }
     }
@@ -201,7 +201,7 @@
     /// Whether an account is so near its limit that the others must know at once what is admitted.
     pub fn is_near_limit(&self) -> bool {
         self.usages.values().any(|u| {
-            let limit = (u.limit(&self.bounds) - u.restored.total) * self.share;
+            let limit = (u.limit(&self.bounds) - u.restored.total) * self.reachable_share;
             u.admitted.total > limit * NEAR_LIMIT_SHARE
         })
     }
@@ -291,10 +291,10 @@
     }
 
     /// The part of the limit that an instance may use that hears this share of the fleet.
-    fn usable(&self, bounds: &QuotaPolicy, share: f64) -> f64 {
+    fn usable(&self, bounds: &QuotaPolicy, reachable_share: f64) -> f64 {
         let limit = self.limit(bounds);
         let tolerated = (limit * bounds.overage + bounds.slack) * TOLERANCE_SHARE;
-        share * (limit + tolerated - self.restored.total)
+        reachable_share * (limit + tolerated - self.restored.total)
     }
 
     fn total(&self) -> f64 {
