--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -150,7 +150,7 @@
     pub fn admit(&mut self, now: Instant, account: &str, units: u64) -> Result<(), Duration> {
         let Some(usage) = self.usages.get_mut(account) else { return Ok(()) };
         usage.forget(now, self.bounds.window);
-        let limit = usage.usable(&self.bounds, self.reachable_share);
+        let limit = usage.usable_limit(&self.bounds, self.reachable_share);
         if usage.admitted.total + units as f64 > limit {
             return Err(usage.room_in(now, limit, units as f64, self.bounds.window));
         }
@@ -166,7 +166,7 @@
         AccountUsage {
             admitted_units: usage.admitted.total,
             restored_units: usage.restored.total,
-            limit: usage.usable(&self.bounds, self.reachable_share),
+            limit: usage.usable_limit(&self.bounds, self.reachable_share),
             reachable_share: self.reachable_share,
             ..AccountUsage::default()
         }
@@ -291,7 +291,7 @@
     }
 
     /// The part of the limit that an instance may use that hears this share of the fleet.
-    fn usable(&self, bounds: &QuotaPolicy, reachable_share: f64) -> f64 {
+    fn usable_limit(&self, bounds: &QuotaPolicy, reachable_share: f64) -> f64 {
         let limit = self.limit(bounds);
         let tolerated = (limit * bounds.overage + bounds.slack) * TOLERANCE_SHARE;
         reachable_share * (limit + tolerated - self.restored.total)
