--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -211,7 +211,7 @@
         let window = self.bounds.window;
         let windows = self.usages.iter_mut().filter_map(|(account, usage)| {
             usage.forget(now, window);
-            (usage.total() >= 1.0).then(|| (account.clone(), usage.slots(now)))
+            (usage.total() >= 1.0).then(|| (account.clone(), usage.units_per_second(now)))
         });
         let mut windows: Vec<_> = windows.collect();
         windows.sort();
@@ -301,7 +301,7 @@
         self.admitted.total + self.restored.total
     }
 
-    fn slots(&self, now: Instant) -> WindowUsage {
+    fn units_per_second(&self, now: Instant) -> WindowUsage {
         let mut slots = WindowUsage::new();
         for (at, units) in self.admitted.entries.iter().chain(&self.restored.entries) {
             let age = now.saturating_duration_since(*at).as_secs() as usize;
