--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -149,7 +149,7 @@
     /// Fails with the time until the window will have room.
     pub fn admit(&mut self, now: Instant, account: &str, units: u64) -> Result<(), Duration> {
         let Some(usage) = self.usages.get_mut(account) else { return Ok(()) };
-        usage.forget(now, self.bounds.window);
+        usage.expire(now, self.bounds.window);
         let limit = usage.usable_limit(&self.bounds, self.reachable_share);
         if usage.admitted.total + units as f64 > limit {
             return Err(usage.room_in(now, limit, units as f64, self.bounds.window));
@@ -210,7 +210,7 @@
     pub fn window_usage(&mut self, now: Instant) -> Vec<(AccountId, WindowUsage)> {
         let window = self.bounds.window;
         let windows = self.usages.iter_mut().filter_map(|(account, usage)| {
-            usage.forget(now, window);
+            usage.expire(now, window);
             (usage.total() >= 1.0).then(|| (account.clone(), usage.units_per_second(now)))
         });
         let mut windows: Vec<_> = windows.collect();
@@ -314,9 +314,9 @@
     }
 
     /// A part counts until its last unit is out of the window.
-    fn forget(&mut self, now: Instant, window: Duration) {
-        self.admitted.forget(now, window + window / WINDOW_SLICES);
-        self.restored.forget(now, window + window / WINDOW_SLICES);
+    fn expire(&mut self, now: Instant, window: Duration) {
+        self.admitted.expire(now, window + window / WINDOW_SLICES);
+        self.restored.expire(now, window + window / WINDOW_SLICES);
     }
 
     /// Time until the window has room for so many units.
@@ -360,7 +360,7 @@
 
     /// Adds, and forgets what is not told any more.
     fn add_lately(&mut self, now: Instant, units: f64) {
-        self.forget(now, RECENT_SLOT * RECENT_SLOTS);
+        self.expire(now, RECENT_SLOT * RECENT_SLOTS);
         self.add_coarsely(now, units, RECENT_SLOT / 4);
     }
 
@@ -388,7 +388,7 @@
         }
     }
 
-    fn forget(&mut self, now: Instant, keep: Duration) {
+    fn expire(&mut self, now: Instant, keep: Duration) {
         while let Some((at, sum)) = self.entries.front() {
             if now.saturating_duration_since(*at) < keep {
                 break;
