--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -152,7 +152,7 @@
         usage.expire(now, self.bounds.window);
         let limit = usage.usable_limit(&self.bounds, self.reachable_share);
         if usage.admitted.total + units as f64 > limit {
-            return Err(usage.room_in(now, limit, units as f64, self.bounds.window));
+            return Err(usage.retry_after(now, limit, units as f64, self.bounds.window));
         }
         usage.admitted.add_coarsely(now, units as f64, self.bounds.window / WINDOW_SLICES);
         usage.cell_recent.add_lately(now, units as f64);
@@ -320,7 +320,7 @@
     }
 
     /// Time until the window has room for so many units.
-    fn room_in(&self, now: Instant, limit: f64, units: f64, window: Duration) -> Duration {
+    fn retry_after(&self, now: Instant, limit: f64, units: f64, window: Duration) -> Duration {
         let mut excess = self.admitted.total + units - limit;
         let mut entries: Vec<_> =
             self.admitted.entries.iter().chain(&self.restored.entries).collect();
