--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -253,7 +253,7 @@
             let rest = (*units as f64 - known).max(0.0);
             known -= *units as f64 - rest;
             let at = now.checked_sub(SNAPSHOT_SLOT * age as u32).unwrap_or(now);
-            usage.restored.add_first(at, rest);
+            usage.restored.add_oldest(at, rest);
         }
     }
 
@@ -342,7 +342,7 @@
     }
 
     /// Adds what is older than all before.
-    fn add_first(&mut self, at: Instant, units: f64) {
+    fn add_oldest(&mut self, at: Instant, units: f64) {
         self.entries.push_front((at, units));
         self.total += units;
     }
