--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -154,7 +154,7 @@
         if usage.admitted.total + units as f64 > limit {
             return Err(usage.retry_after(now, limit, units as f64, self.bounds.window));
         }
-        usage.admitted.add_coarsely(now, units as f64, self.bounds.window / WINDOW_SLICES);
+        usage.admitted.add_merged(now, units as f64, self.bounds.window / WINDOW_SLICES);
         usage.cell_recent.add_lately(now, units as f64);
         usage.local_total += units;
         Ok(())
@@ -194,7 +194,7 @@
                     usage.other_cells_recent.add_lately(now, units);
                 }
             }
-            usage.admitted.add_coarsely(now, units, self.bounds.window / WINDOW_SLICES);
+            usage.admitted.add_merged(now, units, self.bounds.window / WINDOW_SLICES);
         }
     }
 
@@ -348,7 +348,7 @@
     }
 
     /// Adds to the newest part if that is not older than a part may be.
-    fn add_coarsely(&mut self, now: Instant, units: f64, part: Duration) {
+    fn add_merged(&mut self, now: Instant, units: f64, part: Duration) {
         match self.entries.back_mut() {
             Some((at, sum)) if now.saturating_duration_since(*at) < part => {
                 *sum += units;
@@ -361,7 +361,7 @@
     /// Adds, and forgets what is not told any more.
     fn add_lately(&mut self, now: Instant, units: f64) {
         self.expire(now, RECENT_SLOT * RECENT_SLOTS);
-        self.add_coarsely(now, units, RECENT_SLOT / 4);
+        self.add_merged(now, units, RECENT_SLOT / 4);
     }
 
     /// The last slots up to the oldest one with anything in it.
