--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -155,7 +155,7 @@
             return Err(usage.retry_after(now, limit, units as f64, self.bounds.window));
         }
         usage.admitted.add_merged(now, units as f64, self.bounds.window / WINDOW_SLICES);
-        usage.cell_recent.add_lately(now, units as f64);
+        usage.cell_recent.add_recent(now, units as f64);
         usage.local_total += units;
         Ok(())
     }
@@ -187,11 +187,11 @@
             match is_near {
                 true => {
                     usage.cell_peers_total += units as u64;
-                    usage.cell_recent.add_lately(now, units);
+                    usage.cell_recent.add_recent(now, units);
                 }
                 false => {
                     usage.other_cells_total += units as u64;
-                    usage.other_cells_recent.add_lately(now, units);
+                    usage.other_cells_recent.add_recent(now, units);
                 }
             }
             usage.admitted.add_merged(now, units, self.bounds.window / WINDOW_SLICES);
@@ -359,7 +359,7 @@
     }
 
     /// Adds, and forgets what is not told any more.
-    fn add_lately(&mut self, now: Instant, units: f64) {
+    fn add_recent(&mut self, now: Instant, units: f64) {
         self.expire(now, RECENT_SLOT * RECENT_SLOTS);
         self.add_merged(now, units, RECENT_SLOT / 4);
     }
