--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -60,10 +60,10 @@
 pub type RecentUsage = Vec<u64>;
 
 /// Units that were admitted within a time before now.
-pub fn admitted_within(lately: &[u64], time: Duration) -> f64 {
+pub fn admitted_within(recent: &[u64], time: Duration) -> f64 {
     let slots = time.as_secs_f64() / RECENT_SLOT.as_secs_f64();
     let part = |(n, units): (usize, &u64)| *units as f64 * (slots - n as f64).clamp(0.0, 1.0);
-    lately.iter().enumerate().map(part).sum()
+    recent.iter().enumerate().map(part).sum()
 }
 
 /// Bounds of all quotas.
@@ -269,14 +269,14 @@
 
     /// What this cell has admitted lately, as far as this instance has heard.
     pub fn cell_recent(&self, now: Instant) -> Vec<(AccountId, RecentUsage)> {
-        let lately = self.usages.iter().map(|(a, u)| (a.clone(), u.cell_recent.lately(now)));
-        lately.filter(|(_, slots)| !slots.is_empty()).collect()
+        let recent = self.usages.iter().map(|(a, u)| (a.clone(), u.cell_recent.recent(now)));
+        recent.filter(|(_, slots)| !slots.is_empty()).collect()
     }
 
     /// What other cells have admitted lately, likewise.
     pub fn other_cells_recent(&self, now: Instant) -> Vec<(AccountId, RecentUsage)> {
-        let lately = self.usages.iter().map(|(a, u)| (a.clone(), u.other_cells_recent.lately(now)));
-        lately.filter(|(_, slots)| !slots.is_empty()).collect()
+        let recent = self.usages.iter().map(|(a, u)| (a.clone(), u.other_cells_recent.recent(now)));
+        recent.filter(|(_, slots)| !slots.is_empty()).collect()
     }
 
     /// What this cell has admitted since this instance's start, as far as it has heard.
@@ -365,7 +365,7 @@
     }
 
     /// The last slots up to the oldest one with anything in it.
-    fn lately(&self, now: Instant) -> RecentUsage {
+    fn recent(&self, now: Instant) -> RecentUsage {
         let mut slots = RecentUsage::new();
         for (at, units) in &self.entries {
             let slot = now.saturating_duration_since(*at).as_millis() / RECENT_SLOT.as_millis();
