--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -175,8 +175,8 @@
     /// Gives back the units of a request that has not run.
     pub fn refund(&mut self, account: &str, units: u64) {
         if let Some(usage) = self.usages.get_mut(account) {
-            usage.admitted.take_back(units as f64);
-            usage.cell_recent.take_back(units as f64);
+            usage.admitted.remove_newest(units as f64);
+            usage.cell_recent.remove_newest(units as f64);
             usage.local_total = usage.local_total.saturating_sub(units);
         }
     }
@@ -378,7 +378,7 @@
         slots
     }
 
-    fn take_back(&mut self, units: f64) {
+    fn remove_newest(&mut self, units: f64) {
         let mut left = units;
         for (_, sum) in self.entries.iter_mut().rev() {
             let taken = left.min(*sum);
