--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -182,9 +182,9 @@
     }
 
     /// Adds what another instance has admitted, or another cell.
-    pub fn record_remote(&mut self, now: Instant, account: &str, units: f64, is_near: bool) {
+    pub fn record_remote(&mut self, now: Instant, account: &str, units: f64, same_cell: bool) {
         if let Some(usage) = self.usages.get_mut(account) {
-            match is_near {
+            match same_cell {
                 true => {
                     usage.cell_peers_total += units as u64;
                     usage.cell_recent.add_recent(now, units);
