--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -105,15 +105,15 @@
 /// The quotas of all accounts as one instance sees them.
 #[derive(Debug)]
 pub struct Quotas {
-    bounds: QuotaPolicy,
+    policy: QuotaPolicy,
     usages: HashMap<AccountId, Usage>,
     reachable_share: f64,
 }
 
 impl Quotas {
     /// No quotas yet.
-    pub fn new(bounds: QuotaPolicy) -> Quotas {
-        Quotas { bounds, usages: HashMap::new(), reachable_share: 1.0 }
+    pub fn new(policy: QuotaPolicy) -> Quotas {
+        Quotas { policy, usages: HashMap::new(), reachable_share: 1.0 }
     }
 
     /// Puts the quotas of a configuration in force. What accounts have used stays.
@@ -149,12 +149,12 @@
     /// Fails with the time until the window will have room.
     pub fn admit(&mut self, now: Instant, account: &str, units: u64) -> Result<(), Duration> {
         let Some(usage) = self.usages.get_mut(account) else { return Ok(()) };
-        usage.expire(now, self.bounds.window);
-        let limit = usage.usable_limit(&self.bounds, self.reachable_share);
+        usage.expire(now, self.policy.window);
+        let limit = usage.usable_limit(&self.policy, self.reachable_share);
         if usage.admitted.total + units as f64 > limit {
-            return Err(usage.retry_after(now, limit, units as f64, self.bounds.window));
+            return Err(usage.retry_after(now, limit, units as f64, self.policy.window));
         }
-        usage.admitted.add_merged(now, units as f64, self.bounds.window / WINDOW_SLICES);
+        usage.admitted.add_merged(now, units as f64, self.policy.window / WINDOW_SLICES);
         usage.cell_recent.add_recent(now, units as f64);
         usage.local_total += units;
         Ok(())
@@ -166,7 +166,7 @@
         AccountUsage {
             admitted_units: usage.admitted.total,
             restored_units: usage.restored.total,
-            limit: usage.usable_limit(&self.bounds, self.reachable_share),
+            limit: usage.usable_limit(&self.policy, self.reachable_share),
             reachable_share: self.reachable_share,
             ..AccountUsage::default()
         }
@@ -194,21 +194,21 @@
                     usage.other_cells_recent.add_recent(now, units);
                 }
             }
-            usage.admitted.add_merged(now, units, self.bounds.window / WINDOW_SLICES);
+            usage.admitted.add_merged(now, units, self.policy.window / WINDOW_SLICES);
         }
     }
 
     /// Whether an account is so near its limit that the others must know at once what is admitted.
     pub fn is_near_limit(&self) -> bool {
         self.usages.values().any(|u| {
-            let limit = (u.limit(&self.bounds) - u.restored.total) * self.reachable_share;
+            let limit = (u.limit(&self.policy) - u.restored.total) * self.reachable_share;
             u.admitted.total > limit * NEAR_LIMIT_SHARE
         })
     }
 
     /// What accounts have used in the window, as far as is known.
     pub fn window_usage(&mut self, now: Instant) -> Vec<(AccountId, WindowUsage)> {
-        let window = self.bounds.window;
+        let window = self.policy.window;
         let windows = self.usages.iter_mut().filter_map(|(account, usage)| {
             usage.expire(now, window);
             (usage.total() >= 1.0).then(|| (account.clone(), usage.units_per_second(now)))
@@ -223,7 +223,7 @@
         let Some(usage) = self.usages.get_mut(account) else { return };
         let behind = match note {
             SnapshotAge::Fresh => SNAPSHOT_DELAY,
-            SnapshotAge::Old => self.bounds.window,
+            SnapshotAge::Old => self.policy.window,
         };
         let unseen = window.first().map_or(0.0, |last| *last as f64) * behind.as_secs_f64();
         let restored = window.iter().sum::<u64>() as f64 + unseen;
@@ -286,14 +286,14 @@
 }
 
 impl Usage {
-    fn limit(&self, bounds: &QuotaPolicy) -> f64 {
-        self.quota.per_s * bounds.window.as_secs_f64() + self.quota.burst
+    fn limit(&self, policy: &QuotaPolicy) -> f64 {
+        self.quota.per_s * policy.window.as_secs_f64() + self.quota.burst
     }
 
     /// The part of the limit that an instance may use that hears this share of the fleet.
-    fn usable_limit(&self, bounds: &QuotaPolicy, reachable_share: f64) -> f64 {
-        let limit = self.limit(bounds);
-        let tolerated = (limit * bounds.overage + bounds.slack) * TOLERANCE_SHARE;
+    fn usable_limit(&self, policy: &QuotaPolicy, reachable_share: f64) -> f64 {
+        let limit = self.limit(policy);
+        let tolerated = (limit * policy.overage + policy.slack) * TOLERANCE_SHARE;
         reachable_share * (limit + tolerated - self.restored.total)
     }
 
