--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -247,11 +247,11 @@
         if told - usage.admitted.total <= usage.restored.total {
             return;
         }
-        let mut known = usage.admitted.total;
+        let mut since_start = usage.admitted.total;
         usage.restored = TimedUnits::default();
         for (age, units) in window.iter().enumerate() {
-            let rest = (*units as f64 - known).max(0.0);
-            known -= *units as f64 - rest;
+            let rest = (*units as f64 - since_start).max(0.0);
+            since_start -= *units as f64 - rest;
             let at = now.checked_sub(SNAPSHOT_SLOT * age as u32).unwrap_or(now);
             usage.restored.add_oldest(at, rest);
         }
