--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -221,11 +221,11 @@
     /// Starts from a note of an account's window. Of several, the fullest counts.
     pub fn restore(&mut self, now: Instant, account: &str, window: &[u64], note: SnapshotAge) {
         let Some(usage) = self.usages.get_mut(account) else { return };
-        let behind = match note {
+        let delay = match note {
             SnapshotAge::Fresh => SNAPSHOT_DELAY,
             SnapshotAge::Old => self.policy.window,
         };
-        let unseen = window.first().map_or(0.0, |last| *last as f64) * behind.as_secs_f64();
+        let unseen = window.first().map_or(0.0, |last| *last as f64) * delay.as_secs_f64();
         let restored = window.iter().sum::<u64>() as f64 + unseen;
         if restored <= usage.restored.total {
             return;
