--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -225,8 +225,8 @@
             SnapshotAge::Fresh => SNAPSHOT_DELAY,
             SnapshotAge::Old => self.policy.window,
         };
-        let unseen = window.first().map_or(0.0, |last| *last as f64) * delay.as_secs_f64();
-        let restored = window.iter().sum::<u64>() as f64 + unseen;
+        let estimated = window.first().map_or(0.0, |last| *last as f64) * delay.as_secs_f64();
+        let restored = window.iter().sum::<u64>() as f64 + estimated;
         if restored <= usage.restored.total {
             return;
         }
@@ -236,7 +236,7 @@
             let at = now.checked_sub(SNAPSHOT_SLOT * age as u32).unwrap_or(now);
             usage.restored.add(at, *units as f64);
         }
-        usage.restored.add(now, unseen);
+        usage.restored.add(now, estimated);
     }
 
     /// Starts from what another instance tells of an account's window some moments after the start. What was
