--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -243,8 +243,8 @@
     /// admitted since the start is among it.
     pub fn restore_from_peer(&mut self, now: Instant, account: &str, window: &[u64]) {
         let Some(usage) = self.usages.get_mut(account) else { return };
-        let told = window.iter().sum::<u64>() as f64;
-        if told - usage.admitted.total <= usage.restored.total {
+        let reported = window.iter().sum::<u64>() as f64;
+        if reported - usage.admitted.total <= usage.restored.total {
             return;
         }
         let mut since_start = usage.admitted.total;
