--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -58,8 +58,8 @@
 
 impl AdmissionController {
     /// No accounts yet.
-    pub fn new(bounds: QuotaPolicy) -> AdmissionController {
-        AdmissionController { quotas: Quotas::new(bounds), buckets: TokenBuckets::new(bounds) }
+    pub fn new(policy: QuotaPolicy) -> AdmissionController {
+        AdmissionController { quotas: Quotas::new(policy), buckets: TokenBuckets::new(policy) }
     }
 
     /// Puts the quotas of a configuration in force.
