--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -70,9 +70,9 @@
     }
 
     /// Sets the share of the fleet that is heard, this instance included.
-    pub fn set_reachable_share(&mut self, share: f64) {
-        self.quotas.set_reachable_share(share);
-        self.buckets.set_reachable_share(share);
+    pub fn set_reachable_share(&mut self, reachable_share: f64) {
+        self.quotas.set_reachable_share(reachable_share);
+        self.buckets.set_reachable_share(reachable_share);
     }
 
     /// Admits a request of so many units, or tells why not. `rank` is that among the account's
