--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -112,8 +112,8 @@
     }
 
     /// Adds what another instance has admitted, or another cell.
-    pub fn record_remote(&mut self, now: Instant, account: &str, units: f64, is_near: bool) {
-        self.quotas.record_remote(now, account, units, is_near);
+    pub fn record_remote(&mut self, now: Instant, account: &str, units: f64, same_cell: bool) {
+        self.quotas.record_remote(now, account, units, same_cell);
         self.buckets.record_remote(now, account, units);
     }
 }
