--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -23,7 +23,7 @@
 
 /// Requests like itself for which one leaves room, for each rank below the highest. An account at six
 /// times its usual sends some 40 requests a second, so this is the room for a quarter second of them.
-const ROOM_BY_RANK: f64 = 10.0;
+const RESERVE_PER_RANK: f64 = 10.0;
 /// How fast a bucket fills, in units a second, and how many units it holds.
 #[derive(Clone, Copy, Debug)]
 struct Flow {
@@ -83,7 +83,7 @@
         let Some(bucket) = self.buckets.get_mut(account) else { return Ok(()) };
         let flow = bucket.flow(&bounds, share);
         let level = bucket.fill(now, flow);
-        let room = units as f64 * (1.0 + ROOM_BY_RANK * f64::from(rank));
+        let room = units as f64 * (1.0 + RESERVE_PER_RANK * f64::from(rank));
         let missing = room.min(flow.capacity) - *level;
         if missing > 0.0 {
             return Err(Duration::from_secs_f64(missing / flow.per_s.max(1.0)));
