--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -26,7 +26,7 @@
 const RESERVE_PER_RANK: f64 = 10.0;
 /// How fast a bucket fills, in units a second, and how many units it holds.
 #[derive(Clone, Copy, Debug)]
-struct Flow {
+struct BucketParams {
     per_s: f64,
     capacity: f64,
 }
@@ -120,17 +120,17 @@
 
 impl Bucket {
     /// How the bucket fills where this share of the fleet is heard.
-    fn flow(&self, bounds: &QuotaPolicy, share: f64) -> Flow {
+    fn flow(&self, bounds: &QuotaPolicy, share: f64) -> BucketParams {
         let tolerated = 1.0 + bounds.overage * TOLERANCE_SHARE;
         let slack = bounds.slack * TOLERANCE_SHARE;
-        Flow {
+        BucketParams {
             per_s: share * self.quota.per_s * tolerated,
             capacity: share * (self.quota.burst * tolerated + slack),
         }
     }
 
     /// The level after what has come in until `now`.
-    fn fill(&mut self, now: Instant, flow: Flow) -> &mut f64 {
+    fn fill(&mut self, now: Instant, flow: BucketParams) -> &mut f64 {
         let (level, at) = self.level.get_or_insert((flow.capacity, now));
         let passed = now.saturating_duration_since(*at).as_secs_f64();
         *level = (*level + passed * flow.per_s).min(flow.capacity);
