--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -81,12 +81,12 @@
     ) -> Result<(), Duration> {
         let (bounds, share) = (self.bounds, self.share);
         let Some(bucket) = self.buckets.get_mut(account) else { return Ok(()) };
-        let flow = bucket.flow(&bounds, share);
-        let level = bucket.fill(now, flow);
+        let params = bucket.params(&bounds, share);
+        let level = bucket.fill(now, params);
         let room = units as f64 * (1.0 + RESERVE_PER_RANK * f64::from(rank));
-        let missing = room.min(flow.capacity) - *level;
+        let missing = room.min(params.capacity) - *level;
         if missing > 0.0 {
-            return Err(Duration::from_secs_f64(missing / flow.per_s.max(1.0)));
+            return Err(Duration::from_secs_f64(missing / params.per_s.max(1.0)));
         }
         *level -= units as f64;
         Ok(())
@@ -96,8 +96,8 @@
     pub fn record_remote(&mut self, now: Instant, account: &str, units: f64) {
         let (bounds, share) = (self.bounds, self.share);
         if let Some(bucket) = self.buckets.get_mut(account) {
-            let flow = bucket.flow(&bounds, share);
-            *bucket.fill(now, flow) -= units;
+            let params = bucket.params(&bounds, share);
+            *bucket.fill(now, params) -= units;
         }
     }
 
@@ -105,7 +105,7 @@
     pub(crate) fn add_usage(&self, account: &str, usage: &mut AccountUsage) {
         if let Some(bucket) = self.buckets.get(account) {
             usage.bucket_level = bucket.level.map_or(0.0, |(level, _)| level);
-            usage.refill_per_s = bucket.flow(&self.bounds, self.share).per_s;
+            usage.refill_per_s = bucket.params(&self.bounds, self.share).per_s;
         }
     }
 
@@ -120,7 +120,7 @@
 
 impl Bucket {
     /// How the bucket fills where this share of the fleet is heard.
-    fn flow(&self, bounds: &QuotaPolicy, share: f64) -> BucketParams {
+    fn params(&self, bounds: &QuotaPolicy, share: f64) -> BucketParams {
         let tolerated = 1.0 + bounds.overage * TOLERANCE_SHARE;
         let slack = bounds.slack * TOLERANCE_SHARE;
         BucketParams {
@@ -130,10 +130,10 @@
     }
 
     /// The level after what has come in until `now`.
-    fn fill(&mut self, now: Instant, flow: BucketParams) -> &mut f64 {
-        let (level, at) = self.level.get_or_insert((flow.capacity, now));
+    fn fill(&mut self, now: Instant, params: BucketParams) -> &mut f64 {
+        let (level, at) = self.level.get_or_insert((params.capacity, now));
         let passed = now.saturating_duration_since(*at).as_secs_f64();
-        *level = (*level + passed * flow.per_s).min(flow.capacity);
+        *level = (*level + passed * params.per_s).min(params.capacity);
         *at = now.max(*at);
         level
     }
