--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -27,7 +27,7 @@
 /// How fast a bucket fills, in units a second, and how many units it holds.
 #[derive(Clone, Copy, Debug)]
 struct BucketParams {
-    per_s: f64,
+    refill_per_s: f64,
     capacity: f64,
 }
 
@@ -86,7 +86,7 @@
         let room = units as f64 * (1.0 + RESERVE_PER_RANK * f64::from(rank));
         let missing = room.min(params.capacity) - *level;
         if missing > 0.0 {
-            return Err(Duration::from_secs_f64(missing / params.per_s.max(1.0)));
+            return Err(Duration::from_secs_f64(missing / params.refill_per_s.max(1.0)));
         }
         *level -= units as f64;
         Ok(())
@@ -105,7 +105,7 @@
     pub(crate) fn add_usage(&self, account: &str, usage: &mut AccountUsage) {
         if let Some(bucket) = self.buckets.get(account) {
             usage.bucket_level = bucket.level.map_or(0.0, |(level, _)| level);
-            usage.refill_per_s = bucket.params(&self.bounds, self.share).per_s;
+            usage.refill_per_s = bucket.params(&self.bounds, self.share).refill_per_s;
         }
     }
 
@@ -124,7 +124,7 @@
         let tolerated = 1.0 + bounds.overage * TOLERANCE_SHARE;
         let slack = bounds.slack * TOLERANCE_SHARE;
         BucketParams {
-            per_s: share * self.quota.per_s * tolerated,
+            refill_per_s: share * self.quota.per_s * tolerated,
             capacity: share * (self.quota.burst * tolerated + slack),
         }
     }
@@ -133,7 +133,7 @@
     fn fill(&mut self, now: Instant, params: BucketParams) -> &mut f64 {
         let (level, at) = self.level.get_or_insert((params.capacity, now));
         let passed = now.saturating_duration_since(*at).as_secs_f64();
-        *level = (*level + passed * params.per_s).min(params.capacity);
+        *level = (*level + passed * params.refill_per_s).min(params.capacity);
         *at = now.max(*at);
         level
     }
