--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -82,7 +82,7 @@
         let (bounds, share) = (self.bounds, self.share);
         let Some(bucket) = self.buckets.get_mut(account) else { return Ok(()) };
         let params = bucket.params(&bounds, share);
-        let level = bucket.fill(now, params);
+        let level = bucket.refill(now, params);
         let room = units as f64 * (1.0 + RESERVE_PER_RANK * f64::from(rank));
         let missing = room.min(params.capacity) - *level;
         if missing > 0.0 {
@@ -97,7 +97,7 @@
         let (bounds, share) = (self.bounds, self.share);
         if let Some(bucket) = self.buckets.get_mut(account) {
             let params = bucket.params(&bounds, share);
-            *bucket.fill(now, params) -= units;
+            *bucket.refill(now, params) -= units;
         }
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// The level after what has come in until `now`.
-    fn fill(&mut self, now: Instant, params: BucketParams) -> &mut f64 {
+    fn refill(&mut self, now: Instant, params: BucketParams) -> &mut f64 {
         let (level, at) = self.level.get_or_insert((params.capacity, now));
         let passed = now.saturating_duration_since(*at).as_secs_f64();
         *level = (*level + passed * params.refill_per_s).min(params.capacity);
