--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -41,15 +41,15 @@
 /// The buckets of all accounts as one instance sees them.
 #[derive(Debug)]
 pub struct TokenBuckets {
-    bounds: QuotaPolicy,
+    policy: QuotaPolicy,
     buckets: HashMap<AccountId, Bucket>,
     share: f64,
 }
 
 impl TokenBuckets {
     /// No buckets yet.
-    pub fn new(bounds: QuotaPolicy) -> TokenBuckets {
-        TokenBuckets { bounds, buckets: HashMap::new(), share: 1.0 }
+    pub fn new(policy: QuotaPolicy) -> TokenBuckets {
+        TokenBuckets { policy, buckets: HashMap::new(), share: 1.0 }
     }
 
     /// Puts the quotas of a configuration in force. Levels stay.
@@ -79,9 +79,9 @@
         units: u64,
         rank: u8,
     ) -> Result<(), Duration> {
-        let (bounds, share) = (self.bounds, self.share);
+        let (policy, share) = (self.policy, self.share);
         let Some(bucket) = self.buckets.get_mut(account) else { return Ok(()) };
-        let params = bucket.params(&bounds, share);
+        let params = bucket.params(&policy, share);
         let level = bucket.refill(now, params);
         let room = units as f64 * (1.0 + RESERVE_PER_RANK * f64::from(rank));
         let missing = room.min(params.capacity) - *level;
@@ -94,9 +94,9 @@
 
     /// Takes out what others have admitted.
     pub fn record_remote(&mut self, now: Instant, account: &str, units: f64) {
-        let (bounds, share) = (self.bounds, self.share);
+        let (policy, share) = (self.policy, self.share);
         if let Some(bucket) = self.buckets.get_mut(account) {
-            let params = bucket.params(&bounds, share);
+            let params = bucket.params(&policy, share);
             *bucket.refill(now, params) -= units;
         }
     }
@@ -105,7 +105,7 @@
     pub(crate) fn add_usage(&self, account: &str, usage: &mut AccountUsage) {
         if let Some(bucket) = self.buckets.get(account) {
             usage.bucket_level = bucket.level.map_or(0.0, |(level, _)| level);
-            usage.refill_per_s = bucket.params(&self.bounds, self.share).refill_per_s;
+            usage.refill_per_s = bucket.params(&self.policy, self.share).refill_per_s;
         }
     }
 
@@ -120,9 +120,9 @@
 
 impl Bucket {
     /// How the bucket fills where this share of the fleet is heard.
-    fn params(&self, bounds: &QuotaPolicy, share: f64) -> BucketParams {
-        let tolerated = 1.0 + bounds.overage * TOLERANCE_SHARE;
-        let slack = bounds.slack * TOLERANCE_SHARE;
+    fn params(&self, policy: &QuotaPolicy, share: f64) -> BucketParams {
+        let tolerated = 1.0 + policy.overage * TOLERANCE_SHARE;
+        let slack = policy.slack * TOLERANCE_SHARE;
         BucketParams {
             refill_per_s: share * self.quota.per_s * tolerated,
             capacity: share * (self.quota.burst * tolerated + slack),
