--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -43,13 +43,13 @@
 pub struct TokenBuckets {
     policy: QuotaPolicy,
     buckets: HashMap<AccountId, Bucket>,
-    share: f64,
+    reachable_share: f64,
 }
 
 impl TokenBuckets {
     /// No buckets yet.
     pub fn new(policy: QuotaPolicy) -> TokenBuckets {
-        TokenBuckets { policy, buckets: HashMap::new(), share: 1.0 }
+        TokenBuckets { policy, buckets: HashMap::new(), reachable_share: 1.0 }
     }
 
     /// Puts the quotas of a configuration in force. Levels stay.
@@ -62,8 +62,8 @@
     }
 
     /// Sets the share of the fleet that is heard, this instance included.
-    pub fn set_reachable_share(&mut self, share: f64) {
-        self.share = share.clamp(0.0, 1.0);
+    pub fn set_reachable_share(&mut self, reachable_share: f64) {
+        self.reachable_share = reachable_share.clamp(0.0, 1.0);
     }
 
     /// Lets a request of so many units pass, or tells when to come back. `rank` is that among the
@@ -79,9 +79,9 @@
         units: u64,
         rank: u8,
     ) -> Result<(), Duration> {
-        let (policy, share) = (self.policy, self.share);
+        let (policy, reachable_share) = (self.policy, self.reachable_share);
         let Some(bucket) = self.buckets.get_mut(account) else { return Ok(()) };
-        let params = bucket.params(&policy, share);
+        let params = bucket.params(&policy, reachable_share);
         let level = bucket.refill(now, params);
         let room = units as f64 * (1.0 + RESERVE_PER_RANK * f64::from(rank));
         let missing = room.min(params.capacity) - *level;
@@ -94,9 +94,9 @@
 
     /// Takes out what others have admitted.
     pub fn record_remote(&mut self, now: Instant, account: &str, units: f64) {
-        let (policy, share) = (self.policy, self.share);
+        let (policy, reachable_share) = (self.policy, self.reachable_share);
         if let Some(bucket) = self.buckets.get_mut(account) {
-            let params = bucket.params(&policy, share);
+            let params = bucket.params(&policy, reachable_share);
             *bucket.refill(now, params) -= units;
         }
     }
@@ -105,7 +105,7 @@
     pub(crate) fn add_usage(&self, account: &str, usage: &mut AccountUsage) {
         if let Some(bucket) = self.buckets.get(account) {
             usage.bucket_level = bucket.level.map_or(0.0, |(level, _)| level);
-            usage.refill_per_s = bucket.params(&self.policy, self.share).refill_per_s;
+            usage.refill_per_s = bucket.params(&self.policy, self.reachable_share).refill_per_s;
         }
     }
 
@@ -120,12 +120,12 @@
 
 impl Bucket {
     /// How the bucket fills where this share of the fleet is heard.
-    fn params(&self, policy: &QuotaPolicy, share: f64) -> BucketParams {
+    fn params(&self, policy: &QuotaPolicy, reachable_share: f64) -> BucketParams {
         let tolerated = 1.0 + policy.overage * TOLERANCE_SHARE;
         let slack = policy.slack * TOLERANCE_SHARE;
         BucketParams {
-            refill_per_s: share * self.quota.per_s * tolerated,
-            capacity: share * (self.quota.burst * tolerated + slack),
+            refill_per_s: reachable_share * self.quota.per_s * tolerated,
+            capacity: reachable_share * (self.quota.burst * tolerated + slack),
         }
     }
 
