--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -84,9 +84,9 @@
         let params = bucket.params(&policy, reachable_share);
         let level = bucket.refill(now, params);
         let required = units as f64 * (1.0 + RESERVE_PER_RANK * f64::from(rank));
-        let missing = required.min(params.capacity) - *level;
-        if missing > 0.0 {
-            return Err(Duration::from_secs_f64(missing / params.refill_per_s.max(1.0)));
+        let deficit = required.min(params.capacity) - *level;
+        if deficit > 0.0 {
+            return Err(Duration::from_secs_f64(deficit / params.refill_per_s.max(1.0)));
         }
         *level -= units as f64;
         Ok(())
