--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -132,8 +132,8 @@
     /// The level after what has come in until `now`.
     fn refill(&mut self, now: Instant, params: BucketParams) -> &mut f64 {
         let (level, at) = self.level.get_or_insert((params.capacity, now));
-        let passed = now.saturating_duration_since(*at).as_secs_f64();
-        *level = (*level + passed * params.refill_per_s).min(params.capacity);
+        let elapsed = now.saturating_duration_since(*at).as_secs_f64();
+        *level = (*level + elapsed * params.refill_per_s).min(params.capacity);
         *at = now.max(*at);
         level
     }
