--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -18,7 +18,7 @@
 use crate::ids::ServiceId;
 
 /// Part of the fixed number that is used; the rest covers instances that nobody has counted.
-const USED: f64 = 0.7;
+const FIXED_SHARE: f64 = 0.7;
 
 /// Steps in which the windows are looked at that may hold a repeat, for each window's length.
 const STEPS: u32 = 10;
@@ -66,7 +66,7 @@
     pub fn try_retry(&mut self, now: Instant, service: &str, instances: usize) -> bool {
         let RetryLimit { ratio, fixed, window } = self.allowance;
         let counts = self.counts(now, service);
-        let fixed = fixed * USED / instances.max(1) as f64;
+        let fixed = fixed * FIXED_SHARE / instances.max(1) as f64;
         let allowed = counts.sure_requests(now, window) as f64 * ratio + fixed;
         if (counts.again.len() + 1) as f64 > allowed {
             return false;
