--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -21,7 +21,7 @@
 const FIXED_SHARE: f64 = 0.7;
 
 /// Steps in which the windows are looked at that may hold a repeat, for each window's length.
-const STEPS: u32 = 10;
+const WINDOW_STEPS: u32 = 10;
 
 /// Bound on repeats.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -90,7 +90,7 @@
 impl Counts {
     /// The fewest requests that any window with a repeat of now in it is sure to be set against.
     fn sure_requests(&self, now: Instant, window: Duration) -> usize {
-        let ages = (0..STEPS).map(|step| window * step / STEPS);
+        let ages = (0..WINDOW_STEPS).map(|step| window * step / WINDOW_STEPS);
         ages.map(|age| self.requests_for(now, age, window)).min().unwrap_or(0)
     }
 
