--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -40,7 +40,7 @@
 
 #[derive(Debug, Default)]
 struct Counts {
-    first: Times,
+    requests: Times,
     again: Times,
 }
 
@@ -59,7 +59,7 @@
 
     /// Counts a request that a caller has sent.
     pub fn record_request(&mut self, now: Instant, service: &str) {
-        self.counts(now, service).first.add(now);
+        self.counts(now, service).requests.add(now);
     }
 
     /// Whether a request may be sent once more; counts it if so.
@@ -81,7 +81,7 @@
             self.services.insert(service.into(), Counts::default());
         }
         let counts = self.services.get_mut(service).expect("inserted above");
-        counts.first.forget(now, window * 2);
+        counts.requests.forget(now, window * 2);
         counts.again.forget(now, window);
         counts
     }
@@ -98,7 +98,7 @@
     /// half a length and a whole one before it, whichever has most.
     fn requests_for(&self, now: Instant, age: Duration, window: Duration) -> usize {
         let starts = [age, age + window / 2, age + window];
-        let counts = starts.map(|start| self.first.between(now, start, window));
+        let counts = starts.map(|start| self.requests.between(now, start, window));
         counts.into_iter().max().unwrap_or(0)
     }
 }
