--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 struct Counts {
     requests: Times,
-    again: Times,
+    retries: Times,
 }
 
 /// Repeats of all services at one instance.
@@ -68,10 +68,10 @@
         let counts = self.counts(now, service);
         let fixed = fixed * FIXED_SHARE / instances.max(1) as f64;
         let allowed = counts.sure_requests(now, window) as f64 * ratio + fixed;
-        if (counts.again.len() + 1) as f64 > allowed {
+        if (counts.retries.len() + 1) as f64 > allowed {
             return false;
         }
-        counts.again.add(now);
+        counts.retries.add(now);
         true
     }
 
@@ -82,7 +82,7 @@
         }
         let counts = self.services.get_mut(service).expect("inserted above");
         counts.requests.forget(now, window * 2);
-        counts.again.forget(now, window);
+        counts.retries.forget(now, window);
         counts
     }
 }
