--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -67,7 +67,7 @@
         let RetryLimit { ratio, fixed, window } = self.allowance;
         let counts = self.counts(now, service);
         let fixed = fixed * FIXED_SHARE / instances.max(1) as f64;
-        let allowed = counts.sure_requests(now, window) as f64 * ratio + fixed;
+        let allowed = counts.min_window_requests(now, window) as f64 * ratio + fixed;
         if (counts.retries.len() + 1) as f64 > allowed {
             return false;
         }
@@ -89,7 +89,7 @@
 
 impl Counts {
     /// The fewest requests that any window with a repeat of now in it is sure to be set against.
-    fn sure_requests(&self, now: Instant, window: Duration) -> usize {
+    fn min_window_requests(&self, now: Instant, window: Duration) -> usize {
         let ages = (0..WINDOW_STEPS).map(|step| window * step / WINDOW_STEPS);
         ages.map(|age| self.requests_for(now, age, window)).min().unwrap_or(0)
     }
