--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -91,12 +91,12 @@
     /// The fewest requests that any window with a repeat of now in it is sure to be set against.
     fn min_window_requests(&self, now: Instant, window: Duration) -> usize {
         let ages = (0..WINDOW_STEPS).map(|step| window * step / WINDOW_STEPS);
-        ages.map(|age| self.requests_for(now, age, window)).min().unwrap_or(0)
+        ages.map(|age| self.requests_counted_for(now, age, window)).min().unwrap_or(0)
     }
 
     /// Requests so far that a window is set against that began so long ago: its own, or those of the windows
     /// half a length and a whole one before it, whichever has most.
-    fn requests_for(&self, now: Instant, age: Duration, window: Duration) -> usize {
+    fn requests_counted_for(&self, now: Instant, age: Duration, window: Duration) -> usize {
         let starts = [age, age + window / 2, age + window];
         let counts = starts.map(|start| self.requests.between(now, start, window));
         counts.into_iter().max().unwrap_or(0)
