--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -98,7 +98,7 @@
     /// half a length and a whole one before it, whichever has most.
     fn requests_counted_for(&self, now: Instant, age: Duration, window: Duration) -> usize {
         let starts = [age, age + window / 2, age + window];
-        let counts = starts.map(|start| self.requests.between(now, start, window));
+        let counts = starts.map(|start| self.requests.count_in_window(now, start, window));
         counts.into_iter().max().unwrap_or(0)
     }
 }
@@ -119,7 +119,7 @@
     }
 
     /// How many there were in a window that began so long before now.
-    fn between(&self, now: Instant, age: Duration, window: Duration) -> usize {
+    fn count_in_window(&self, now: Instant, age: Duration, window: Duration) -> usize {
         let is_before = |age: Duration| move |t: &Instant| now.saturating_duration_since(*t) > age;
         let begin = self.0.partition_point(is_before(age));
         match age.checked_sub(window) {
