--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -81,8 +81,8 @@
             self.services.insert(service.into(), Counts::default());
         }
         let counts = self.services.get_mut(service).expect("inserted above");
-        counts.requests.forget(now, window * 2);
-        counts.retries.forget(now, window);
+        counts.requests.expire(now, window * 2);
+        counts.retries.expire(now, window);
         counts
     }
 }
@@ -112,7 +112,7 @@
         self.0.len()
     }
 
-    fn forget(&mut self, now: Instant, keep: Duration) {
+    fn expire(&mut self, now: Instant, keep: Duration) {
         while self.0.front().is_some_and(|t| now.saturating_duration_since(*t) > keep) {
             self.0.pop_front();
         }
