--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -47,14 +47,14 @@
 /// Repeats of all services at one instance.
 #[derive(Debug)]
 pub struct RetryLimiter {
-    allowance: RetryLimit,
+    limit: RetryLimit,
     services: HashMap<ServiceId, Counts>,
 }
 
 impl RetryLimiter {
     /// Counts nothing yet.
-    pub fn new(allowance: RetryLimit) -> RetryLimiter {
-        RetryLimiter { allowance, services: HashMap::new() }
+    pub fn new(limit: RetryLimit) -> RetryLimiter {
+        RetryLimiter { limit, services: HashMap::new() }
     }
 
     /// Counts a request that a caller has sent.
@@ -64,7 +64,7 @@
 
     /// Whether a request may be sent once more; counts it if so.
     pub fn try_retry(&mut self, now: Instant, service: &str, instances: usize) -> bool {
-        let RetryLimit { ratio, fixed, window } = self.allowance;
+        let RetryLimit { ratio, fixed, window } = self.limit;
         let counts = self.counts(now, service);
         let fixed = fixed * FIXED_SHARE / instances.max(1) as f64;
         let allowed = counts.min_window_requests(now, window) as f64 * ratio + fixed;
@@ -76,7 +76,7 @@
     }
 
     fn counts(&mut self, now: Instant, service: &str) -> &mut Counts {
-        let window = self.allowance.window;
+        let window = self.limit.window;
         if !self.services.contains_key(service) {
             self.services.insert(service.into(), Counts::default());
         }
