--- a/oxbowbend-core/src/budget.rs
+++ b/oxbowbend-core/src/budget.rs
@@ -12,7 +12,7 @@
 /// Retries that may be saved up.
 const MAX_BALANCE: f64 = 20.0;
 /// Failures in a row that open a breaker.
-const OPEN_AFTER: u32 = 3;
+const FAILURE_THRESHOLD: u32 = 3;
 /// First interval for which a breaker stays open.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
 /// Longest interval for which a breaker stays open.
@@ -84,10 +84,10 @@
     /// Notes a failure; several in a row open the breaker.
     pub fn record_failure(&mut self, now: Instant) {
         self.failures += 1;
-        if self.failures < OPEN_AFTER {
+        if self.failures < FAILURE_THRESHOLD {
             return;
         }
-        let doublings = (self.failures - OPEN_AFTER).min(5);
+        let doublings = (self.failures - FAILURE_THRESHOLD).min(5);
         let pause = (FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE);
         self.open_until = Some(now + pause);
     }
