--- a/oxbowbend-core/src/budget.rs
+++ b/oxbowbend-core/src/budget.rs
@@ -14,7 +14,7 @@
 /// Failures in a row that open a breaker.
 const FAILURE_THRESHOLD: u32 = 3;
 /// First interval for which a breaker stays open.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+const INITIAL_OPEN_TIME: Duration = Duration::from_millis(500);
 /// Longest interval for which a breaker stays open.
 const LONGEST_PAUSE: Duration = Duration::from_secs(16);
 
@@ -88,7 +88,7 @@
             return;
         }
         let doublings = (self.failures - FAILURE_THRESHOLD).min(5);
-        let pause = (FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE);
+        let pause = (INITIAL_OPEN_TIME * (1 << doublings)).min(LONGEST_PAUSE);
         self.open_until = Some(now + pause);
     }
 
