--- a/oxbowbend-core/src/budget.rs
+++ b/oxbowbend-core/src/budget.rs
@@ -16,7 +16,7 @@
 /// First interval for which a breaker stays open.
 const INITIAL_OPEN_TIME: Duration = Duration::from_millis(500);
 /// Longest interval for which a breaker stays open.
-const LONGEST_PAUSE: Duration = Duration::from_secs(16);
+const MAX_OPEN_TIME: Duration = Duration::from_secs(16);
 
 /// A share of first attempts that may be spent on retries.
 ///
@@ -88,7 +88,7 @@
             return;
         }
         let doublings = (self.failures - FAILURE_THRESHOLD).min(5);
-        let pause = (INITIAL_OPEN_TIME * (1 << doublings)).min(LONGEST_PAUSE);
+        let pause = (INITIAL_OPEN_TIME * (1 << doublings)).min(MAX_OPEN_TIME);
         self.open_until = Some(now + pause);
     }
 
