--- a/oxbowbend-core/src/budget.rs
+++ b/oxbowbend-core/src/budget.rs
@@ -71,7 +71,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct CircuitBreaker {
-    failures: u32,
+    consecutive_failures: u32,
     open_until: Option<Instant>,
 }
 
@@ -83,11 +83,11 @@
 
     /// Notes a failure; several in a row open the breaker.
     pub fn record_failure(&mut self, now: Instant) {
-        self.failures += 1;
-        if self.failures < FAILURE_THRESHOLD {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures < FAILURE_THRESHOLD {
             return;
         }
-        let doublings = (self.failures - FAILURE_THRESHOLD).min(5);
+        let doublings = (self.consecutive_failures - FAILURE_THRESHOLD).min(5);
         let pause = (INITIAL_OPEN_TIME * (1 << doublings)).min(MAX_OPEN_TIME);
         self.open_until = Some(now + pause);
     }
