--- a/oxbowbend-core/src/budget.rs
+++ b/oxbowbend-core/src/budget.rs
@@ -88,8 +88,8 @@
             return;
         }
         let doublings = (self.consecutive_failures - FAILURE_THRESHOLD).min(5);
-        let pause = (INITIAL_OPEN_TIME * (1 << doublings)).min(MAX_OPEN_TIME);
-        self.open_until = Some(now + pause);
+        let open_time = (INITIAL_OPEN_TIME * (1 << doublings)).min(MAX_OPEN_TIME);
+        self.open_until = Some(now + open_time);
     }
 
     /// Whether a request may be sent. While the breaker is open only a probe at its end may.
