--- a/oxbowbend-core/src/budget.rs
+++ b/oxbowbend-core/src/budget.rs
@@ -49,8 +49,8 @@
     /// Takes one retry out of the budget, if it allows one.
     pub fn try_withdraw(&mut self) -> bool {
         // Ten deposits of a tenth must buy a whole retry in spite of rounding.
-        const ROUNDING: f64 = 1e-9;
-        if self.balance + ROUNDING < 1.0 {
+        const EPSILON: f64 = 1e-9;
+        if self.balance + EPSILON < 1.0 {
             return false;
         }
         self.balance -= 1.0;
