--- a/oxbowbend-core/src/cache.rs
+++ b/oxbowbend-core/src/cache.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
     capacity: usize,
-    used: HashMap<u64, u64>,
+    last_used: HashMap<u64, u64>,
     order: BTreeMap<u64, u64>,
     clock: u64,
 }
@@ -30,27 +30,27 @@
     /// Creates an empty model of a cache that holds `capacity_tokens`.
     pub fn new(capacity_tokens: u64) -> PrefixCache {
         let capacity = (capacity_tokens / u64::from(BLOCK_TOKENS)) as usize;
-        PrefixCache { capacity, used: HashMap::new(), order: BTreeMap::new(), clock: 0 }
+        PrefixCache { capacity, last_used: HashMap::new(), order: BTreeMap::new(), clock: 0 }
     }
 
     /// Records that a prompt with these cumulative block hashes was sent to the endpoint.
     pub fn insert(&mut self, prefix: &[u64]) {
         for hash in prefix.iter().take(self.capacity) {
             self.clock += 1;
-            if let Some(old) = self.used.insert(*hash, self.clock) {
+            if let Some(old) = self.last_used.insert(*hash, self.clock) {
                 self.order.remove(&old);
             }
             self.order.insert(self.clock, *hash);
         }
-        while self.used.len() > self.capacity {
+        while self.last_used.len() > self.capacity {
             let Some((_, hash)) = self.order.pop_first() else { break };
-            self.used.remove(&hash);
+            self.last_used.remove(&hash);
         }
     }
 
     /// Tokens of the prompt that are probably cached.
     pub fn cached_tokens(&self, prefix: &[u64]) -> u32 {
-        let hits = prefix.iter().take_while(|h| self.used.contains_key(h)).count();
+        let hits = prefix.iter().take_while(|h| self.last_used.contains_key(h)).count();
         hits as u32 * BLOCK_TOKENS
     }
 }
