--- a/oxbowbend-core/src/cache.rs
+++ b/oxbowbend-core/src/cache.rs
@@ -22,7 +22,7 @@
 pub struct PrefixCache {
     capacity: usize,
     last_used: HashMap<u64, u64>,
-    order: BTreeMap<u64, u64>,
+    by_recency: BTreeMap<u64, u64>,
     clock: u64,
 }
 
@@ -30,7 +30,7 @@
     /// Creates an empty model of a cache that holds `capacity_tokens`.
     pub fn new(capacity_tokens: u64) -> PrefixCache {
         let capacity = (capacity_tokens / u64::from(BLOCK_TOKENS)) as usize;
-        PrefixCache { capacity, last_used: HashMap::new(), order: BTreeMap::new(), clock: 0 }
+        PrefixCache { capacity, last_used: HashMap::new(), by_recency: BTreeMap::new(), clock: 0 }
     }
 
     /// Records that a prompt with these cumulative block hashes was sent to the endpoint.
@@ -38,12 +38,12 @@
         for hash in prefix.iter().take(self.capacity) {
             self.clock += 1;
             if let Some(old) = self.last_used.insert(*hash, self.clock) {
-                self.order.remove(&old);
+                self.by_recency.remove(&old);
             }
-            self.order.insert(self.clock, *hash);
+            self.by_recency.insert(self.clock, *hash);
         }
         while self.last_used.len() > self.capacity {
-            let Some((_, hash)) = self.order.pop_first() else { break };
+            let Some((_, hash)) = self.by_recency.pop_first() else { break };
             self.last_used.remove(&hash);
         }
     }
