--- a/oxbowbend-core/src/cache.rs
+++ b/oxbowbend-core/src/cache.rs
@@ -20,7 +20,7 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
-    capacity: usize,
+    capacity_blocks: usize,
     last_used: HashMap<u64, u64>,
     by_recency: BTreeMap<u64, u64>,
     tick: u64,
@@ -29,20 +29,25 @@
 impl PrefixCache {
     /// Creates an empty model of a cache that holds `capacity_tokens`.
     pub fn new(capacity_tokens: u64) -> PrefixCache {
-        let capacity = (capacity_tokens / u64::from(BLOCK_TOKENS)) as usize;
-        PrefixCache { capacity, last_used: HashMap::new(), by_recency: BTreeMap::new(), tick: 0 }
+        let capacity_blocks = (capacity_tokens / u64::from(BLOCK_TOKENS)) as usize;
+        PrefixCache {
+            capacity_blocks,
+            last_used: HashMap::new(),
+            by_recency: BTreeMap::new(),
+            tick: 0,
+        }
     }
 
     /// Records that a prompt with these cumulative block hashes was sent to the endpoint.
     pub fn insert(&mut self, prefix: &[u64]) {
-        for hash in prefix.iter().take(self.capacity) {
+        for hash in prefix.iter().take(self.capacity_blocks) {
             self.tick += 1;
             if let Some(old) = self.last_used.insert(*hash, self.tick) {
                 self.by_recency.remove(&old);
             }
             self.by_recency.insert(self.tick, *hash);
         }
-        while self.last_used.len() > self.capacity {
+        while self.last_used.len() > self.capacity_blocks {
             let Some((_, hash)) = self.by_recency.pop_first() else { break };
             self.last_used.remove(&hash);
         }
