--- a/oxbowbend-core/src/selection.rs
+++ b/oxbowbend-core/src/selection.rs
@@ -42,7 +42,7 @@
 impl SelectionPolicy for EarliestFinish {
     fn select(&mut self, candidates: &[Candidate]) -> Option<usize> {
         let key = |c: &Candidate| (c.avoid, c.predicted_seconds, c.outstanding);
-        position_min(candidates, |a, b| {
+        min_position(candidates, |a, b| {
             let ((x, s, n), (y, t, m)) = (key(a), key(b));
             x.cmp(&y).then(s.total_cmp(&t)).then(n.cmp(&m))
         })
@@ -55,7 +55,7 @@
 
 impl SelectionPolicy for LeastOutstanding {
     fn select(&mut self, candidates: &[Candidate]) -> Option<usize> {
-        position_min(candidates, |a, b| a.outstanding.cmp(&b.outstanding))
+        min_position(candidates, |a, b| a.outstanding.cmp(&b.outstanding))
     }
 }
 
@@ -116,7 +116,7 @@
     }
 }
 
-fn position_min(
+fn min_position(
     candidates: &[Candidate],
     compare: impl Fn(&Candidate, &Candidate) -> std::cmp::Ordering,
 ) -> Option<usize> {
