--- a/oxbowbend-core/src/ages.rs
+++ b/oxbowbend-core/src/ages.rs
@@ -11,7 +11,7 @@
 
 /// Part of its time that a caller may have waited to be taken for one that has come back: it waits a third
 /// of it at most when told to, and the refusal took some time too.
-const MOST: f64 = 0.5;
+const MAX_AGE_SHARE: f64 = 0.5;
 /// Differences that are the way to this instance.
 const LEAST: Duration = Duration::from_millis(20);
 
@@ -39,7 +39,7 @@
             *usual = left.max(*usual);
         }
         let age = usual.saturating_sub(left);
-        match age < LEAST || age > usual.mul_f64(MOST) {
+        match age < LEAST || age > usual.mul_f64(MAX_AGE_SHARE) {
             true => Duration::ZERO,
             false => age,
         }
