--- a/oxbowbend-core/src/ages.rs
+++ b/oxbowbend-core/src/ages.rs
@@ -13,7 +13,7 @@
 /// of it at most when told to, and the refusal took some time too.
 const MAX_AGE_SHARE: f64 = 0.5;
 /// Differences that are the way to this instance.
-const LEAST: Duration = Duration::from_millis(20);
+const MIN_AGE: Duration = Duration::from_millis(20);
 
 /// The times that callers give at first, by route.
 #[derive(Debug, Default)]
@@ -39,7 +39,7 @@
             *usual = left.max(*usual);
         }
         let age = usual.saturating_sub(left);
-        match age < LEAST || age > usual.mul_f64(MAX_AGE_SHARE) {
+        match age < MIN_AGE || age > usual.mul_f64(MAX_AGE_SHARE) {
             true => Duration::ZERO,
             false => age,
         }
