--- a/oxbowbend-core/src/ages.rs
+++ b/oxbowbend-core/src/ages.rs
@@ -18,22 +18,22 @@
 /// The times that callers give at first, by route.
 #[derive(Debug, Default)]
 pub struct AgeEstimator {
-    usual: HashMap<String, Duration>,
+    initial_timeouts: HashMap<String, Duration>,
 }
 
 impl AgeEstimator {
     /// Forgets everything, as with a new configuration.
     pub fn clear(&mut self) {
-        self.usual.clear();
+        self.initial_timeouts.clear();
     }
 
     /// Time since the first try of a caller of that route who has so much time left.
     pub fn estimate(&mut self, route: &str, left: Option<Duration>, timeout: Duration) -> Duration {
         let Some(left) = left else { return Duration::ZERO };
         let longest = timeout * 4;
-        let usual = match self.usual.get_mut(route) {
+        let usual = match self.initial_timeouts.get_mut(route) {
             Some(usual) => usual,
-            None => self.usual.entry(route.to_owned()).or_default(),
+            None => self.initial_timeouts.entry(route.to_owned()).or_default(),
         };
         if left <= longest {
             *usual = left.max(*usual);
