--- a/oxbowbend-core/src/ages.rs
+++ b/oxbowbend-core/src/ages.rs
@@ -31,15 +31,15 @@
     pub fn estimate(&mut self, route: &str, left: Option<Duration>, timeout: Duration) -> Duration {
         let Some(left) = left else { return Duration::ZERO };
         let longest = timeout * 4;
-        let usual = match self.initial_timeouts.get_mut(route) {
-            Some(usual) => usual,
+        let initial = match self.initial_timeouts.get_mut(route) {
+            Some(initial) => initial,
             None => self.initial_timeouts.entry(route.to_owned()).or_default(),
         };
         if left <= longest {
-            *usual = left.max(*usual);
+            *initial = left.max(*initial);
         }
-        let age = usual.saturating_sub(left);
-        match age < MIN_AGE || age > usual.mul_f64(MAX_AGE_SHARE) {
+        let age = initial.saturating_sub(left);
+        match age < MIN_AGE || age > initial.mul_f64(MAX_AGE_SHARE) {
             true => Duration::ZERO,
             false => age,
         }
