--- a/oxbowbend-core/src/ages.rs
+++ b/oxbowbend-core/src/ages.rs
@@ -28,17 +28,22 @@
     }
 
     /// Time since the first try of a caller of that route who has so much time left.
-    pub fn estimate(&mut self, route: &str, left: Option<Duration>, timeout: Duration) -> Duration {
-        let Some(left) = left else { return Duration::ZERO };
+    pub fn estimate(
+        &mut self,
+        route: &str,
+        remaining: Option<Duration>,
+        timeout: Duration,
+    ) -> Duration {
+        let Some(remaining) = remaining else { return Duration::ZERO };
         let longest = timeout * 4;
         let initial = match self.initial_timeouts.get_mut(route) {
             Some(initial) => initial,
             None => self.initial_timeouts.entry(route.to_owned()).or_default(),
         };
-        if left <= longest {
-            *initial = left.max(*initial);
+        if remaining <= longest {
+            *initial = remaining.max(*initial);
         }
-        let age = initial.saturating_sub(left);
+        let age = initial.saturating_sub(remaining);
         match age < MIN_AGE || age > initial.mul_f64(MAX_AGE_SHARE) {
             true => Duration::ZERO,
             false => age,
