--- a/oxbowbend-core/src/ages.rs
+++ b/oxbowbend-core/src/ages.rs
@@ -35,12 +35,12 @@
         timeout: Duration,
     ) -> Duration {
         let Some(remaining) = remaining else { return Duration::ZERO };
-        let longest = timeout * 4;
+        let max_remaining = timeout * 4;
         let initial = match self.initial_timeouts.get_mut(route) {
             Some(initial) => initial,
             None => self.initial_timeouts.entry(route.to_owned()).or_default(),
         };
-        if remaining <= longest {
+        if remaining <= max_remaining {
             *initial = remaining.max(*initial);
         }
         let age = initial.saturating_sub(remaining);
