--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -150,7 +150,7 @@
 pub struct RoutingTable {
     version: u64,
     limits: RequestLimits,
-    by_host: HashMap<String, Vec<Arc<Route>>>,
+    routes_by_host: HashMap<String, Vec<Arc<Route>>>,
     accounts: HashMap<AccountId, Account>,
     by_key: HashMap<String, AccountId>,
     services: HashMap<ServiceId, Service>,
@@ -162,7 +162,7 @@
         RoutingTable {
             version,
             limits,
-            by_host: HashMap::new(),
+            routes_by_host: HashMap::new(),
             accounts: HashMap::new(),
             by_key: HashMap::new(),
             services: HashMap::new(),
@@ -171,7 +171,7 @@
 
     /// Adds a route.
     pub fn add_route(&mut self, route: Route) {
-        let routes = self.by_host.entry(route.host.to_ascii_lowercase()).or_default();
+        let routes = self.routes_by_host.entry(route.host.to_ascii_lowercase()).or_default();
         routes.push(Arc::new(route));
         routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
     }
@@ -208,7 +208,7 @@
     /// assert!(RoutingTable::new(1, limits).route("example.org", "/a/").is_none());
     /// ```
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let routes = self.by_host.get(&host.to_ascii_lowercase())?;
+        let routes = self.routes_by_host.get(&host.to_ascii_lowercase())?;
         routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
@@ -249,13 +249,13 @@
     /// Longest time that a request to a service may take, by its routes.
     pub fn max_timeout(&self, service: &ServiceId) -> Duration {
         let is_target = |route: &&Arc<Route>| route.targets.iter().any(|(name, _)| name == service);
-        let routes = self.by_host.values().flatten().filter(is_target);
+        let routes = self.routes_by_host.values().flatten().filter(is_target);
         routes.map(|route| route.timeout).max().unwrap_or(Duration::ZERO)
     }
 
     /// Number of routes.
     pub fn route_count(&self) -> usize {
-        self.by_host.values().map(Vec::len).sum()
+        self.routes_by_host.values().map(Vec::len).sum()
     }
 }
 
