--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -152,7 +152,7 @@
     limits: RequestLimits,
     routes_by_host: HashMap<String, Vec<Arc<Route>>>,
     accounts: HashMap<AccountId, Account>,
-    by_key: HashMap<String, AccountId>,
+    accounts_by_key: HashMap<String, AccountId>,
     services: HashMap<ServiceId, Service>,
 }
 
@@ -164,7 +164,7 @@
             limits,
             routes_by_host: HashMap::new(),
             accounts: HashMap::new(),
-            by_key: HashMap::new(),
+            accounts_by_key: HashMap::new(),
             services: HashMap::new(),
         }
     }
@@ -179,7 +179,7 @@
     /// Adds a client account with its keys.
     pub fn add_account(&mut self, account: Account, keys: impl IntoIterator<Item = String>) {
         for key in keys {
-            self.by_key.insert(key, account.name.clone());
+            self.accounts_by_key.insert(key, account.name.clone());
         }
         self.accounts.insert(account.name.clone(), account);
     }
@@ -214,7 +214,7 @@
 
     /// The account that holds a key.
     pub fn account_by_key(&self, key: &str) -> Option<&Account> {
-        self.accounts.get(self.by_key.get(key)?)
+        self.accounts.get(self.accounts_by_key.get(key)?)
     }
 
     /// All accounts.
