--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -260,10 +260,10 @@
 }
 
 impl Route {
-    /// The service for a request, by weight; `draw` is a random number.
-    pub fn pick_target(&self, draw: u64) -> Option<&ServiceId> {
+    /// The service for a request, by weight; `random` is a random number.
+    pub fn pick_target(&self, random: u64) -> Option<&ServiceId> {
         let total: u64 = self.targets.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut left = draw % total.max(1);
+        let mut left = random % total.max(1);
         for (service, weight) in &self.targets {
             let weight = u64::from(*weight);
             if left < weight {
