--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -263,13 +263,13 @@
     /// The service for a request, by weight; `random` is a random number.
     pub fn pick_target(&self, random: u64) -> Option<&ServiceId> {
         let total: u64 = self.targets.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut left = random % total.max(1);
+        let mut remaining = random % total.max(1);
         for (service, weight) in &self.targets {
             let weight = u64::from(*weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         self.targets.first().map(|(service, _)| service)
     }
