--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -16,7 +16,7 @@
 const GRACE_SHARE: f64 = 0.95;
 /// Times the expected length of an answer that must be left. Callers' estimates are off by a factor of
 /// 1.6 (standard deviation of the logarithm 0.5), so one in 60,000 takes longer.
-const SAFETY_TIMES: f64 = 8.0;
+const SAFETY_FACTOR: f64 = 8.0;
 /// Time that must be left beside that, for the way to the endpoint and back.
 const MARGIN: Duration = Duration::from_millis(300);
 /// Time for which answers of unknown length are taken on. The balancer takes two questions a second apart to
@@ -84,7 +84,7 @@
         match expected {
             _ if now < self.full_service_until() => true,
             _ if others_ready => false,
-            Some(expected) => now + expected.mul_f64(SAFETY_TIMES) + MARGIN <= self.deadline(),
+            Some(expected) => now + expected.mul_f64(SAFETY_FACTOR) + MARGIN <= self.deadline(),
             None => false,
         }
     }
