--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -18,7 +18,7 @@
 /// 1.6 (standard deviation of the logarithm 0.5), so one in 60,000 takes longer.
 const SAFETY_FACTOR: f64 = 8.0;
 /// Time that must be left beside that, for the way to the endpoint and back.
-const MARGIN: Duration = Duration::from_millis(300);
+const NETWORK_MARGIN: Duration = Duration::from_millis(300);
 /// Time for which answers of unknown length are taken on. The balancer takes two questions a second apart to
 /// notice that the instance is not ready.
 const LINGER: Duration = Duration::from_millis(2500);
@@ -62,7 +62,7 @@
     /// How long a request may wait for a place that would otherwise wait for `wait`: no longer than it can
     /// still be told that it has not run.
     pub fn cap_wait(&self, now: Instant, wait: Duration) -> Duration {
-        wait.min((self.deadline() - MARGIN).saturating_duration_since(now))
+        wait.min((self.deadline() - NETWORK_MARGIN).saturating_duration_since(now))
     }
 
     /// Whether to take on an answer of that expected length; none if the length is not known.
@@ -84,7 +84,9 @@
         match expected {
             _ if now < self.full_service_until() => true,
             _ if others_ready => false,
-            Some(expected) => now + expected.mul_f64(SAFETY_FACTOR) + MARGIN <= self.deadline(),
+            Some(expected) => {
+                now + expected.mul_f64(SAFETY_FACTOR) + NETWORK_MARGIN <= self.deadline()
+            }
             None => false,
         }
     }
