--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -21,7 +21,7 @@
 const NETWORK_MARGIN: Duration = Duration::from_millis(300);
 /// Time for which answers of unknown length are taken on. The balancer takes two questions a second apart to
 /// notice that the instance is not ready.
-const LINGER: Duration = Duration::from_millis(2500);
+const FULL_SERVICE_TIME: Duration = Duration::from_millis(2500);
 
 /// Time without a request after which nothing more is expected.
 const QUIET: Duration = Duration::from_millis(300);
@@ -49,7 +49,7 @@
 
     /// Until when the instance serves as before.
     pub fn full_service_until(&self) -> Instant {
-        self.began + LINGER.min(self.grace / 3)
+        self.began + FULL_SERVICE_TIME.min(self.grace / 3)
     }
 
     /// Whether the instance may end: nothing is in progress, and nobody has come for a moment, which need not be
