--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -27,7 +27,7 @@
 const IDLE_WITHOUT_PEERS: Duration = Duration::from_millis(300);
 
 /// Time without a request after which none has arrived that is not read yet.
-const UNREAD: Duration = Duration::from_millis(30);
+const IDLE_WITH_PEERS: Duration = Duration::from_millis(30);
 
 /// A stop in progress.
 #[derive(Clone, Copy, Debug)]
@@ -55,7 +55,7 @@
     /// Whether the instance may end: nothing is in progress, and nobody has come for a moment, which need not be
     /// long if others are ready.
     pub fn can_exit(&self, now: Instant, busy: usize, quiet: Duration, others_ready: bool) -> bool {
-        let enough = if others_ready { UNREAD } else { IDLE_WITHOUT_PEERS };
+        let enough = if others_ready { IDLE_WITH_PEERS } else { IDLE_WITHOUT_PEERS };
         now >= self.full_service_until() && busy == 0 && quiet >= enough
     }
 
