--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -33,23 +33,23 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
     started_at: Instant,
-    grace: Duration,
+    grace_period: Duration,
 }
 
 impl Shutdown {
     /// A stop that began then and may take that long.
-    pub fn new(started_at: Instant, grace: Duration) -> Shutdown {
-        Shutdown { started_at, grace }
+    pub fn new(started_at: Instant, grace_period: Duration) -> Shutdown {
+        Shutdown { started_at, grace_period }
     }
 
     /// When whatever is left is cut off.
     pub fn deadline(&self) -> Instant {
-        self.started_at + self.grace.mul_f64(GRACE_SHARE)
+        self.started_at + self.grace_period.mul_f64(GRACE_SHARE)
     }
 
     /// Until when the instance serves as before.
     pub fn full_service_until(&self) -> Instant {
-        self.started_at + FULL_SERVICE_TIME.min(self.grace / 3)
+        self.started_at + FULL_SERVICE_TIME.min(self.grace_period / 3)
     }
 
     /// Whether the instance may end: nothing is in progress, and nobody has come for a moment, which need not be
