--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -54,9 +54,15 @@
 
     /// Whether the instance may end: nothing is in progress, and nobody has come for a moment, which need not be
     /// long if others are ready.
-    pub fn can_exit(&self, now: Instant, busy: usize, quiet: Duration, others_ready: bool) -> bool {
+    pub fn can_exit(
+        &self,
+        now: Instant,
+        in_flight: usize,
+        quiet: Duration,
+        others_ready: bool,
+    ) -> bool {
         let enough = if others_ready { IDLE_WITH_PEERS } else { IDLE_WITHOUT_PEERS };
-        now >= self.full_service_until() && busy == 0 && quiet >= enough
+        now >= self.full_service_until() && in_flight == 0 && quiet >= enough
     }
 
     /// How long a request may wait for a place that would otherwise wait for `wait`: no longer than it can
