--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -58,11 +58,11 @@
         &self,
         now: Instant,
         in_flight: usize,
-        quiet: Duration,
+        idle: Duration,
         others_ready: bool,
     ) -> bool {
         let enough = if others_ready { IDLE_WITH_PEERS } else { IDLE_WITHOUT_PEERS };
-        now >= self.full_service_until() && in_flight == 0 && quiet >= enough
+        now >= self.full_service_until() && in_flight == 0 && idle >= enough
     }
 
     /// How long a request may wait for a place that would otherwise wait for `wait`: no longer than it can
