--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -61,8 +61,8 @@
         idle: Duration,
         others_ready: bool,
     ) -> bool {
-        let enough = if others_ready { IDLE_WITH_PEERS } else { IDLE_WITHOUT_PEERS };
-        now >= self.full_service_until() && in_flight == 0 && idle >= enough
+        let required_idle = if others_ready { IDLE_WITH_PEERS } else { IDLE_WITHOUT_PEERS };
+        now >= self.full_service_until() && in_flight == 0 && idle >= required_idle
     }
 
     /// How long a request may wait for a place that would otherwise wait for `wait`: no longer than it can
