--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -10,7 +10,7 @@
 use crate::message;
 
 /// Weight of the newest run in the fast mean.
-const FAST: f64 = 0.25;
+const RATE_WEIGHT: f64 = 0.25;
 /// Weight of the newest run in the slow mean, the endpoint's history.
 const SLOW: f64 = 0.01;
 /// An endpoint straggles when its recent runs take this many times its history.
@@ -63,17 +63,17 @@
 
     fn learn_phases(&mut self, report: &message::RunReport, fresh: u32, first: u64) {
         if fresh > 0 {
-            mix(&mut self.prefill, first as f64 / 1000.0 / f64::from(fresh), FAST);
+            mix(&mut self.prefill, first as f64 / 1000.0 / f64::from(fresh), RATE_WEIGHT);
         }
         if report.output_tokens > 1 {
             let decode = report.total_ms.saturating_sub(first) as f64 / 1000.0;
-            mix(&mut self.decode, decode / f64::from(report.output_tokens - 1), FAST);
+            mix(&mut self.decode, decode / f64::from(report.output_tokens - 1), RATE_WEIGHT);
         }
     }
 
     /// An answer that came in one piece shows only the sum, so both phases are scaled alike.
     fn learn_total(&mut self, ratio: f64) {
-        let factor = 1.0 + (ratio.clamp(0.1, 10.0) - 1.0) * FAST;
+        let factor = 1.0 + (ratio.clamp(0.1, 10.0) - 1.0) * RATE_WEIGHT;
         self.prefill *= factor;
         self.decode *= factor;
     }
