--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -12,7 +12,7 @@
 /// Weight of the newest run in the fast mean.
 const RATE_WEIGHT: f64 = 0.25;
 /// Weight of the newest run in the slow mean, the endpoint's history.
-const SLOW: f64 = 0.01;
+const BASELINE_WEIGHT: f64 = 0.01;
 /// An endpoint straggles when its recent runs take this many times its history.
 const STRAGGLE_RATIO: f64 = 2.5;
 /// Runs that must have been seen before an endpoint can be called a straggler.
@@ -83,7 +83,7 @@
     /// ended by a probe that meets the prediction made before it.
     fn judge(&mut self, now: Instant, ratio: f64) {
         self.runs += 1;
-        mix(&mut self.history, ratio, SLOW);
+        mix(&mut self.history, ratio, BASELINE_WEIGHT);
         let slow = ratio > STRAGGLE_RATIO * self.history.max(1.0);
         if self.runs >= MIN_RUNS && slow {
             self.straggling_since = Some(now);
