--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -14,7 +14,7 @@
 /// Weight of the newest run in the slow mean, the endpoint's history.
 const BASELINE_WEIGHT: f64 = 0.01;
 /// An endpoint straggles when its recent runs take this many times its history.
-const STRAGGLE_RATIO: f64 = 2.5;
+const STRAGGLER_RATIO: f64 = 2.5;
 /// Runs that must have been seen before an endpoint can be called a straggler.
 const MIN_RUNS: u32 = 5;
 /// Time after which a straggler is given one request as a probe.
@@ -84,7 +84,7 @@
     fn judge(&mut self, now: Instant, ratio: f64) {
         self.runs += 1;
         mix(&mut self.history, ratio, BASELINE_WEIGHT);
-        let slow = ratio > STRAGGLE_RATIO * self.history.max(1.0);
+        let slow = ratio > STRAGGLER_RATIO * self.history.max(1.0);
         if self.runs >= MIN_RUNS && slow {
             self.straggling_since = Some(now);
         } else if self.probing || ratio < 1.0 {
