--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -29,7 +29,7 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct SpeedEstimate {
-    prefill: f64,
+    prefill_s_per_token: f64,
     decode: f64,
     history: f64,
     runs: u32,
@@ -41,9 +41,16 @@
     /// Starts from declared rates in tokens per second.
     pub fn new(prefill_rate: f64, decode_rate: f64) -> SpeedEstimate {
         let decode = 1.0 / decode_rate.max(f64::MIN_POSITIVE);
-        let prefill = 1.0 / prefill_rate.max(f64::MIN_POSITIVE);
+        let prefill_s_per_token = 1.0 / prefill_rate.max(f64::MIN_POSITIVE);
         let (history, runs) = (1.0, 0);
-        SpeedEstimate { prefill, decode, history, runs, straggling_since: None, probing: false }
+        SpeedEstimate {
+            prefill_s_per_token,
+            decode,
+            history,
+            runs,
+            straggling_since: None,
+            probing: false,
+        }
     }
 
     /// Learns from a finished run.
@@ -63,7 +70,11 @@
 
     fn learn_phases(&mut self, report: &message::RunReport, fresh: u32, first: u64) {
         if fresh > 0 {
-            mix(&mut self.prefill, first as f64 / 1000.0 / f64::from(fresh), RATE_WEIGHT);
+            mix(
+                &mut self.prefill_s_per_token,
+                first as f64 / 1000.0 / f64::from(fresh),
+                RATE_WEIGHT,
+            );
         }
         if report.output_tokens > 1 {
             let decode = report.total_ms.saturating_sub(first) as f64 / 1000.0;
@@ -74,7 +85,7 @@
     /// An answer that came in one piece shows only the sum, so both phases are scaled alike.
     fn learn_total(&mut self, ratio: f64) {
         let factor = 1.0 + (ratio.clamp(0.1, 10.0) - 1.0) * RATE_WEIGHT;
-        self.prefill *= factor;
+        self.prefill_s_per_token *= factor;
         self.decode *= factor;
     }
 
@@ -95,7 +106,8 @@
 
     /// Seconds that a run of this size takes from dispatch to the last token.
     pub fn predict_seconds(&self, fresh_prompt_tokens: u32, output_tokens: u32) -> f64 {
-        f64::from(fresh_prompt_tokens) * self.prefill + f64::from(output_tokens) * self.decode
+        f64::from(fresh_prompt_tokens) * self.prefill_s_per_token
+            + f64::from(output_tokens) * self.decode
     }
 
     /// Whether the endpoint should be passed over. After a while it is let through once; the
