--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub struct SpeedEstimate {
     prefill_s_per_token: f64,
-    decode: f64,
+    decode_s_per_token: f64,
     history: f64,
     runs: u32,
     straggling_since: Option<Instant>,
@@ -40,12 +40,12 @@
 impl SpeedEstimate {
     /// Starts from declared rates in tokens per second.
     pub fn new(prefill_rate: f64, decode_rate: f64) -> SpeedEstimate {
-        let decode = 1.0 / decode_rate.max(f64::MIN_POSITIVE);
+        let decode_s_per_token = 1.0 / decode_rate.max(f64::MIN_POSITIVE);
         let prefill_s_per_token = 1.0 / prefill_rate.max(f64::MIN_POSITIVE);
         let (history, runs) = (1.0, 0);
         SpeedEstimate {
             prefill_s_per_token,
-            decode,
+            decode_s_per_token,
             history,
             runs,
             straggling_since: None,
@@ -78,7 +78,11 @@
         }
         if report.output_tokens > 1 {
             let decode = report.total_ms.saturating_sub(first) as f64 / 1000.0;
-            mix(&mut self.decode, decode / f64::from(report.output_tokens - 1), RATE_WEIGHT);
+            mix(
+                &mut self.decode_s_per_token,
+                decode / f64::from(report.output_tokens - 1),
+                RATE_WEIGHT,
+            );
         }
     }
 
@@ -86,7 +90,7 @@
     fn learn_total(&mut self, ratio: f64) {
         let factor = 1.0 + (ratio.clamp(0.1, 10.0) - 1.0) * RATE_WEIGHT;
         self.prefill_s_per_token *= factor;
-        self.decode *= factor;
+        self.decode_s_per_token *= factor;
     }
 
     /// `history` is the slow mean of (actual / predicted), carried along with the prediction: as
@@ -107,7 +111,7 @@
     /// Seconds that a run of this size takes from dispatch to the last token.
     pub fn predict_seconds(&self, fresh_prompt_tokens: u32, output_tokens: u32) -> f64 {
         f64::from(fresh_prompt_tokens) * self.prefill_s_per_token
-            + f64::from(output_tokens) * self.decode
+            + f64::from(output_tokens) * self.decode_s_per_token
     }
 
     /// Whether the endpoint should be passed over. After a while it is let through once; the
