--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -31,7 +31,7 @@
 pub struct SpeedEstimate {
     prefill_s_per_token: f64,
     decode_s_per_token: f64,
-    history: f64,
+    baseline_ratio: f64,
     runs: u32,
     straggling_since: Option<Instant>,
     probing: bool,
@@ -42,11 +42,11 @@
     pub fn new(prefill_rate: f64, decode_rate: f64) -> SpeedEstimate {
         let decode_s_per_token = 1.0 / decode_rate.max(f64::MIN_POSITIVE);
         let prefill_s_per_token = 1.0 / prefill_rate.max(f64::MIN_POSITIVE);
-        let (history, runs) = (1.0, 0);
+        let (baseline_ratio, runs) = (1.0, 0);
         SpeedEstimate {
             prefill_s_per_token,
             decode_s_per_token,
-            history,
+            baseline_ratio,
             runs,
             straggling_since: None,
             probing: false,
@@ -93,13 +93,13 @@
         self.decode_s_per_token *= factor;
     }
 
-    /// `history` is the slow mean of (actual / predicted), carried along with the prediction: as
+    /// `baseline_ratio` is the slow mean of (actual / predicted), carried along with the prediction: as
     /// the fast means adapt, the ratio falls back to 1, so the straggle is judged on onset and
     /// ended by a probe that meets the prediction made before it.
     fn judge(&mut self, now: Instant, ratio: f64) {
         self.runs += 1;
-        mix(&mut self.history, ratio, BASELINE_WEIGHT);
-        let slow = ratio > STRAGGLER_RATIO * self.history.max(1.0);
+        mix(&mut self.baseline_ratio, ratio, BASELINE_WEIGHT);
+        let slow = ratio > STRAGGLER_RATIO * self.baseline_ratio.max(1.0);
         if self.runs >= MIN_RUNS && slow {
             self.straggling_since = Some(now);
         } else if self.probing || ratio < 1.0 {
