--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -62,13 +62,13 @@
         let expected = self.predict_seconds(fresh, report.output_tokens);
         let ratio = report.total_ms as f64 / 1000.0 / expected.max(1e-6);
         match report.first_token_ms {
-            Some(first) => self.learn_phases(report, fresh, first),
+            Some(first) => self.update_rates(report, fresh, first),
             None => self.learn_total(ratio),
         }
         self.judge(now, ratio);
     }
 
-    fn learn_phases(&mut self, report: &message::RunReport, fresh: u32, first: u64) {
+    fn update_rates(&mut self, report: &message::RunReport, fresh: u32, first: u64) {
         if fresh > 0 {
             mix(
                 &mut self.prefill_s_per_token,
