--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -63,7 +63,7 @@
         let ratio = report.total_ms as f64 / 1000.0 / expected.max(1e-6);
         match report.first_token_ms {
             Some(first) => self.update_rates(report, fresh, first),
-            None => self.learn_total(ratio),
+            None => self.scale_rates(ratio),
         }
         self.judge(now, ratio);
     }
@@ -87,7 +87,7 @@
     }
 
     /// An answer that came in one piece shows only the sum, so both phases are scaled alike.
-    fn learn_total(&mut self, ratio: f64) {
+    fn scale_rates(&mut self, ratio: f64) {
         let factor = 1.0 + (ratio.clamp(0.1, 10.0) - 1.0) * RATE_WEIGHT;
         self.prefill_s_per_token *= factor;
         self.decode_s_per_token *= factor;
