--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -65,7 +65,7 @@
             Some(first) => self.update_rates(report, fresh, first),
             None => self.scale_rates(ratio),
         }
-        self.judge(now, ratio);
+        self.update_straggling(now, ratio);
     }
 
     fn update_rates(&mut self, report: &message::RunReport, fresh: u32, first: u64) {
@@ -96,7 +96,7 @@
     /// `baseline_ratio` is the slow mean of (actual / predicted), carried along with the prediction: as
     /// the fast means adapt, the ratio falls back to 1, so the straggle is judged on onset and
     /// ended by a probe that meets the prediction made before it.
-    fn judge(&mut self, now: Instant, ratio: f64) {
+    fn update_straggling(&mut self, now: Instant, ratio: f64) {
         self.runs += 1;
         mix(&mut self.baseline_ratio, ratio, BASELINE_WEIGHT);
         let slow = ratio > STRAGGLER_RATIO * self.baseline_ratio.max(1.0);
