--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -70,7 +70,7 @@
 
     fn update_rates(&mut self, report: &message::RunReport, fresh: u32, first: u64) {
         if fresh > 0 {
-            mix(
+            update_mean(
                 &mut self.prefill_s_per_token,
                 first as f64 / 1000.0 / f64::from(fresh),
                 RATE_WEIGHT,
@@ -78,7 +78,7 @@
         }
         if report.output_tokens > 1 {
             let decode = report.total_ms.saturating_sub(first) as f64 / 1000.0;
-            mix(
+            update_mean(
                 &mut self.decode_s_per_token,
                 decode / f64::from(report.output_tokens - 1),
                 RATE_WEIGHT,
@@ -98,7 +98,7 @@
     /// ended by a probe that meets the prediction made before it.
     fn update_straggling(&mut self, now: Instant, ratio: f64) {
         self.runs += 1;
-        mix(&mut self.baseline_ratio, ratio, BASELINE_WEIGHT);
+        update_mean(&mut self.baseline_ratio, ratio, BASELINE_WEIGHT);
         let slow = ratio > STRAGGLER_RATIO * self.baseline_ratio.max(1.0);
         if self.runs >= MIN_RUNS && slow {
             self.straggling_since = Some(now);
@@ -129,6 +129,6 @@
     }
 }
 
-fn mix(mean: &mut f64, sample: f64, weight: f64) {
+fn update_mean(mean: &mut f64, sample: f64, weight: f64) {
     *mean += (sample - *mean) * weight;
 }
