--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -58,21 +58,21 @@
         if report.end != message::RunEnd::Complete {
             return;
         }
-        let fresh = report.prompt_tokens.saturating_sub(report.cached_tokens);
-        let expected = self.predict_seconds(fresh, report.output_tokens);
+        let uncached = report.prompt_tokens.saturating_sub(report.cached_tokens);
+        let expected = self.predict_seconds(uncached, report.output_tokens);
         let ratio = report.total_ms as f64 / 1000.0 / expected.max(1e-6);
         match report.first_token_ms {
-            Some(first) => self.update_rates(report, fresh, first),
+            Some(first) => self.update_rates(report, uncached, first),
             None => self.scale_rates(ratio),
         }
         self.update_straggling(now, ratio);
     }
 
-    fn update_rates(&mut self, report: &message::RunReport, fresh: u32, first: u64) {
-        if fresh > 0 {
+    fn update_rates(&mut self, report: &message::RunReport, uncached: u32, first: u64) {
+        if uncached > 0 {
             update_mean(
                 &mut self.prefill_s_per_token,
-                first as f64 / 1000.0 / f64::from(fresh),
+                first as f64 / 1000.0 / f64::from(uncached),
                 RATE_WEIGHT,
             );
         }
