--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -12,7 +12,7 @@
 const QUOTA: Quota = Quota { per_s: 250_000.0, burst: 250_000.0 };
 
 /// Requests of an account: rank, units, time between two.
-const USUAL: [(u8, u64, u64); 4] =
+const BASE_LOAD: [(u8, u64, u64); 4] =
     [(0, 10_400, 170), (1, 3_500, 100), (2, 2_000, 105), (2, 200, 125)];
 
 fn admission() -> AdmissionController {
@@ -26,9 +26,9 @@
 fn replay(times: u64) -> (Vec<u64>, Vec<f64>) {
     let (start, mut admission) = (Instant::now(), admission());
     let mut seconds = vec![0; 12];
-    let mut counts = vec![(0, 0); USUAL.len()];
+    let mut counts = vec![(0, 0); BASE_LOAD.len()];
     for ms in 0..12_000_u64 {
-        for (kind, (rank, units, every)) in USUAL.iter().enumerate() {
+        for (kind, (rank, units, every)) in BASE_LOAD.iter().enumerate() {
             let every = every / times;
             if ms % every != 0 {
                 continue;
