--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -21,15 +21,15 @@
     admission
 }
 
-/// Replays 12 s in which the account sends `times` its usual. Returns the units admitted in each second,
+/// Replays 12 s in which the account sends `factor` its usual. Returns the units admitted in each second,
 /// and for each kind of request the part that was admitted after the first second.
-fn replay(times: u64) -> (Vec<u64>, Vec<f64>) {
+fn replay(factor: u64) -> (Vec<u64>, Vec<f64>) {
     let (start, mut admission) = (Instant::now(), admission());
     let mut seconds = vec![0; 12];
     let mut counts = vec![(0, 0); BASE_LOAD.len()];
     for ms in 0..12_000_u64 {
         for (kind, (rank, units, every)) in BASE_LOAD.iter().enumerate() {
-            let every = every / times;
+            let every = every / factor;
             if ms % every != 0 {
                 continue;
             }
