--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -28,9 +28,9 @@
     let mut seconds = vec![0; 12];
     let mut counts = vec![(0, 0); BASE_LOAD.len()];
     for ms in 0..12_000_u64 {
-        for (kind, (rank, units, every)) in BASE_LOAD.iter().enumerate() {
-            let every = every / factor;
-            if ms % every != 0 {
+        for (kind, (rank, units, period)) in BASE_LOAD.iter().enumerate() {
+            let period = period / factor;
+            if ms % period != 0 {
                 continue;
             }
             let is_in = admission.admit(start + ms as u32 * MS, "a", *units, *rank).is_ok();
