--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -33,15 +33,15 @@
             if ms % period != 0 {
                 continue;
             }
-            let is_in = admission.admit(start + ms as u32 * MS, "a", *units, *rank).is_ok();
-            seconds[(ms / 1000) as usize] += if is_in { *units } else { 0 };
+            let is_admitted = admission.admit(start + ms as u32 * MS, "a", *units, *rank).is_ok();
+            seconds[(ms / 1000) as usize] += if is_admitted { *units } else { 0 };
             if ms >= 1000 {
-                counts[kind].0 += u32::from(is_in);
+                counts[kind].0 += u32::from(is_admitted);
                 counts[kind].1 += 1;
             }
         }
     }
-    let parts = counts.iter().map(|(is_in, all)| f64::from(*is_in) / f64::from(*all));
+    let parts = counts.iter().map(|(is_admitted, all)| f64::from(*is_admitted) / f64::from(*all));
     (seconds, parts.collect())
 }
 
