--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -41,8 +41,9 @@
             }
         }
     }
-    let parts = counts.iter().map(|(is_admitted, all)| f64::from(*is_admitted) / f64::from(*all));
-    (seconds, parts.collect())
+    let admitted_shares =
+        counts.iter().map(|(is_admitted, all)| f64::from(*is_admitted) / f64::from(*all));
+    (seconds, admitted_shares.collect())
 }
 
 #[test]
@@ -63,11 +64,11 @@
 
 #[test]
 fn what_is_left_of_a_flood_goes_to_urgent_requests_and_small_ones() {
-    let (_, parts) = replay(6);
-    let [urgent, middle, least, small] = parts[..] else { panic!("{parts:?}") };
-    assert!(urgent > 0.6, "{parts:?}");
-    assert!(middle < urgent && least < urgent, "{parts:?}");
-    assert!(small > 0.8, "{parts:?}");
+    let (_, admitted_shares) = replay(6);
+    let [urgent, middle, least, small] = admitted_shares[..] else { panic!("{admitted_shares:?}") };
+    assert!(urgent > 0.6, "{admitted_shares:?}");
+    assert!(middle < urgent && least < urgent, "{admitted_shares:?}");
+    assert!(small > 0.8, "{admitted_shares:?}");
 }
 
 #[test]
