--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -14,7 +14,7 @@
 /// Far more than is used, so that nothing is refused.
 const QUOTA: Quota = Quota { per_s: 1e9, burst: 1e9 };
 const CELLS: usize = 3;
-const CELL: usize = 4;
+const CELL_SIZE: usize = 4;
 const BEAT: Duration = Duration::from_millis(130);
 /// Beats for which an instance is away, and between two stops.
 const AWAY: u64 = 10;
@@ -117,14 +117,15 @@
 /// Plays stops of all instances in turn. Returns what each instance that has run for a while believes at each beat.
 fn play(beats: u64) -> Vec<Belief> {
     let start = Instant::now();
-    let mut nodes: Vec<_> = (0..CELLS * CELL).map(|n| Node::start(start, n, 1)).collect();
+    let mut nodes: Vec<_> = (0..CELLS * CELL_SIZE).map(|n| Node::start(start, n, 1)).collect();
     let mut admitted: VecDeque<(Instant, u64)> = VecDeque::new();
     let mut beliefs = Vec::new();
     for beat in 0..beats {
         let now = start + BEAT * beat as u32;
         // The representatives are stopped first, then the next ones in their place.
         let of = |at: u64| {
-            ((at % (CELLS as u64)) * CELL as u64 + at / CELLS as u64 % CELL as u64) as usize
+            ((at % (CELLS as u64)) * CELL_SIZE as u64 + at / CELLS as u64 % CELL_SIZE as u64)
+                as usize
         };
         let stop = beat.saturating_sub(80) / BETWEEN;
         if beat >= 80 && (beat - 80) % BETWEEN == 0 {
@@ -146,10 +147,10 @@
             .collect();
         for (from, report) in reports {
             for (to, node) in nodes.iter_mut().enumerate().filter(|(_, node)| node.is_up) {
-                let is_near = to / CELL == from / CELL;
+                let is_near = to / CELL_SIZE == from / CELL_SIZE;
                 let is_far = report.is_representative && beat % 2 == 0;
                 if to != from && (is_near || is_far && node.represents.is_some()) {
-                    let cell = (from / CELL) as u32;
+                    let cell = (from / CELL_SIZE) as u32;
                     node.hear(now, Report { cell, ..report.clone() }, is_near);
                 }
             }
