--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -15,7 +15,7 @@
 const QUOTA: Quota = Quota { per_s: 1e9, burst: 1e9 };
 const CELLS: usize = 3;
 const CELL_SIZE: usize = 4;
-const BEAT: Duration = Duration::from_millis(130);
+const HEARTBEAT: Duration = Duration::from_millis(130);
 /// Beats for which an instance is away, and between two stops.
 const AWAY: u64 = 10;
 const BETWEEN: u64 = 18;
@@ -59,7 +59,7 @@
         self.cell.set_representative(is_representative);
         self.represents = is_representative.then(|| self.represents.unwrap_or(now));
         let has_begun = self.represents.is_some_and(|at| now - at < BEGINNING);
-        let is_full = beat.is_multiple_of(8) || has_begun || now - self.since < 6 * BEAT;
+        let is_full = beat.is_multiple_of(8) || has_begun || now - self.since < 6 * HEARTBEAT;
         let quotas = &self.quotas;
         let view = FleetView {
             spent: owned(quotas.other_cells_totals()),
@@ -121,7 +121,7 @@
     let mut admitted: VecDeque<(Instant, u64)> = VecDeque::new();
     let mut beliefs = Vec::new();
     for beat in 0..beats {
-        let now = start + BEAT * beat as u32;
+        let now = start + HEARTBEAT * beat as u32;
         // The representatives are stopped first, then the next ones in their place.
         let of = |at: u64| {
             ((at % (CELLS as u64)) * CELL_SIZE as u64 + at / CELLS as u64 % CELL_SIZE as u64)
