--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -17,7 +17,7 @@
 const CELL_SIZE: usize = 4;
 const HEARTBEAT: Duration = Duration::from_millis(130);
 /// Beats for which an instance is away, and between two stops.
-const AWAY: u64 = 10;
+const DOWN_BEATS: u64 = 10;
 const BETWEEN: u64 = 18;
 /// Time for which one that represents its cell also tells what was admitted lately.
 const BEGINNING: Duration = Duration::from_millis(1500);
@@ -132,7 +132,7 @@
             nodes[of(stop)].is_stopping = true;
         } else if beat >= 80 && (beat - 80) % BETWEEN == 2 {
             nodes[of(stop)].is_up = false;
-        } else if beat >= 80 && (beat - 80) % BETWEEN == 2 + AWAY {
+        } else if beat >= 80 && (beat - 80) % BETWEEN == 2 + DOWN_BEATS {
             nodes[of(stop)] = Node::start(now, of(stop), beat);
         }
         for node in nodes.iter_mut().filter(|node| node.is_up) {
