--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -18,7 +18,7 @@
 const HEARTBEAT: Duration = Duration::from_millis(130);
 /// Beats for which an instance is away, and between two stops.
 const DOWN_BEATS: u64 = 10;
-const BETWEEN: u64 = 18;
+const STOP_INTERVAL_BEATS: u64 = 18;
 /// Time for which one that represents its cell also tells what was admitted lately.
 const BEGINNING: Duration = Duration::from_millis(1500);
 /// Units that an instance admits with each beat.
@@ -127,12 +127,12 @@
             ((at % (CELLS as u64)) * CELL_SIZE as u64 + at / CELLS as u64 % CELL_SIZE as u64)
                 as usize
         };
-        let stop = beat.saturating_sub(80) / BETWEEN;
-        if beat >= 80 && (beat - 80) % BETWEEN == 0 {
+        let stop = beat.saturating_sub(80) / STOP_INTERVAL_BEATS;
+        if beat >= 80 && (beat - 80) % STOP_INTERVAL_BEATS == 0 {
             nodes[of(stop)].is_stopping = true;
-        } else if beat >= 80 && (beat - 80) % BETWEEN == 2 {
+        } else if beat >= 80 && (beat - 80) % STOP_INTERVAL_BEATS == 2 {
             nodes[of(stop)].is_up = false;
-        } else if beat >= 80 && (beat - 80) % BETWEEN == 2 + DOWN_BEATS {
+        } else if beat >= 80 && (beat - 80) % STOP_INTERVAL_BEATS == 2 + DOWN_BEATS {
             nodes[of(stop)] = Node::start(now, of(stop), beat);
         }
         for node in nodes.iter_mut().filter(|node| node.is_up) {
