--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -20,7 +20,7 @@
 const DOWN_BEATS: u64 = 10;
 const STOP_INTERVAL_BEATS: u64 = 18;
 /// Time for which one that represents its cell also tells what was admitted lately.
-const BEGINNING: Duration = Duration::from_millis(1500);
+const NEW_REPRESENTATIVE_TIME: Duration = Duration::from_millis(1500);
 /// Units that an instance admits with each beat.
 const UNITS: u64 = 10;
 
@@ -58,7 +58,7 @@
         let is_representative = self.is_representative(now);
         self.cell.set_representative(is_representative);
         self.represents = is_representative.then(|| self.represents.unwrap_or(now));
-        let has_begun = self.represents.is_some_and(|at| now - at < BEGINNING);
+        let has_begun = self.represents.is_some_and(|at| now - at < NEW_REPRESENTATIVE_TIME);
         let is_full = beat.is_multiple_of(8) || has_begun || now - self.since < 6 * HEARTBEAT;
         let quotas = &self.quotas;
         let view = FleetView {
