--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -22,7 +22,7 @@
 /// Time for which one that represents its cell also tells what was admitted lately.
 const NEW_REPRESENTATIVE_TIME: Duration = Duration::from_millis(1500);
 /// Units that an instance admits with each beat.
-const UNITS: u64 = 10;
+const UNITS_PER_BEAT: u64 = 10;
 
 fn owned<'a>(counters: impl Iterator<Item = (&'a AccountId, u64)>) -> Vec<(AccountId, u64)> {
     counters.map(|(account, units)| (account.clone(), units)).collect()
@@ -136,8 +136,8 @@
             nodes[of(stop)] = Node::start(now, of(stop), beat);
         }
         for node in nodes.iter_mut().filter(|node| node.is_up) {
-            node.quotas.admit(now, "a", UNITS).expect("there is room");
-            admitted.push_back((now, UNITS));
+            node.quotas.admit(now, "a", UNITS_PER_BEAT).expect("there is room");
+            admitted.push_back((now, UNITS_PER_BEAT));
         }
         let reports: Vec<_> = nodes
             .iter_mut()
