--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -34,7 +34,7 @@
     quotas: Quotas,
     since: Instant,
     /// Since when it represents its cell.
-    represents: Option<Instant>,
+    representative_since: Option<Instant>,
     is_up: bool,
     is_stopping: bool,
 }
@@ -45,8 +45,8 @@
         let cell = Cell::new(name.as_str().into(), "z".into(), life);
         let mut quotas = Quotas::new(BOUNDS);
         quotas.configure([(&"a".into(), QUOTA)]);
-        let (represents, is_up, is_stopping) = (None, true, false);
-        Node { name, cell, quotas, since: now, represents, is_up, is_stopping }
+        let (representative_since, is_up, is_stopping) = (None, true, false);
+        Node { name, cell, quotas, since: now, representative_since, is_up, is_stopping }
     }
 
     fn is_representative(&self, now: Instant) -> bool {
@@ -57,8 +57,10 @@
     fn report(&mut self, now: Instant, beat: u64) -> Report {
         let is_representative = self.is_representative(now);
         self.cell.set_representative(is_representative);
-        self.represents = is_representative.then(|| self.represents.unwrap_or(now));
-        let has_begun = self.represents.is_some_and(|at| now - at < NEW_REPRESENTATIVE_TIME);
+        self.representative_since =
+            is_representative.then(|| self.representative_since.unwrap_or(now));
+        let has_begun =
+            self.representative_since.is_some_and(|at| now - at < NEW_REPRESENTATIVE_TIME);
         let is_full = beat.is_multiple_of(8) || has_begun || now - self.since < 6 * HEARTBEAT;
         let quotas = &self.quotas;
         let view = FleetView {
@@ -149,7 +151,7 @@
             for (to, node) in nodes.iter_mut().enumerate().filter(|(_, node)| node.is_up) {
                 let is_near = to / CELL_SIZE == from / CELL_SIZE;
                 let is_far = report.is_representative && beat % 2 == 0;
-                if to != from && (is_near || is_far && node.represents.is_some()) {
+                if to != from && (is_near || is_far && node.representative_since.is_some()) {
                     let cell = (from / CELL_SIZE) as u32;
                     node.hear(now, Report { cell, ..report.clone() }, is_near);
                 }
