--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -32,7 +32,7 @@
     name: String,
     cell: Cell,
     quotas: Quotas,
-    since: Instant,
+    started_at: Instant,
     /// Since when it represents its cell.
     representative_since: Option<Instant>,
     is_up: bool,
@@ -46,7 +46,7 @@
         let mut quotas = Quotas::new(BOUNDS);
         quotas.configure([(&"a".into(), QUOTA)]);
         let (representative_since, is_up, is_stopping) = (None, true, false);
-        Node { name, cell, quotas, since: now, representative_since, is_up, is_stopping }
+        Node { name, cell, quotas, started_at: now, representative_since, is_up, is_stopping }
     }
 
     fn is_representative(&self, now: Instant) -> bool {
@@ -61,7 +61,7 @@
             is_representative.then(|| self.representative_since.unwrap_or(now));
         let has_begun =
             self.representative_since.is_some_and(|at| now - at < NEW_REPRESENTATIVE_TIME);
-        let is_full = beat.is_multiple_of(8) || has_begun || now - self.since < 6 * HEARTBEAT;
+        let is_full = beat.is_multiple_of(8) || has_begun || now - self.started_at < 6 * HEARTBEAT;
         let quotas = &self.quotas;
         let view = FleetView {
             spent: owned(quotas.other_cells_totals()),
@@ -93,7 +93,7 @@
     fn hear(&mut self, now: Instant, mut report: Report, is_near: bool) {
         let windows = std::mem::take(&mut report.windows);
         let Some(heard) = self.cell.hear(now, report, is_near) else { return };
-        if is_near && now - self.since < Duration::from_secs(1) {
+        if is_near && now - self.started_at < Duration::from_secs(1) {
             for (account, window) in &windows {
                 self.quotas.restore_from_peer(now, account, window);
             }
@@ -160,7 +160,7 @@
         admitted.retain(|(at, _)| now - *at < WINDOW);
         let used: u64 = admitted.iter().map(|(_, units)| units).sum();
         for node in nodes.iter_mut().filter(|node| node.is_up) {
-            if beat < 80 || now - node.since < Duration::from_secs(2) {
+            if beat < 80 || now - node.started_at < Duration::from_secs(2) {
                 continue;
             }
             node.quotas.window_usage(now);
