--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -59,18 +59,20 @@
         self.cell.set_representative(is_representative);
         self.representative_since =
             is_representative.then(|| self.representative_since.unwrap_or(now));
-        let has_begun =
+        let is_new_representative =
             self.representative_since.is_some_and(|at| now - at < NEW_REPRESENTATIVE_TIME);
-        let is_full = beat.is_multiple_of(8) || has_begun || now - self.started_at < 6 * HEARTBEAT;
+        let is_full = beat.is_multiple_of(8)
+            || is_new_representative
+            || now - self.started_at < 6 * HEARTBEAT;
         let quotas = &self.quotas;
         let view = FleetView {
             spent: owned(quotas.other_cells_totals()),
-            lately: if has_begun { quotas.other_cells_recent(now) } else { Vec::new() },
+            lately: if is_new_representative { quotas.other_cells_recent(now) } else { Vec::new() },
             is_full,
             ..FleetView::default()
         };
         let (spent, cell_spent) = (owned(quotas.local_totals()), owned(quotas.cell_totals()));
-        let cell_lately = if has_begun { quotas.cell_recent(now) } else { Vec::new() };
+        let cell_lately = if is_new_representative { quotas.cell_recent(now) } else { Vec::new() };
         let windows = match self.cell.has_newcomer(now) {
             true => self.quotas.window_usage(now),
             false => Vec::new(),
