--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -111,7 +111,7 @@
 
 /// What an instance believes was used, against what was.
 #[derive(Debug)]
-struct Belief {
+struct Estimate {
     _instance: String,
     _at: Duration,
     believed: f64,
@@ -119,7 +119,7 @@
 }
 
 /// Plays stops of all instances in turn. Returns what each instance that has run for a while believes at each beat.
-fn play(beats: u64) -> Vec<Belief> {
+fn play(beats: u64) -> Vec<Estimate> {
     let start = Instant::now();
     let mut nodes: Vec<_> = (0..CELLS * CELL_SIZE).map(|n| Node::start(start, n, 1)).collect();
     let mut admitted: VecDeque<(Instant, u64)> = VecDeque::new();
@@ -167,7 +167,7 @@
             }
             node.quotas.window_usage(now);
             let usage = node.quotas.usage("a");
-            beliefs.push(Belief {
+            beliefs.push(Estimate {
                 _instance: node.name.clone(),
                 _at: now - start,
                 believed: usage.admitted_units + usage.restored_units,
