--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -123,7 +123,7 @@
     let start = Instant::now();
     let mut nodes: Vec<_> = (0..CELLS * CELL_SIZE).map(|n| Node::start(start, n, 1)).collect();
     let mut admitted: VecDeque<(Instant, u64)> = VecDeque::new();
-    let mut beliefs = Vec::new();
+    let mut estimates = Vec::new();
     for beat in 0..beats {
         let now = start + HEARTBEAT * beat as u32;
         // The representatives are stopped first, then the next ones in their place.
@@ -167,7 +167,7 @@
             }
             node.quotas.window_usage(now);
             let usage = node.quotas.usage("a");
-            beliefs.push(Estimate {
+            estimates.push(Estimate {
                 _instance: node.name.clone(),
                 _at: now - start,
                 believed: usage.admitted_units + usage.restored_units,
@@ -175,7 +175,7 @@
             });
         }
     }
-    beliefs
+    estimates
 }
 
 /// While who told the sums changed, what others had told meanwhile was counted again: instances believed up to
@@ -185,18 +185,19 @@
 /// eight: notes are told by the second, and at a hand-over two tell the same for a moment.
 #[test]
 fn a_stop_of_all_in_turn_is_counted_once() {
-    let beliefs = play(420);
-    assert!(beliefs.len() > 2000, "{}", beliefs.len());
-    let wrong = beliefs.iter().filter(|b| b.believed > 1.25 * b.used || b.believed < 0.9 * b.used);
+    let estimates = play(420);
+    assert!(estimates.len() > 2000, "{}", estimates.len());
+    let wrong =
+        estimates.iter().filter(|b| b.believed > 1.25 * b.used || b.believed < 0.9 * b.used);
     let wrong: Vec<_> = wrong.collect();
-    let most = beliefs.iter().map(|b| b.believed / b.used).fold(0.0, f64::max);
-    let least = beliefs.iter().map(|b| b.believed / b.used).fold(f64::INFINITY, f64::min);
+    let most = estimates.iter().map(|b| b.believed / b.used).fold(0.0, f64::max);
+    let least = estimates.iter().map(|b| b.believed / b.used).fold(f64::INFINITY, f64::min);
     println!("believed {least:.3} to {most:.3} of what was used");
     assert!(
         wrong.is_empty(),
         "{} of {}: {:#?}",
         wrong.len(),
-        beliefs.len(),
+        estimates.len(),
         &wrong[..3.min(wrong.len())]
     );
 }
