--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -114,7 +114,7 @@
 struct Estimate {
     _instance: String,
     _at: Duration,
-    believed: f64,
+    estimated: f64,
     used: f64,
 }
 
@@ -170,7 +170,7 @@
             estimates.push(Estimate {
                 _instance: node.name.clone(),
                 _at: now - start,
-                believed: usage.admitted_units + usage.restored_units,
+                estimated: usage.admitted_units + usage.restored_units,
                 used: used as f64,
             });
         }
@@ -188,11 +188,11 @@
     let estimates = play(420);
     assert!(estimates.len() > 2000, "{}", estimates.len());
     let wrong =
-        estimates.iter().filter(|b| b.believed > 1.25 * b.used || b.believed < 0.9 * b.used);
+        estimates.iter().filter(|b| b.estimated > 1.25 * b.used || b.estimated < 0.9 * b.used);
     let wrong: Vec<_> = wrong.collect();
-    let most = estimates.iter().map(|b| b.believed / b.used).fold(0.0, f64::max);
-    let least = estimates.iter().map(|b| b.believed / b.used).fold(f64::INFINITY, f64::min);
-    println!("believed {least:.3} to {most:.3} of what was used");
+    let most = estimates.iter().map(|b| b.estimated / b.used).fold(0.0, f64::max);
+    let least = estimates.iter().map(|b| b.estimated / b.used).fold(f64::INFINITY, f64::min);
+    println!("estimated {least:.3} to {most:.3} of what was used");
     assert!(
         wrong.is_empty(),
         "{} of {}: {:#?}",
