--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -115,7 +115,7 @@
     _instance: String,
     _at: Duration,
     estimated: f64,
-    used: f64,
+    actual: f64,
 }
 
 /// Plays stops of all instances in turn. Returns what each instance that has run for a while believes at each beat.
@@ -160,7 +160,7 @@
             }
         }
         admitted.retain(|(at, _)| now - *at < WINDOW);
-        let used: u64 = admitted.iter().map(|(_, units)| units).sum();
+        let actual: u64 = admitted.iter().map(|(_, units)| units).sum();
         for node in nodes.iter_mut().filter(|node| node.is_up) {
             if beat < 80 || now - node.started_at < Duration::from_secs(2) {
                 continue;
@@ -171,7 +171,7 @@
                 _instance: node.name.clone(),
                 _at: now - start,
                 estimated: usage.admitted_units + usage.restored_units,
-                used: used as f64,
+                actual: actual as f64,
             });
         }
     }
@@ -188,11 +188,11 @@
     let estimates = play(420);
     assert!(estimates.len() > 2000, "{}", estimates.len());
     let wrong =
-        estimates.iter().filter(|b| b.estimated > 1.25 * b.used || b.estimated < 0.9 * b.used);
+        estimates.iter().filter(|b| b.estimated > 1.25 * b.actual || b.estimated < 0.9 * b.actual);
     let wrong: Vec<_> = wrong.collect();
-    let most = estimates.iter().map(|b| b.estimated / b.used).fold(0.0, f64::max);
-    let least = estimates.iter().map(|b| b.estimated / b.used).fold(f64::INFINITY, f64::min);
-    println!("estimated {least:.3} to {most:.3} of what was used");
+    let most = estimates.iter().map(|b| b.estimated / b.actual).fold(0.0, f64::max);
+    let least = estimates.iter().map(|b| b.estimated / b.actual).fold(f64::INFINITY, f64::min);
+    println!("estimated {least:.3} to {most:.3} of what was actual");
     assert!(
         wrong.is_empty(),
         "{} of {}: {:#?}",
