--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -187,18 +187,18 @@
 fn a_stop_of_all_in_turn_is_counted_once() {
     let estimates = play(420);
     assert!(estimates.len() > 2000, "{}", estimates.len());
-    let wrong =
+    let outliers =
         estimates.iter().filter(|b| b.estimated > 1.25 * b.actual || b.estimated < 0.9 * b.actual);
-    let wrong: Vec<_> = wrong.collect();
+    let outliers: Vec<_> = outliers.collect();
     let most = estimates.iter().map(|b| b.estimated / b.actual).fold(0.0, f64::max);
     let least = estimates.iter().map(|b| b.estimated / b.actual).fold(f64::INFINITY, f64::min);
     println!("estimated {least:.3} to {most:.3} of what was actual");
     assert!(
-        wrong.is_empty(),
+        outliers.is_empty(),
         "{} of {}: {:#?}",
-        wrong.len(),
+        outliers.len(),
         estimates.len(),
-        &wrong[..3.min(wrong.len())]
+        &outliers[..3.min(outliers.len())]
     );
 }
 
