--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -191,8 +191,8 @@
         estimates.iter().filter(|b| b.estimated > 1.25 * b.actual || b.estimated < 0.9 * b.actual);
     let outliers: Vec<_> = outliers.collect();
     let max_ratio = estimates.iter().map(|b| b.estimated / b.actual).fold(0.0, f64::max);
-    let least = estimates.iter().map(|b| b.estimated / b.actual).fold(f64::INFINITY, f64::min);
-    println!("estimated {least:.3} to {max_ratio:.3} of what was actual");
+    let min_ratio = estimates.iter().map(|b| b.estimated / b.actual).fold(f64::INFINITY, f64::min);
+    println!("estimated {min_ratio:.3} to {max_ratio:.3} of what was actual");
     assert!(
         outliers.is_empty(),
         "{} of {}: {:#?}",
