--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -119,7 +119,7 @@
 }
 
 /// Plays stops of all instances in turn. Returns what each instance that has run for a while believes at each beat.
-fn play(beats: u64) -> Vec<Estimate> {
+fn simulate_rolling_restart(beats: u64) -> Vec<Estimate> {
     let start = Instant::now();
     let mut nodes: Vec<_> = (0..CELLS * CELL_SIZE).map(|n| Node::start(start, n, 1)).collect();
     let mut admitted: VecDeque<(Instant, u64)> = VecDeque::new();
@@ -185,7 +185,7 @@
 /// eight: notes are told by the second, and at a hand-over two tell the same for a moment.
 #[test]
 fn a_stop_of_all_in_turn_is_counted_once() {
-    let estimates = play(420);
+    let estimates = simulate_rolling_restart(420);
     assert!(estimates.len() > 2000, "{}", estimates.len());
     let outliers =
         estimates.iter().filter(|b| b.estimated > 1.25 * b.actual || b.estimated < 0.9 * b.actual);
