--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -127,17 +127,17 @@
     for beat in 0..beats {
         let now = start + HEARTBEAT * beat as u32;
         // The representatives are stopped first, then the next ones in their place.
-        let of = |at: u64| {
+        let stopped_node = |at: u64| {
             ((at % (CELLS as u64)) * CELL_SIZE as u64 + at / CELLS as u64 % CELL_SIZE as u64)
                 as usize
         };
         let stop = beat.saturating_sub(80) / STOP_INTERVAL_BEATS;
         if beat >= 80 && (beat - 80) % STOP_INTERVAL_BEATS == 0 {
-            nodes[of(stop)].is_stopping = true;
+            nodes[stopped_node(stop)].is_stopping = true;
         } else if beat >= 80 && (beat - 80) % STOP_INTERVAL_BEATS == 2 {
-            nodes[of(stop)].is_up = false;
+            nodes[stopped_node(stop)].is_up = false;
         } else if beat >= 80 && (beat - 80) % STOP_INTERVAL_BEATS == 2 + DOWN_BEATS {
-            nodes[of(stop)] = Node::start(now, of(stop), beat);
+            nodes[stopped_node(stop)] = Node::start(now, stopped_node(stop), beat);
         }
         for node in nodes.iter_mut().filter(|node| node.is_up) {
             node.quotas.admit(now, "a", UNITS_PER_BEAT).expect("there is room");
