--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    fn hear(&mut self, now: Instant, mut report: Report, is_near: bool) {
+    fn receive(&mut self, now: Instant, mut report: Report, is_near: bool) {
         let windows = std::mem::take(&mut report.windows);
         let Some(heard) = self.cell.hear(now, report, is_near) else { return };
         if is_near && now - self.started_at < Duration::from_secs(1) {
@@ -155,7 +155,7 @@
                 let is_far = report.is_representative && beat % 2 == 0;
                 if to != from && (is_near || is_far && node.representative_since.is_some()) {
                     let cell = (from / CELL_SIZE) as u32;
-                    node.hear(now, Report { cell, ..report.clone() }, is_near);
+                    node.receive(now, Report { cell, ..report.clone() }, is_near);
                 }
             }
         }
