--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -184,7 +184,7 @@
 /// What may be unknown is a tenth, which is tolerated beyond a quota. What may be counted too much are two seconds of the
 /// eight: notes are told by the second, and at a hand-over two tell the same for a moment.
 #[test]
-fn a_stop_of_all_in_turn_is_counted_once() {
+fn usage_is_counted_once_in_a_rolling_restart() {
     let estimates = simulate_rolling_restart(420);
     assert!(estimates.len() > 2000, "{}", estimates.len());
     let outliers =
