--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -205,7 +205,7 @@
 /// An instance that stops is back within a second, and then it may be on the other side of a cut: its part is not
 /// used by others. Counted as heard for 12 s, the two sides of a cut used 10 sixths of a quota.
 #[test]
-fn the_part_of_one_that_has_stopped_is_left_to_it() {
+fn the_share_of_a_stopped_instance_is_not_redistributed() {
     let now = Instant::now();
     let mut me = Cell::new("a".into(), "z".into(), 1);
     let mut other = Cell::new("b".into(), "z".into(), 1);
