--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_start_goes_on_from_the_note() {
+fn a_restart_resumes_from_the_snapshot() {
     let now = Instant::now() + 20 * S;
     for (window, room) in [
         (vec![], 1014),
