--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_others_admit_counts() {
+fn remote_usage_is_counted() {
     let start = Instant::now();
     let now = start + 9 * S;
     let mut quotas = quotas();
