--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_sides_of_a_partition_stay_within_what_is_tolerated() {
+fn the_sides_of_a_partition_together_stay_within_the_overage() {
     let start = Instant::now();
     let now = start + 9 * S;
     for sides in [[1.0 / 6.0, 5.0 / 6.0], [0.5, 0.5]] {
