--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn units_of_a_request_that_did_not_run_return() {
+fn units_of_a_request_that_did_not_run_are_refunded() {
     let start = Instant::now();
     let now = start + 9 * S;
     let mut quotas = quotas();
