--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_refusal_tells_when_the_window_has_room() {
+fn a_refusal_reports_when_the_window_has_room() {
     let start = Instant::now();
     let now = start + 9 * S;
     let mut quotas = quotas();
