--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn repeats_keep_to_ratio_and_share() {
+fn retries_stay_within_the_ratio_and_the_fixed_share() {
     let allowance = RetryLimit { ratio: 0.2, fixed: 50.0, window: 10 * S };
     let now = Instant::now();
     // Requests, instances, repeats allowed: 0.2 x requests + 0.7 x 50 / instances.
