--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -145,7 +145,7 @@
 /// Repeats come in hundreds right after a crest of requests (engines that start again answer that they are not the
 /// ones that were meant), and requests get fewer while those repeats are still in the window.
 #[test]
-fn repeats_after_a_crest_stay_within_every_window() {
+fn retries_after_a_peak_stay_within_every_window() {
     const MS: Duration = Duration::from_millis(1);
     let allowance = RetryLimit { ratio: 0.2, fixed: 50.0, window: 10 * S };
     // Requests a second until 20 s, for the next 10 s, and after that.
