--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_restart_of_the_whole_fleet_stays_within_what_is_tolerated() {
+fn a_restart_of_the_whole_fleet_stays_within_the_overage() {
     let start = Instant::now();
     let now = start + 9 * S;
     // Units a second, and what was used before that.
