--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -220,7 +220,7 @@
 /// Two instances that tell only now and then passed a limit together while a third was cut off
 /// (kalemdar-tutanak, scale-2 with seed 1043736703208).
 #[test]
-fn a_busy_account_is_known_before_it_is_at_its_limit() {
+fn an_account_is_near_its_limit_before_it_is_refused() {
     let now = Instant::now();
     let mut quotas = quotas();
     quotas.admit(now, "a", 540).expect("room");
