--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -239,7 +239,7 @@
 /// by all of them, and must not be held against one instance's own part
 /// (kalemdar-tutanak-grown trouble-1: 147 requests refused in the first second).
 #[test]
-fn a_start_without_others_has_its_part_of_what_is_left() {
+fn a_restart_without_peers_gets_its_share_of_the_remainder() {
     let now = Instant::now() + 20 * S;
     for (instances, noted, room) in
         [(10.0, 0, 101), (10.0, 514, 50), (2.0, 514, 250), (10.0, 1014, 0)]
