--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_cell_tells_others_what_it_admitted_but_not_what_they_did() {
+fn cell_totals_exclude_other_cells() {
     let now = Instant::now();
     let mut quotas = quotas();
     quotas.admit(now, "a", 5).expect("room");
