--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_start_without_a_note_goes_on_from_what_others_tell() {
+fn a_restart_without_a_snapshot_resumes_from_a_peer() {
     let quota = Quota { per_s: 100.0, burst: 0.0 };
     let bounds = QuotaPolicy { window: Duration::from_secs(8), overage: 0.0, slack: 0.0 };
     let account = "a".into();
