--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -129,11 +129,11 @@
 
 #[test]
 fn retries_stay_within_the_ratio_and_the_fixed_share() {
-    let allowance = RetryLimit { ratio: 0.2, fixed: 50.0, window: 10 * S };
+    let limit = RetryLimit { ratio: 0.2, fixed: 50.0, window: 10 * S };
     let now = Instant::now();
     // Requests, instances, repeats allowed: 0.2 x requests + 0.7 x 50 / instances.
     for (requests, instances, allowed) in [(0, 1, 35), (0, 7, 5), (100, 7, 25), (10, 700, 2)] {
-        let mut repeats = RetryLimiter::new(allowance);
+        let mut repeats = RetryLimiter::new(limit);
         (0..requests).for_each(|_| repeats.record_request(now, "s"));
         let n = (0..500).filter(|_| repeats.try_retry(now, "s", instances)).count();
         assert_eq!(n, allowed, "{requests} requests, {instances} instances");
@@ -147,13 +147,13 @@
 #[test]
 fn retries_after_a_peak_stay_within_every_window() {
     const MS: Duration = Duration::from_millis(1);
-    let allowance = RetryLimit { ratio: 0.2, fixed: 50.0, window: 10 * S };
+    let limit = RetryLimit { ratio: 0.2, fixed: 50.0, window: 10 * S };
     // Requests a second until 20 s, for the next 10 s, and after that.
     for (before, crest, after) in
         [(160, 200, 140), (100, 200, 100), (100, 100, 50), (200, 200, 200)]
     {
         let start = Instant::now();
-        let mut repeats = RetryLimiter::new(allowance);
+        let mut repeats = RetryLimiter::new(limit);
         let (mut first, mut again) = (Vec::new(), Vec::new());
         for ms in 0..60_000_u32 {
             let now = start + MS * ms;
