--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -133,12 +133,12 @@
     let now = Instant::now();
     // Requests, instances, repeats allowed: 0.2 x requests + 0.7 x 50 / instances.
     for (requests, instances, allowed) in [(0, 1, 35), (0, 7, 5), (100, 7, 25), (10, 700, 2)] {
-        let mut repeats = RetryLimiter::new(limit);
-        (0..requests).for_each(|_| repeats.record_request(now, "s"));
-        let n = (0..500).filter(|_| repeats.try_retry(now, "s", instances)).count();
+        let mut retry_limiter = RetryLimiter::new(limit);
+        (0..requests).for_each(|_| retry_limiter.record_request(now, "s"));
+        let n = (0..500).filter(|_| retry_limiter.try_retry(now, "s", instances)).count();
         assert_eq!(n, allowed, "{requests} requests, {instances} instances");
-        assert!(!repeats.try_retry(now + 9 * S, "s", instances));
-        assert!(repeats.try_retry(now + 11 * S, "s", instances.min(30)));
+        assert!(!retry_limiter.try_retry(now + 9 * S, "s", instances));
+        assert!(retry_limiter.try_retry(now + 11 * S, "s", instances.min(30)));
     }
 }
 
@@ -153,7 +153,7 @@
         [(160, 200, 140), (100, 200, 100), (100, 100, 50), (200, 200, 200)]
     {
         let start = Instant::now();
-        let mut repeats = RetryLimiter::new(limit);
+        let mut retry_limiter = RetryLimiter::new(limit);
         let (mut first, mut again) = (Vec::new(), Vec::new());
         for ms in 0..60_000_u32 {
             let now = start + MS * ms;
@@ -165,11 +165,11 @@
                 after
             };
             if ms * rate / 1000 != (ms + 1) * rate / 1000 {
-                repeats.record_request(now, "s");
+                retry_limiter.record_request(now, "s");
                 first.push(ms);
             }
             // From the middle of the crest on, more are asked for than may be.
-            if ms >= 25_000 && repeats.try_retry(now, "s", 1) {
+            if ms >= 25_000 && retry_limiter.try_retry(now, "s", 1) {
                 again.push(ms);
             }
         }
