--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -149,8 +149,7 @@
     const MS: Duration = Duration::from_millis(1);
     let limit = RetryLimit { ratio: 0.2, fixed: 50.0, window: 10 * S };
     // Requests a second until 20 s, for the next 10 s, and after that.
-    for (before, crest, after) in
-        [(160, 200, 140), (100, 200, 100), (100, 100, 50), (200, 200, 200)]
+    for (before, peak, after) in [(160, 200, 140), (100, 200, 100), (100, 100, 50), (200, 200, 200)]
     {
         let start = Instant::now();
         let mut retry_limiter = RetryLimiter::new(limit);
@@ -160,7 +159,7 @@
             let rate = if ms < 20_000 {
                 before
             } else if ms < 30_000 {
-                crest
+                peak
             } else {
                 after
             };
@@ -180,7 +179,7 @@
             let requests = [from, from - 5_000, from - 10_000].map(|from| count(&first, from));
             let allowed = 0.2 * requests.into_iter().max().unwrap_or(0) as f64 + 50.0;
             let n = count(&again, from);
-            assert!(n as f64 <= allowed, "{n} from {from} ms, {allowed} allowed; crest {crest}");
+            assert!(n as f64 <= allowed, "{n} from {from} ms, {allowed} allowed; peak {peak}");
         }
         // What the bound allows is used: four fifths of the ratio of all requests since.
         let since = first.iter().filter(|ms| **ms >= 25_000).count();
