--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -153,7 +153,7 @@
     {
         let start = Instant::now();
         let mut retry_limiter = RetryLimiter::new(limit);
-        let (mut first, mut again) = (Vec::new(), Vec::new());
+        let (mut first, mut retries) = (Vec::new(), Vec::new());
         for ms in 0..60_000_u32 {
             let now = start + MS * ms;
             let rate = if ms < 20_000 {
@@ -169,7 +169,7 @@
             }
             // From the middle of the crest on, more are asked for than may be.
             if ms >= 25_000 && retry_limiter.try_retry(now, "s", 1) {
-                again.push(ms);
+                retries.push(ms);
             }
         }
         let count = |times: &[u32], from: u32| {
@@ -178,12 +178,12 @@
         for from in (10_000..50_000).step_by(50) {
             let requests = [from, from - 5_000, from - 10_000].map(|from| count(&first, from));
             let allowed = 0.2 * requests.into_iter().max().unwrap_or(0) as f64 + 50.0;
-            let n = count(&again, from);
+            let n = count(&retries, from);
             assert!(n as f64 <= allowed, "{n} from {from} ms, {allowed} allowed; peak {peak}");
         }
         // What the bound allows is used: four fifths of the ratio of all requests since.
         let since = first.iter().filter(|ms| **ms >= 25_000).count();
-        assert!(again.len() as f64 > 0.16 * since as f64, "{} for {since}", again.len());
+        assert!(retries.len() as f64 > 0.16 * since as f64, "{} for {since}", retries.len());
     }
 }
 
