--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -52,14 +52,14 @@
         (vec![100, 400], 454),
         (vec![1000, 14], 0),
     ] {
-        let mut fresh = quotas();
-        fresh.restore(now, "a", &window, SnapshotAge::Fresh);
-        assert_eq!(admitted(&mut fresh, now), room, "{window:?}");
+        let mut restarted = quotas();
+        restarted.restore(now, "a", &window, SnapshotAge::Fresh);
+        assert_eq!(admitted(&mut restarted, now), room, "{window:?}");
     }
-    let mut fresh = quotas();
-    fresh.restore(now, "a", &[0, 0, 0, 0, 0, 0, 0, 1014], SnapshotAge::Fresh);
-    assert_eq!(admitted(&mut fresh, now), 0);
-    assert_eq!(admitted(&mut fresh, now + 2 * S), 1014);
+    let mut restarted = quotas();
+    restarted.restore(now, "a", &[0, 0, 0, 0, 0, 0, 0, 1014], SnapshotAge::Fresh);
+    assert_eq!(admitted(&mut restarted, now), 0);
+    assert_eq!(admitted(&mut restarted, now + 2 * S), 1014);
 }
 
 #[test]
@@ -206,11 +206,11 @@
             used += (0..units).filter(|_| old.admit(at, "a", 1).is_ok()).count();
         }
         let back = now + 3 * S;
-        let mut fresh = quotas();
-        noted
-            .iter()
-            .for_each(|(account, window)| fresh.restore(back, account, window, SnapshotAge::Fresh));
-        let total = used as u32 + admitted(&mut fresh, back);
+        let mut restarted = quotas();
+        noted.iter().for_each(|(account, window)| {
+            restarted.restore(back, account, window, SnapshotAge::Fresh)
+        });
+        let total = used as u32 + admitted(&mut restarted, back);
         assert!(total <= 1090, "{rate} a second after {before}: {total} in all");
         // Nothing that is owed is kept back but the guess of what was not noted.
         assert!(total >= 900, "{rate} a second after {before}: {total} in all");
@@ -244,10 +244,10 @@
     for (instances, noted, room) in
         [(10.0, 0, 101), (10.0, 514, 50), (2.0, 514, 250), (10.0, 1014, 0)]
     {
-        let mut fresh = quotas();
-        fresh.restore(now, "a", &[0, noted], SnapshotAge::Fresh);
-        fresh.set_reachable_share(1.0 / instances);
-        assert_eq!(admitted(&mut fresh, now), room, "{instances} instances, {noted} noted");
+        let mut restarted = quotas();
+        restarted.restore(now, "a", &[0, noted], SnapshotAge::Fresh);
+        restarted.set_reachable_share(1.0 / instances);
+        assert_eq!(admitted(&mut restarted, now), room, "{instances} instances, {noted} noted");
     }
 }
 
@@ -269,7 +269,7 @@
     let quota = Quota { per_s: 100.0, burst: 0.0 };
     let bounds = QuotaPolicy { window: Duration::from_secs(8), overage: 0.0, slack: 0.0 };
     let account = "a".into();
-    let fresh = || {
+    let restarted = || {
         let mut quotas = Quotas::new(bounds);
         quotas.configure([(&account, quota)]);
         quotas
@@ -285,7 +285,7 @@
         (&[10], 50, 30.0, 720),
     ];
     for (told, admitted, heard, left) in cases {
-        let (mut quotas, now) = (fresh(), Instant::now());
+        let (mut quotas, now) = (restarted(), Instant::now());
         assert_eq!(quotas.admit(now, "a", admitted), Ok(()));
         quotas.record_remote(now, "a", heard, true);
         quotas.restore_from_peer(now, "a", told);
