--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -196,18 +196,18 @@
     for (rate, before) in [(55, 0), (55, 500), (100, 400), (400, 0), (400, 500), (400, 900)] {
         let mut old = quotas();
         let mut used = (0..before).filter(|_| old.admit(now, "a", 1).is_ok()).count();
-        let mut noted = Vec::new();
+        let mut snapshot = Vec::new();
         for ms in (0..2500).step_by(5) {
             let at = now + Duration::from_millis(ms);
             if ms % 400 == 0 {
-                noted = old.window_usage(at);
+                snapshot = old.window_usage(at);
             }
             let units = rate * ms / 1000 - rate * ms.saturating_sub(5) / 1000;
             used += (0..units).filter(|_| old.admit(at, "a", 1).is_ok()).count();
         }
         let back = now + 3 * S;
         let mut restarted = quotas();
-        noted.iter().for_each(|(account, window)| {
+        snapshot.iter().for_each(|(account, window)| {
             restarted.restore(back, account, window, SnapshotAge::Fresh)
         });
         let total = used as u32 + admitted(&mut restarted, back);
@@ -241,13 +241,17 @@
 #[test]
 fn a_restart_without_peers_gets_its_share_of_the_remainder() {
     let now = Instant::now() + 20 * S;
-    for (instances, noted, room) in
+    for (instances, snapshot, room) in
         [(10.0, 0, 101), (10.0, 514, 50), (2.0, 514, 250), (10.0, 1014, 0)]
     {
         let mut restarted = quotas();
-        restarted.restore(now, "a", &[0, noted], SnapshotAge::Fresh);
+        restarted.restore(now, "a", &[0, snapshot], SnapshotAge::Fresh);
         restarted.set_reachable_share(1.0 / instances);
-        assert_eq!(admitted(&mut restarted, now), room, "{instances} instances, {noted} noted");
+        assert_eq!(
+            admitted(&mut restarted, now),
+            room,
+            "{instances} instances, {snapshot} snapshot"
+        );
     }
 }
 
