--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -262,9 +262,9 @@
     quotas.admit(now, "a", 5).expect("room");
     quotas.record_remote(now, "a", 30.0, true);
     quotas.record_remote(now, "a", 700.0, false);
-    let told = |spent: Option<(&oxbowbend_core::ids::AccountId, u64)>| spent.map(|(_, n)| n);
-    assert_eq!(told(quotas.local_totals().next()), Some(5));
-    assert_eq!(told(quotas.cell_totals().next()), Some(35));
+    let reported = |spent: Option<(&oxbowbend_core::ids::AccountId, u64)>| spent.map(|(_, n)| n);
+    assert_eq!(reported(quotas.local_totals().next()), Some(5));
+    assert_eq!(reported(quotas.cell_totals().next()), Some(35));
     assert_eq!(admitted(&mut quotas, now), 1014 - 735);
 }
 
@@ -288,15 +288,19 @@
         (&[10, 200], 50, 30.0, 590),
         (&[10], 50, 30.0, 720),
     ];
-    for (told, admitted, heard, left) in cases {
+    for (reported, admitted, heard, left) in cases {
         let (mut quotas, now) = (restarted(), Instant::now());
         assert_eq!(quotas.admit(now, "a", admitted), Ok(()));
         quotas.record_remote(now, "a", heard, true);
-        quotas.restore_from_peer(now, "a", told);
-        quotas.restore_from_peer(now, "a", told);
-        assert!(quotas.admit(now, "a", left + 1).is_err(), "{told:?}");
-        assert_eq!(quotas.admit(now, "a", left), Ok(()), "{told:?}");
+        quotas.restore_from_peer(now, "a", reported);
+        quotas.restore_from_peer(now, "a", reported);
+        assert!(quotas.admit(now, "a", left + 1).is_err(), "{reported:?}");
+        assert_eq!(quotas.admit(now, "a", left), Ok(()), "{reported:?}");
         // And all of it leaves the window.
-        assert_eq!(quotas.admit(now + Duration::from_millis(8300), "a", 800), Ok(()), "{told:?}");
+        assert_eq!(
+            quotas.admit(now + Duration::from_millis(8300), "a", 800),
+            Ok(()),
+            "{reported:?}"
+        );
     }
 }
