--- a/oxbowbend-core/tests/ages.rs
+++ b/oxbowbend-core/tests/ages.rs
@@ -7,7 +7,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn the_age_of_a_request_is_what_its_caller_has_used_of_the_usual_time() {
+fn the_age_is_the_used_part_of_the_initial_timeout() {
     let s = Duration::from_secs;
     for (left, age) in [
         (Some(s(12)), s(0)),
