--- a/oxbowbend-core/tests/ages.rs
+++ b/oxbowbend-core/tests/ages.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_single_caller_with_all_the_time_of_the_world_makes_nobody_old() {
+fn an_unusually_long_timeout_does_not_raise_the_initial_timeout() {
     let mut ages = AgeEstimator::default();
     ages.estimate("r", Some(Duration::from_secs(3600)), Duration::from_secs(12));
     assert_eq!(
