--- a/oxbowbend-core/tests/ages.rs
+++ b/oxbowbend-core/tests/ages.rs
@@ -18,18 +18,18 @@
         (Some(s(2)), s(0)),
         (None, s(0)),
     ] {
-        let mut ages = AgeEstimator::default();
-        ages.estimate("r", Some(s(12)), s(12));
-        assert_eq!(ages.estimate("r", left, s(12)), age, "{left:?} left");
+        let mut estimator = AgeEstimator::default();
+        estimator.estimate("r", Some(s(12)), s(12));
+        assert_eq!(estimator.estimate("r", left, s(12)), age, "{left:?} left");
     }
 }
 
 #[test]
 fn an_unusually_long_timeout_does_not_raise_the_initial_timeout() {
-    let mut ages = AgeEstimator::default();
-    ages.estimate("r", Some(Duration::from_secs(3600)), Duration::from_secs(12));
+    let mut estimator = AgeEstimator::default();
+    estimator.estimate("r", Some(Duration::from_secs(3600)), Duration::from_secs(12));
     assert_eq!(
-        ages.estimate("r", Some(Duration::from_secs(12)), Duration::from_secs(12)),
+        estimator.estimate("r", Some(Duration::from_secs(12)), Duration::from_secs(12)),
         Duration::ZERO
     );
 }
