--- a/oxbowbend-core/tests/ages.rs
+++ b/oxbowbend-core/tests/ages.rs
@@ -9,7 +9,7 @@
 #[test]
 fn the_age_is_the_used_part_of_the_initial_timeout() {
     let s = Duration::from_secs;
-    for (left, age) in [
+    for (remaining, age) in [
         (Some(s(12)), s(0)),
         (Some(s(12) - 5 * MS), s(0)),
         (Some(s(12) - 400 * MS), 400 * MS),
@@ -20,7 +20,7 @@
     ] {
         let mut estimator = AgeEstimator::default();
         estimator.estimate("r", Some(s(12)), s(12));
-        assert_eq!(estimator.estimate("r", left, s(12)), age, "{left:?} left");
+        assert_eq!(estimator.estimate("r", remaining, s(12)), age, "{remaining:?} remaining");
     }
 }
 
