--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -9,7 +9,7 @@
 use oxbowbend_core::routes::Endpoint;
 
 /// An endpoint that says when it began.
-fn started(n: u8, slots: u32, born: u64) -> Endpoint {
+fn endpoint_started_at(n: u8, slots: u32, born: u64) -> Endpoint {
     Endpoint { born, ..endpoint(n, slots) }
 }
 
@@ -22,7 +22,7 @@
 #[test]
 fn a_start_has_all_its_places_whatever_ran_before() {
     let now = Instant::now();
-    let (old, new) = (started(0, 2, 1000), started(0, 2, 2000));
+    let (old, new) = (endpoint_started_at(0, 2, 1000), endpoint_started_at(0, 2, 2000));
     let mut cell = cell("a", std::slice::from_ref(&old));
     arrive(&mut cell, now, 2);
     assert_eq!(placed(&mut cell, now).len(), 2);
@@ -40,8 +40,8 @@
 #[test]
 fn a_start_is_judged_by_what_it_does_itself() {
     let now = Instant::now();
-    let (old, new) = (started(0, 4, 1000), started(0, 4, 2000));
-    let other = started(2, 4, 1000);
+    let (old, new) = (endpoint_started_at(0, 4, 1000), endpoint_started_at(0, 4, 2000));
+    let other = endpoint_started_at(2, 4, 1000);
     let mut cell = cell("a", &[old.clone(), other.clone()]);
     (0..10).for_each(|_| cell.began(now, old.key(), 700, 0, 400 * MS));
     (0..10).for_each(|_| cell.began(now, other.key(), 700, 0, 20 * MS));
@@ -63,7 +63,7 @@
 #[test]
 fn what_others_tell_of_an_earlier_start_is_dropped() {
     let now = Instant::now();
-    let (old, new) = (started(0, 1, 1000), started(0, 1, 2000));
+    let (old, new) = (endpoint_started_at(0, 1, 1000), endpoint_started_at(0, 1, 2000));
     let (mut a, mut b) =
         (cell("a", std::slice::from_ref(&old)), cell("b", std::slice::from_ref(&new)));
     a.arrive(want(0, 100, now));
@@ -85,7 +85,7 @@
 #[test]
 fn an_endpoint_is_left_alone_at_whose_address_another_one_answers() {
     let now = Instant::now();
-    let (absent, other) = (started(0, 4, 1000), started(2, 1, 1000));
+    let (absent, other) = (endpoint_started_at(0, 4, 1000), endpoint_started_at(2, 1, 1000));
     let mut cell = cell("a", &[absent.clone(), other]);
     cell.arrive(want(0, 100, now));
     cell.arrive(want(0, 100, now));
