--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_start_has_all_its_places_whatever_ran_before() {
+fn a_restarted_endpoint_has_all_its_slots() {
     let now = Instant::now();
     let (old, new) = (endpoint_started_at(0, 2, 1000), endpoint_started_at(0, 2, 2000));
     let mut cell = cell("a", std::slice::from_ref(&old));
