--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_start_is_judged_by_what_it_does_itself() {
+fn a_restarted_endpoint_is_judged_by_its_own_results() {
     let now = Instant::now();
     let (old, new) = (endpoint_started_at(0, 4, 1000), endpoint_started_at(0, 4, 2000));
     let other = endpoint_started_at(2, 4, 1000);
