--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_others_tell_of_an_earlier_start_is_dropped() {
+fn reports_about_an_earlier_start_are_ignored() {
     let now = Instant::now();
     let (old, new) = (endpoint_started_at(0, 1, 1000), endpoint_started_at(0, 1, 2000));
     let (mut a, mut b) =
