--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_endpoint_is_left_alone_at_whose_address_another_one_answers() {
+fn an_endpoint_whose_address_belongs_to_another_is_paused() {
     let now = Instant::now();
     let (absent, other) = (endpoint_started_at(0, 4, 1000), endpoint_started_at(2, 1, 1000));
     let mut cell = cell("a", &[absent.clone(), other]);
