--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_is_the_route() {
+fn the_route_with_the_longest_matching_prefix_wins() {
     let table = table();
     for (host, path, expected) in [
         ("h.example", "/a/x", Some("short")),
