--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn keys_belong_to_accounts() {
+fn accounts_are_found_by_key() {
     let table = table();
     for (key, expected) in [("k1", Some("acc")), ("k2", Some("acc")), ("k3", None), ("", None)] {
         assert_eq!(table.account_by_key(key).map(|a| &*a.name), expected, "{key}");
