--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn weights_split_a_route() {
+fn targets_are_picked_by_weight() {
     let route = route("r", "h", "/");
     let n = (0..100).filter(|n| route.pick_target(*n).map(|s| &**s) == Some("two")).count();
     assert_eq!(n, 10);
