--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -5,12 +5,12 @@
 use oxbowbend_core::shutdown::Shutdown;
 
 const MS: Duration = Duration::from_millis(1);
-const GRACE: Duration = Duration::from_secs(8);
+const GRACE_PERIOD: Duration = Duration::from_secs(8);
 
 #[test]
 fn what_is_taken_on_ends_in_time() {
     let began = Instant::now();
-    let shutdown = Shutdown::new(began, GRACE);
+    let shutdown = Shutdown::new(began, GRACE_PERIOD);
     // Milliseconds since the signal; expected length; whether others are ready.
     for (at, expected, others, admits) in [
         (0, Some(60_000), true, true),
@@ -37,7 +37,7 @@
 #[test]
 fn it_ends_with_its_last_answer_unless_callers_have_nobody_else() {
     let began = Instant::now();
-    let shutdown = Shutdown::new(began, GRACE);
+    let shutdown = Shutdown::new(began, GRACE_PERIOD);
     for (at, busy, quiet, others, done) in [
         (2400, 0, 1000, true, false),
         (2600, 0, 50, true, true),
@@ -71,7 +71,7 @@
             if now < signal(n) || ended[n as usize].is_some() {
                 continue;
             }
-            let shutdown = Shutdown::new(signal(n), GRACE);
+            let shutdown = Shutdown::new(signal(n), GRACE_PERIOD);
             let others_ready = ready * 2 + 1 >= 6;
             takers += usize::from(shutdown.admits(now, Some(100 * MS), others_ready));
             // Without others it is never quiet; with them its last stream ends 1.2 s after it took it.
@@ -93,7 +93,7 @@
 #[test]
 fn what_waits_for_a_place_is_told_before_the_end_that_it_has_not_run() {
     let began = Instant::now();
-    let shutdown = Shutdown::new(began, GRACE);
+    let shutdown = Shutdown::new(began, GRACE_PERIOD);
     // Milliseconds since the signal, time that the request would wait, and that it does.
     for (at, wait, waits) in [
         (0, 320, 320),
