--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -9,8 +9,8 @@
 
 #[test]
 fn what_is_taken_on_ends_in_time() {
-    let began = Instant::now();
-    let shutdown = Shutdown::new(began, GRACE_PERIOD);
+    let started_at = Instant::now();
+    let shutdown = Shutdown::new(started_at, GRACE_PERIOD);
     // Milliseconds since the signal; expected length; whether others are ready.
     for (at, expected, others, admits) in [
         (0, Some(60_000), true, true),
@@ -25,7 +25,7 @@
         (7500, Some(1), false, false),
     ] {
         let expected = expected.map(|ms: u32| ms * MS);
-        let now = began + at * MS;
+        let now = started_at + at * MS;
         assert_eq!(
             shutdown.admits(now, expected, others),
             admits,
@@ -36,8 +36,8 @@
 
 #[test]
 fn it_ends_with_its_last_answer_unless_callers_have_nobody_else() {
-    let began = Instant::now();
-    let shutdown = Shutdown::new(began, GRACE_PERIOD);
+    let started_at = Instant::now();
+    let shutdown = Shutdown::new(started_at, GRACE_PERIOD);
     for (at, busy, quiet, others, done) in [
         (2400, 0, 1000, true, false),
         (2600, 0, 50, true, true),
@@ -46,7 +46,7 @@
         (2600, 0, 50, false, false),
         (2600, 0, 300, false, true),
     ] {
-        let now = began + at * MS;
+        let now = started_at + at * MS;
         assert_eq!(shutdown.can_exit(now, busy, quiet * MS, others), done, "{at} ms, {busy} busy");
     }
 }
@@ -92,8 +92,8 @@
 /// signal at 19.60 s and `stopped cut_off=2 after_ms=7610`.
 #[test]
 fn what_waits_for_a_place_is_told_before_the_end_that_it_has_not_run() {
-    let began = Instant::now();
-    let shutdown = Shutdown::new(began, GRACE_PERIOD);
+    let started_at = Instant::now();
+    let shutdown = Shutdown::new(started_at, GRACE_PERIOD);
     // Milliseconds since the signal, time that the request would wait, and that it does.
     for (at, wait, waits) in [
         (0, 320, 320),
@@ -103,7 +103,7 @@
         (7600, 320, 0),
         (9000, 1, 0),
     ] {
-        let now = began + at * MS;
+        let now = started_at + at * MS;
         let hold = shutdown.cap_wait(now, wait * MS);
         assert_eq!(hold.as_millis(), waits, "{at} ms");
         assert!(hold.is_zero() || now + hold < shutdown.deadline(), "{at} ms");
