--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -8,7 +8,7 @@
 const GRACE_PERIOD: Duration = Duration::from_secs(8);
 
 #[test]
-fn what_is_taken_on_ends_in_time() {
+fn admitted_requests_end_before_the_deadline() {
     let started_at = Instant::now();
     let shutdown = Shutdown::new(started_at, GRACE_PERIOD);
     // Milliseconds since the signal; expected length; whether others are ready.
