--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn it_ends_with_its_last_answer_unless_callers_have_nobody_else() {
+fn it_exits_when_idle_and_sooner_if_others_are_ready() {
     let started_at = Instant::now();
     let shutdown = Shutdown::new(started_at, GRACE_PERIOD);
     for (at, busy, quiet, others, done) in [
