--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -54,7 +54,7 @@
 /// Six instances stop in turn, a second between, each needing 0.7 s to come back, with streams of 1.2 s.
 /// Callers come to each alike. At no time are all callers refused.
 #[test]
-fn a_fleet_that_stops_in_turn_goes_on_serving() {
+fn a_rolling_stop_never_refuses_every_caller() {
     let start = Instant::now();
     let signal = |n: u32| start + n * 1000 * MS;
     let mut ended: [Option<Instant>; 6] = [None; 6];
