--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -91,7 +91,7 @@
 /// connection was closed without an answer when the process ended: taken at 26.98 s, closed at 27.21 s, the
 /// signal at 19.60 s and `stopped cut_off=2 after_ms=7610`.
 #[test]
-fn what_waits_for_a_place_is_told_before_the_end_that_it_has_not_run() {
+fn queued_requests_are_refused_before_the_deadline() {
     let started_at = Instant::now();
     let shutdown = Shutdown::new(started_at, GRACE_PERIOD);
     // Milliseconds since the signal, time that the request would wait, and that it does.
