--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -66,14 +66,14 @@
             None => now < signal(n),
         };
         let ready = (0..6).filter(|n| is_ready(*n, &ended)).count();
-        let mut takers = ready;
+        let mut accepting = ready;
         for n in 0..6 {
             if now < signal(n) || ended[n as usize].is_some() {
                 continue;
             }
             let shutdown = Shutdown::new(signal(n), GRACE_PERIOD);
             let others_ready = ready * 2 + 1 >= 6;
-            takers += usize::from(shutdown.admits(now, Some(100 * MS), others_ready));
+            accepting += usize::from(shutdown.admits(now, Some(100 * MS), others_ready));
             // Without others it is never quiet; with them its last stream ends 1.2 s after it took it.
             let is_idle = others_ready && now >= shutdown.full_service_until() + 1200 * MS;
             let is_done = shutdown.can_exit(now, usize::from(!is_idle), 50 * MS, others_ready);
@@ -81,7 +81,7 @@
                 ended[n as usize] = Some(now);
             }
         }
-        refused_by_all += usize::from(takers == 0);
+        refused_by_all += usize::from(accepting == 0);
     }
     assert!(ended.iter().all(Option::is_some));
     assert_eq!(refused_by_all, 0);
