--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -56,22 +56,22 @@
 #[test]
 fn a_rolling_stop_never_refuses_every_caller() {
     let start = Instant::now();
-    let signal = |n: u32| start + n * 1000 * MS;
+    let stop_signal_at = |n: u32| start + n * 1000 * MS;
     let mut ended: [Option<Instant>; 6] = [None; 6];
     let mut refused_by_all = 0;
     for ms in (0..20_000).step_by(10) {
         let now = start + ms * MS;
         let is_ready = |n: u32, ended: &[Option<Instant>; 6]| match ended[n as usize] {
             Some(end) => now >= end + 700 * MS,
-            None => now < signal(n),
+            None => now < stop_signal_at(n),
         };
         let ready = (0..6).filter(|n| is_ready(*n, &ended)).count();
         let mut accepting = ready;
         for n in 0..6 {
-            if now < signal(n) || ended[n as usize].is_some() {
+            if now < stop_signal_at(n) || ended[n as usize].is_some() {
                 continue;
             }
-            let shutdown = Shutdown::new(signal(n), GRACE_PERIOD);
+            let shutdown = Shutdown::new(stop_signal_at(n), GRACE_PERIOD);
             let others_ready = ready * 2 + 1 >= 6;
             accepting += usize::from(shutdown.admits(now, Some(100 * MS), others_ready));
             // Without others it is never quiet; with them its last stream ends 1.2 s after it took it.
