--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -104,8 +104,8 @@
         (9000, 1, 0),
     ] {
         let now = started_at + at * MS;
-        let hold = shutdown.cap_wait(now, wait * MS);
-        assert_eq!(hold.as_millis(), waits, "{at} ms");
-        assert!(hold.is_zero() || now + hold < shutdown.deadline(), "{at} ms");
+        let max_wait = shutdown.cap_wait(now, wait * MS);
+        assert_eq!(max_wait.as_millis(), waits, "{at} ms");
+        assert!(max_wait.is_zero() || now + max_wait < shutdown.deadline(), "{at} ms");
     }
 }
