--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -95,7 +95,7 @@
     let started_at = Instant::now();
     let shutdown = Shutdown::new(started_at, GRACE_PERIOD);
     // Milliseconds since the signal, time that the request would wait, and that it does.
-    for (at, wait, waits) in [
+    for (at, wait, expected_ms) in [
         (0, 320, 320),
         (6900, 320, 320),
         (7100, 320, 200),
@@ -105,7 +105,7 @@
     ] {
         let now = started_at + at * MS;
         let max_wait = shutdown.cap_wait(now, wait * MS);
-        assert_eq!(max_wait.as_millis(), waits, "{at} ms");
+        assert_eq!(max_wait.as_millis(), expected_ms, "{at} ms");
         assert!(max_wait.is_zero() || now + max_wait < shutdown.deadline(), "{at} ms");
     }
 }
