--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -113,8 +113,8 @@
     pub leaving: bool,
     /// When it began, in milliseconds since the Unix epoch; 0 if it does not say so. An endpoint may start
     /// again under its id, and then knows nothing of before.
-    #[serde(default)]
-    pub born: u64,
+    #[serde(rename = "born", default)]
+    pub started_at_ms: u64,
     /// Version of its software; empty if it does not say so.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub version: VersionId,
@@ -132,16 +132,16 @@
     /// #     zone: "z".into(),
     /// #     slots: 4,
     /// #     leaving: false,
-    /// #     born: 1_700_000_000_000,
+    /// #     started_at_ms: 1_700_000_000_000,
     /// #     version: "".into(),
     /// # };
-    /// let restarted = Endpoint { born: endpoint.born + 1, ..endpoint.clone() };
+    /// let restarted = Endpoint { started_at_ms: endpoint.started_at_ms + 1, ..endpoint.clone() };
     /// assert_ne!(endpoint.key(), restarted.key());
     /// let leaving = Endpoint { leaving: true, ..endpoint.clone() };
     /// assert_eq!(endpoint.key(), leaving.key());
     /// ```
     pub fn key(&self) -> EndpointKey {
-        xxh3_64_with_seed(self.id.as_bytes(), self.born) as EndpointKey
+        xxh3_64_with_seed(self.id.as_bytes(), self.started_at_ms) as EndpointKey
     }
 }
 
--- a/oxbowbend-core/tests/cells/mod.rs
+++ b/oxbowbend-core/tests/cells/mod.rs
@@ -18,7 +18,7 @@
         zone: if n.is_multiple_of(2) { "z0".into() } else { "z1".into() },
         slots,
         leaving: false,
-        born: 0,
+        started_at_ms: 0,
         version: "".into(),
     }
 }
--- a/oxbowbend-core/tests/groups.rs
+++ b/oxbowbend-core/tests/groups.rs
@@ -20,7 +20,7 @@
         zone: format!("z{}", i % 3).as_str().into(),
         slots: 4,
         leaving: false,
-        born: 0,
+        started_at_ms: 0,
         version: "".into(),
     };
     (0..n).map(endpoint).collect()
--- a/oxbowbend-core/tests/leaving.rs
+++ b/oxbowbend-core/tests/leaving.rs
@@ -62,7 +62,7 @@
     c[0].arrive(want(0, 1, now));
     assert!(c[0].assign(now + 20 * MS).is_empty());
     assert!(!c[0].serves(&"s".into()));
-    c[0].set_endpoints([Endpoint { born: 1, ..endpoint(0, 4) }]);
+    c[0].set_endpoints([Endpoint { started_at_ms: 1, ..endpoint(0, 4) }]);
     assert_eq!(c[0].assign(now + 20 * MS).len(), 1);
     // One of another cell is told on to whoever starts, if the platform lists it.
     let mut other = cell("d", &[endpoint(2, 4)]);
--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -10,7 +10,7 @@
 
 /// An endpoint that says when it began.
 fn endpoint_started_at(n: u8, slots: u32, born: u64) -> Endpoint {
-    Endpoint { born, ..endpoint(n, slots) }
+    Endpoint { started_at_ms: born, ..endpoint(n, slots) }
 }
 
 fn arrive(cell: &mut Cell, now: Instant, requests: u32) {
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -31,7 +31,7 @@
         zone: "z".into(),
         slots: 4,
         leaving: false,
-        born: 0,
+        started_at_ms: 0,
         version: version.into(),
     }
 }
--- a/oxbowbend-core/tests/shedding.rs
+++ b/oxbowbend-core/tests/shedding.rs
@@ -21,7 +21,7 @@
         zone: "z".into(),
         slots,
         leaving: false,
-        born: 0,
+        started_at_ms: 0,
         version: "".into(),
     }]);
     cell
--- a/oxbowbend-gateway/src/world/endpoints.rs
+++ b/oxbowbend-gateway/src/world/endpoints.rs
@@ -54,9 +54,11 @@
         let mut newest: HashMap<SocketAddr, u64> = HashMap::new();
         for endpoint in self.in_force.values() {
             let born = newest.entry(endpoint.address).or_default();
-            *born = endpoint.born.max(*born);
+            *born = endpoint.started_at_ms.max(*born);
         }
-        let is_there = move |e: &&Endpoint| e.born == 0 || newest.get(&e.address) == Some(&e.born);
+        let is_there = move |e: &&Endpoint| {
+            e.started_at_ms == 0 || newest.get(&e.address) == Some(&e.started_at_ms)
+        };
         self.in_force.values().filter(is_there)
     }
 
@@ -113,7 +115,8 @@
 
     /// Takes in an entry that may be older than what is known: it takes nothing back.
     fn enter_copy(&mut self, now: Instant, endpoint: Endpoint) -> Option<News> {
-        let known = self.in_force.get(&endpoint.id).filter(|e| e.born == endpoint.born);
+        let known =
+            self.in_force.get(&endpoint.id).filter(|e| e.started_at_ms == endpoint.started_at_ms);
         if known.is_some_and(|known| known.leaving) || self.departed.hold(now, &endpoint) {
             return None;
         }
@@ -134,14 +137,14 @@
     /// Puts an endpoint in force, unless a later start of it is known. One that does not say when it began is
     /// taken to be the one that was known.
     fn begin(&mut self, mut endpoint: Endpoint) -> Option<News> {
-        let old_born = self.in_force.get(&endpoint.id).map_or(0, |old| old.born);
-        if endpoint.born == 0 {
-            endpoint.born = old_born;
+        let old_born = self.in_force.get(&endpoint.id).map_or(0, |old| old.started_at_ms);
+        if endpoint.started_at_ms == 0 {
+            endpoint.started_at_ms = old_born;
         }
-        if endpoint.born < old_born {
+        if endpoint.started_at_ms < old_born {
             return Some(News::EarlierStart(endpoint));
         }
-        let is_restart = old_born > 0 && endpoint.born > old_born;
+        let is_restart = old_born > 0 && endpoint.started_at_ms > old_born;
         self.in_force.insert(endpoint.id.clone(), endpoint.clone());
         Some(if is_restart { News::Restarted(endpoint) } else { News::Endpoint(endpoint) })
     }
@@ -181,6 +184,6 @@
 
 /// Part of one endpoint in the digest of all, which is the exclusive or of these.
 fn digest(endpoint: &Endpoint) -> u64 {
-    let Endpoint { id, address, leaving, born, version, .. } = endpoint;
+    let Endpoint { id, address, leaving, started_at_ms: born, version, .. } = endpoint;
     xxh3_64(format!("{id} {address} {leaving} {born} {version}").as_bytes())
 }
--- a/oxbowbend-gateway/src/world/news.rs
+++ b/oxbowbend-gateway/src/world/news.rs
@@ -133,6 +133,6 @@
         e.zone,
         e.slots,
         e.leaving,
-        e.born
+        e.started_at_ms
     );
 }
--- a/oxbowbend-gateway/src/world/restored.rs
+++ b/oxbowbend-gateway/src/world/restored.rs
@@ -42,7 +42,7 @@
         self.held.remove(&endpoint.id);
         self.gone.retain(|_, gone| now.saturating_duration_since(gone.at) < REMEMBERED);
         if self.gone.len() < MAX_REMEMBERED {
-            self.gone.insert(endpoint.id, Gone { born: endpoint.born, at: now });
+            self.gone.insert(endpoint.id, Gone { born: endpoint.started_at_ms, at: now });
         }
     }
 
@@ -50,7 +50,7 @@
     pub(super) fn hold(&mut self, now: Instant, endpoint: &Endpoint) -> bool {
         let is_fresh = |gone: &&Gone| now.saturating_duration_since(gone.at) < REMEMBERED;
         let gone = self.gone.get(&endpoint.id).filter(is_fresh);
-        let is_gone = gone.is_some_and(|gone| endpoint.born <= gone.born);
+        let is_gone = gone.is_some_and(|gone| endpoint.started_at_ms <= gone.born);
         if is_gone {
             self.held.insert(endpoint.id.clone(), now + CONFIRM);
         }
--- a/oxbowbend-gateway/tests/world.rs
+++ b/oxbowbend-gateway/tests/world.rs
@@ -31,7 +31,7 @@
         zone: "z".into(),
         slots: 4,
         leaving: false,
-        born: 0,
+        started_at_ms: 0,
         version: "".into(),
     })
 }
@@ -214,13 +214,15 @@
 /// The entry of a start of `a`.
 fn start(born: u64) -> Record {
     match endpoint("a") {
-        Record::Endpoint(endpoint) => Record::Endpoint(Endpoint { born, ..endpoint }),
+        Record::Endpoint(endpoint) => {
+            Record::Endpoint(Endpoint { started_at_ms: born, ..endpoint })
+        }
         other => other,
     }
 }
 
 fn born(world: &World) -> Vec<u64> {
-    world.endpoints().map(|e| e.born).collect()
+    world.endpoints().map(|e| e.started_at_ms).collect()
 }
 
 /// A way in which an instance learns what the store holds.
@@ -247,7 +249,10 @@
         world.load(now, snapshot(10, vec![config("5"), start(1000)]), read);
         let before = world.digest();
         let news = take(&mut world, now, snapshot(11, vec![start(2000)]));
-        assert!(matches!(&news[..], [News::Restarted(e)] if e.born == 2000), "{way}: {news:?}");
+        assert!(
+            matches!(&news[..], [News::Restarted(e)] if e.started_at_ms == 2000),
+            "{way}: {news:?}"
+        );
         assert_ne!(world.digest(), before, "{way}");
         let news = take(&mut world, now, snapshot(12, vec![start(1000)]));
         assert!(matches!(&news[..], [News::EarlierStart(_)]), "{way}: {news:?}");
@@ -280,7 +285,9 @@
 fn of_two_endpoints_at_one_address_the_later_one_is_there() {
     let now = Instant::now();
     let other = |id: &str, born| match endpoint(id) {
-        Record::Endpoint(endpoint) => Record::Endpoint(Endpoint { born, ..endpoint }),
+        Record::Endpoint(endpoint) => {
+            Record::Endpoint(Endpoint { started_at_ms: born, ..endpoint })
+        }
         record => record,
     };
     for (old, new, there) in
