--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -39,7 +39,7 @@
 const WINDOW_SLICES: u32 = 32;
 /// Part of what is tolerated beyond the limit that is used where an instance hears only some of
 /// the others; the rest covers reports on their way.
-pub(crate) const TOLERANCE_SHARE: f64 = 0.6;
+pub(crate) const USABLE_OVERAGE_SHARE: f64 = 0.6;
 /// Part of the limit from which an account is busy: what is admitted then must be told at once, since
 /// the limit may be reached before the next beat.
 const NEAR_LIMIT_SHARE: f64 = 0.6;
@@ -293,7 +293,7 @@
     /// The part of the limit that an instance may use that hears this share of the fleet.
     fn usable_limit(&self, policy: &QuotaPolicy, reachable_share: f64) -> f64 {
         let limit = self.limit(policy);
-        let tolerated = (limit * policy.overage + policy.slack) * TOLERANCE_SHARE;
+        let tolerated = (limit * policy.overage + policy.slack) * USABLE_OVERAGE_SHARE;
         reachable_share * (limit + tolerated - self.restored.total)
     }
 
--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -18,7 +18,7 @@
 
 use crate::admission::AccountUsage;
 use crate::ids::AccountId;
-use crate::quota::{QuotaPolicy, TOLERANCE_SHARE};
+use crate::quota::{QuotaPolicy, USABLE_OVERAGE_SHARE};
 use crate::routes::Quota;
 
 /// Requests like itself for which one leaves room, for each rank below the highest. An account at six
@@ -121,8 +121,8 @@
 impl Bucket {
     /// How the bucket fills where this share of the fleet is heard.
     fn params(&self, policy: &QuotaPolicy, reachable_share: f64) -> BucketParams {
-        let tolerated = 1.0 + policy.overage * TOLERANCE_SHARE;
-        let slack = policy.slack * TOLERANCE_SHARE;
+        let tolerated = 1.0 + policy.overage * USABLE_OVERAGE_SHARE;
+        let slack = policy.slack * USABLE_OVERAGE_SHARE;
         BucketParams {
             refill_per_s: reachable_share * self.quota.per_s * tolerated,
             capacity: reachable_share * (self.quota.burst * tolerated + slack),
