--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -219,9 +219,15 @@
     }
 
     /// Starts from a note of an account's window. Of several, the fullest counts.
-    pub fn restore(&mut self, now: Instant, account: &str, window: &[u64], note: SnapshotAge) {
+    pub fn restore(
+        &mut self,
+        now: Instant,
+        account: &str,
+        window: &[u64],
+        snapshot_age: SnapshotAge,
+    ) {
         let Some(usage) = self.usages.get_mut(account) else { return };
-        let delay = match note {
+        let delay = match snapshot_age {
             SnapshotAge::Fresh => SNAPSHOT_DELAY,
             SnapshotAge::Old => self.policy.window,
         };
