--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -256,10 +256,10 @@
         let mut since_start = usage.admitted.total;
         usage.restored = TimedUnits::default();
         for (age, units) in window.iter().enumerate() {
-            let rest = (*units as f64 - since_start).max(0.0);
-            since_start -= *units as f64 - rest;
+            let before_start = (*units as f64 - since_start).max(0.0);
+            since_start -= *units as f64 - before_start;
             let at = now.checked_sub(SNAPSHOT_SLOT * age as u32).unwrap_or(now);
-            usage.restored.add_oldest(at, rest);
+            usage.restored.add_oldest(at, before_start);
         }
     }
 
