--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -354,9 +354,9 @@
     }
 
     /// Adds to the newest part if that is not older than a part may be.
-    fn add_merged(&mut self, now: Instant, units: f64, part: Duration) {
+    fn add_merged(&mut self, now: Instant, units: f64, slice: Duration) {
         match self.entries.back_mut() {
-            Some((at, sum)) if now.saturating_duration_since(*at) < part => {
+            Some((at, sum)) if now.saturating_duration_since(*at) < slice => {
                 *sum += units;
                 self.total += units;
             }
