--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -385,12 +385,12 @@
     }
 
     fn remove_newest(&mut self, units: f64) {
-        let mut left = units;
+        let mut remaining = units;
         for (_, sum) in self.entries.iter_mut().rev() {
-            let taken = left.min(*sum);
+            let taken = remaining.min(*sum);
             *sum -= taken;
             self.total -= taken;
-            left -= taken;
+            remaining -= taken;
         }
     }
 
