--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -299,8 +299,8 @@
     /// The part of the limit that an instance may use that hears this share of the fleet.
     fn usable_limit(&self, policy: &QuotaPolicy, reachable_share: f64) -> f64 {
         let limit = self.limit(policy);
-        let tolerated = (limit * policy.overage + policy.slack) * USABLE_OVERAGE_SHARE;
-        reachable_share * (limit + tolerated - self.restored.total)
+        let overage = (limit * policy.overage + policy.slack) * USABLE_OVERAGE_SHARE;
+        reachable_share * (limit + overage - self.restored.total)
     }
 
     fn total(&self) -> f64 {
