--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -394,9 +394,9 @@
         }
     }
 
-    fn expire(&mut self, now: Instant, keep: Duration) {
+    fn expire(&mut self, now: Instant, retention: Duration) {
         while let Some((at, sum)) = self.entries.front() {
-            if now.saturating_duration_since(*at) < keep {
+            if now.saturating_duration_since(*at) < retention {
                 break;
             }
             self.total -= sum;
