--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -121,11 +121,11 @@
 impl Bucket {
     /// How the bucket fills where this share of the fleet is heard.
     fn params(&self, policy: &QuotaPolicy, reachable_share: f64) -> BucketParams {
-        let tolerated = 1.0 + policy.overage * USABLE_OVERAGE_SHARE;
+        let overage_factor = 1.0 + policy.overage * USABLE_OVERAGE_SHARE;
         let slack = policy.slack * USABLE_OVERAGE_SHARE;
         BucketParams {
-            refill_per_s: reachable_share * self.quota.per_s * tolerated,
-            capacity: reachable_share * (self.quota.burst * tolerated + slack),
+            refill_per_s: reachable_share * self.quota.per_s * overage_factor,
+            capacity: reachable_share * (self.quota.burst * overage_factor + slack),
         }
     }
 
