--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -86,12 +86,17 @@
     /// // Others are ready.
     /// assert!(!shutdown.admits(now + Duration::from_secs(5), Some(Duration::from_millis(200)), true));
     /// ```
-    pub fn admits(&self, now: Instant, expected: Option<Duration>, others_ready: bool) -> bool {
-        match expected {
+    pub fn admits(
+        &self,
+        now: Instant,
+        expected_time: Option<Duration>,
+        others_ready: bool,
+    ) -> bool {
+        match expected_time {
             _ if now < self.full_service_until() => true,
             _ if others_ready => false,
-            Some(expected) => {
-                now + expected.mul_f64(SAFETY_FACTOR) + NETWORK_MARGIN <= self.deadline()
+            Some(expected_time) => {
+                now + expected_time.mul_f64(SAFETY_FACTOR) + NETWORK_MARGIN <= self.deadline()
             }
             None => false,
         }
