--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -7,7 +7,7 @@
 use oxbowbend_core::routes::Quota;
 
 const MS: Duration = Duration::from_millis(1);
-const BOUNDS: QuotaPolicy =
+const POLICY: QuotaPolicy =
     QuotaPolicy { window: Duration::from_secs(8), overage: 0.1, slack: 140_000.0 };
 const QUOTA: Quota = Quota { per_s: 250_000.0, burst: 250_000.0 };
 
@@ -16,7 +16,7 @@
     [(0, 10_400, 170), (1, 3_500, 100), (2, 2_000, 105), (2, 200, 125)];
 
 fn admission() -> AdmissionController {
-    let mut admission = AdmissionController::new(BOUNDS);
+    let mut admission = AdmissionController::new(POLICY);
     admission.configure([(&"a".into(), QUOTA)]);
     admission
 }
