--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -7,13 +7,13 @@
 use oxbowbend_core::routes::Quota;
 
 const S: Duration = Duration::from_secs(1);
-const BOUNDS: QuotaPolicy =
+const POLICY: QuotaPolicy =
     QuotaPolicy { window: Duration::from_secs(8), overage: 0.1, slack: 100.0 };
 /// 100 a second and a burst of 100: 900 in a window.
 const QUOTA: Quota = Quota { per_s: 100.0, burst: 100.0 };
 
 fn quotas() -> Quotas {
-    let mut quotas = Quotas::new(BOUNDS);
+    let mut quotas = Quotas::new(POLICY);
     quotas.configure([(&"a".into(), QUOTA)]);
     quotas
 }
@@ -34,7 +34,7 @@
         }
     }
     for t in &times {
-        let n = times.iter().filter(|u| *u >= t && **u < *t + BOUNDS.window).count();
+        let n = times.iter().filter(|u| *u >= t && **u < *t + POLICY.window).count();
         // 900, a tenth and 100 are tolerated, and six tenths of that are used.
         assert!(n <= 1014, "{n} in a window");
     }
@@ -228,7 +228,7 @@
     quotas.admit(now, "a", 1).expect("room");
     assert!(quotas.is_near_limit());
     // The smaller the part of the fleet that is heard, the sooner.
-    let mut alone = Quotas::new(BOUNDS);
+    let mut alone = Quotas::new(POLICY);
     alone.configure([(&"a".into(), QUOTA)]);
     alone.set_reachable_share(0.5);
     alone.admit(now, "a", 271).expect("room");
