--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -10,7 +10,7 @@
 use oxbowbend_core::routes::Quota;
 
 const WINDOW: Duration = Duration::from_secs(8);
-const BOUNDS: QuotaPolicy = QuotaPolicy { window: WINDOW, overage: 0.1, slack: 0.0 };
+const POLICY: QuotaPolicy = QuotaPolicy { window: WINDOW, overage: 0.1, slack: 0.0 };
 /// Far more than is used, so that nothing is refused.
 const QUOTA: Quota = Quota { per_s: 1e9, burst: 1e9 };
 const CELLS: usize = 3;
@@ -43,7 +43,7 @@
     fn start(now: Instant, n: usize, life: u64) -> Node {
         let name = format!("i{n:02}");
         let cell = Cell::new(name.as_str().into(), "z".into(), life);
-        let mut quotas = Quotas::new(BOUNDS);
+        let mut quotas = Quotas::new(POLICY);
         quotas.configure([(&"a".into(), QUOTA)]);
         let (representative_since, is_up, is_stopping) = (None, true, false);
         Node { name, cell, quotas, started_at: now, representative_since, is_up, is_stopping }
