--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -271,10 +271,10 @@
 #[test]
 fn a_restart_without_a_snapshot_resumes_from_a_peer() {
     let quota = Quota { per_s: 100.0, burst: 0.0 };
-    let bounds = QuotaPolicy { window: Duration::from_secs(8), overage: 0.0, slack: 0.0 };
+    let policy = QuotaPolicy { window: Duration::from_secs(8), overage: 0.0, slack: 0.0 };
     let account = "a".into();
     let restarted = || {
-        let mut quotas = Quotas::new(bounds);
+        let mut quotas = Quotas::new(policy);
         quotas.configure([(&account, quota)]);
         quotas
     };
