--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_is_left_of_a_flood_goes_to_urgent_requests_and_small_ones() {
+fn urgent_and_small_requests_are_admitted_first_in_a_flood() {
     let (_, admitted_shares) = replay(6);
     let [urgent, middle, least, small] = admitted_shares[..] else { panic!("{admitted_shares:?}") };
     assert!(urgent > 0.6, "{admitted_shares:?}");
