--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_refused_caller_that_comes_back_when_told_finds_room() {
+fn a_refused_request_is_admitted_after_the_reported_delay() {
     let now = Instant::now();
     let mut admission = admission();
     let wait = loop {
