--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_others_admit_and_what_did_not_run_counts() {
+fn remote_usage_and_refunds_are_counted() {
     let now = Instant::now();
     let mut admission = admission();
     admission.record_remote(now, "a", 345_000.0, true);
