--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -24,7 +24,9 @@
 /// Units that an instance admits with each beat.
 const UNITS_PER_BEAT: u64 = 10;
 
-fn owned<'a>(counters: impl Iterator<Item = (&'a AccountId, u64)>) -> Vec<(AccountId, u64)> {
+fn collect_owned<'a>(
+    counters: impl Iterator<Item = (&'a AccountId, u64)>,
+) -> Vec<(AccountId, u64)> {
     counters.map(|(account, units)| (account.clone(), units)).collect()
 }
 
@@ -66,12 +68,13 @@
             || now - self.started_at < 6 * HEARTBEAT;
         let quotas = &self.quotas;
         let view = FleetView {
-            spent: owned(quotas.other_cells_totals()),
+            spent: collect_owned(quotas.other_cells_totals()),
             lately: if is_new_representative { quotas.other_cells_recent(now) } else { Vec::new() },
             is_full,
             ..FleetView::default()
         };
-        let (spent, cell_spent) = (owned(quotas.local_totals()), owned(quotas.cell_totals()));
+        let (spent, cell_spent) =
+            (collect_owned(quotas.local_totals()), collect_owned(quotas.cell_totals()));
         let cell_lately = if is_new_representative { quotas.cell_recent(now) } else { Vec::new() };
         let windows = match self.cell.has_newcomer(now) {
             true => self.quotas.window_usage(now),
