--- a/oxbowbend-core/src/lib.rs
+++ b/oxbowbend-core/src/lib.rs
@@ -1,24 +1,26 @@
 /*!
-Pure decisions of the oxbowbend request scheduler.
+Decision logic of the oxbowbend request scheduler, free of I/O.
 
-Everything here is a state machine of the form `(state, now, event) -> actions`. Nothing in this
-crate opens a socket, reads a clock or draws a random number, so every fault can be injected at
-every step by a plain test.
+Every component is a state machine of the form `(state, now, event) -> actions`. Nothing in this
+crate opens a socket, reads a clock or draws a random number from the environment, so a unit test
+can inject any fault at any step.
 
 # Usage
 
-[`node::Node`] composes the parts that one instance runs: the [`entry`] that holds callers'
-requests, the [`scheduler`] of each pool this instance was chosen for, and the [`permits`] this
-instance owns. The daemon feeds it [`node::Event`]s and carries out the [`node::Action`]s.
+[`node::Node`] combines the components that one instance runs: the [`entry`] that holds callers'
+requests, the [`scheduler`] of each pool assigned to this instance, and the [`permits`] that this
+instance owns. The daemon passes [`node::Event`]s to it and carries out the [`node::Action`]s that
+it returns.
 
-[`cell::Cell`] is the decision where endpoints do not promise their slots: every instance tells the
-others what it runs and what waits, and all come to the same order on their own. [`routes::RoutingTable`],
-[`quota::Quotas`] and [`retries::RetryLimiter`] stand beside it.
+[`cell::Cell`] schedules requests where endpoints do not reserve slots for an instance: all
+instances exchange their running and waiting requests, and each computes the same order from them.
+It is used together with [`routes::RoutingTable`], [`quota::Quotas`] and
+[`retries::RetryLimiter`].
 
 # Limits
 
-Times are [`std::time::Instant`]s supplied by the caller. The crate trusts them to be monotonic
-and to include the time for which the instance was suspended.
+Times are [`std::time::Instant`]s supplied by the caller. They must be monotonic and must advance
+while the machine is suspended.
 */
 
 #![deny(clippy::disallowed_methods)]
