--- a/oxbowbend-core/src/admission.rs
+++ b/oxbowbend-core/src/admission.rs
@@ -1,8 +1,8 @@
-//! Whether a client account's request is let in.
+//! Admission control for the requests of client accounts.
 //!
-//! Two bounds stand side by side: the operator's window ([`crate::quota`]), which is a promise, and the
-//! account's rate ([`crate::token_bucket`]), which spreads what the window allows over time. A request is counted
-//! in both or in neither.
+//! An account has two limits: a sliding-window quota ([`crate::quota`]) and a token bucket
+//! ([`crate::token_bucket`]) that spreads the quota over time. A request is charged to both or to
+//! neither.
 
 use std::time::{Duration, Instant};
 
@@ -11,76 +11,78 @@
 use crate::routes::Quota;
 use crate::token_bucket::TokenBuckets;
 
-/// Bounds on what an account may have executed.
+/// The limits of an account.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuotaKind {
-    /// The account's rate, or the room that is left to its more urgent requests.
+    /// The token bucket, including the reserve for more urgent requests.
     Rate,
-    /// The window.
+    /// The sliding-window quota.
     Window,
 }
 
-/// A request would pass its account's quota.
+/// The error returned for a request that exceeds a limit of its account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaExceeded {
-    /// Which bound it would pass.
+    /// The limit that the request exceeds.
     pub kind: QuotaKind,
-    /// Time until there will be room.
+    /// Time after which the request can be admitted.
     pub retry_after: Duration,
-    /// What it was decided from.
+    /// The usage that the decision is based on.
     pub usage: AccountUsage,
 }
 
-/// What an instance knows of an account's usage.
+/// The usage of an account as known to one instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AccountUsage {
-    /// Units admitted in the window by this instance, and by others as they told.
+    /// Units admitted in the window since this instance started, including those that other
+    /// instances reported.
     pub admitted_units: f64,
-    /// Units that were in the window before this instance's start, as was noted or told.
+    /// Units admitted in the window before this instance started, restored from a snapshot or a
+    /// peer.
     pub restored_units: f64,
-    /// Units that this instance may use of the window.
+    /// Units that this instance may admit in the window.
     pub limit: f64,
-    /// Units left in the bucket; below 0, what others have taken beyond it.
+    /// Units left in the bucket; negative if other instances admitted more than it held.
     pub bucket_level: f64,
-    /// Units a second that the bucket gets.
+    /// Refill rate of the bucket, in units per second.
     pub refill_per_s: f64,
-    /// Share of the fleet that is heard.
+    /// Share of the fleet from which this instance receives reports.
     pub reachable_share: f64,
 }
 
-/// The bounds of all client accounts.
+/// The limits of all client accounts.
 #[derive(Debug)]
 pub struct AdmissionController {
-    /// The windows.
+    /// The sliding-window quotas.
     pub quotas: Quotas,
     buckets: TokenBuckets,
 }
 
 impl AdmissionController {
-    /// No accounts yet.
+    /// Creates a controller without accounts.
     pub fn new(policy: QuotaPolicy) -> AdmissionController {
         AdmissionController { quotas: Quotas::new(policy), buckets: TokenBuckets::new(policy) }
     }
 
-    /// Puts the quotas of a configuration in force.
+    /// Replaces the quotas, keeping the usage of accounts that remain.
     pub fn configure<'a>(&mut self, quotas: impl IntoIterator<Item = (&'a AccountId, Quota)>) {
         let quotas: Vec<_> = quotas.into_iter().collect();
         self.quotas.configure(quotas.iter().copied());
         self.buckets.configure(quotas);
     }
 
-    /// Sets the share of the fleet that is heard, this instance included.
+    /// Sets the share of the fleet, including this instance, from which reports arrive.
     pub fn set_reachable_share(&mut self, reachable_share: f64) {
         self.quotas.set_reachable_share(reachable_share);
         self.buckets.set_reachable_share(reachable_share);
     }
 
-    /// Admits a request of so many units, or tells why not. `rank` is that among the account's
-    /// requests; 0 is the most urgent.
+    /// Admits a request of `units`. `rank` is its priority among the account's requests; 0 is the
+    /// most urgent.
     ///
     /// # Errors
     ///
-    /// Fails with the time until the window or the rate will have room.
+    /// Returns the exceeded limit and the time after which the request can be admitted.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -98,20 +100,20 @@
         })
     }
 
-    /// What is known of an account's usage.
+    /// Returns the usage of an account.
     pub fn usage(&self, account: &str) -> AccountUsage {
         let mut usage = self.quotas.usage(account);
         self.buckets.add_usage(account, &mut usage);
         usage
     }
 
-    /// Gives back the units of a request that has not run.
+    /// Refunds the units of a request that did not run.
     pub fn refund(&mut self, account: &str, units: u64) {
         self.quotas.refund(account, units);
         self.buckets.refund(account, units);
     }
 
-    /// Adds what another instance has admitted, or another cell.
+    /// Records units admitted by another instance of this cell or by another cell.
     pub fn record_remote(&mut self, now: Instant, account: &str, units: f64, same_cell: bool) {
         self.quotas.record_remote(now, account, units, same_cell);
         self.buckets.record_remote(now, account, units);
