--- a/oxbowbend-core/src/ages.rs
+++ b/oxbowbend-core/src/ages.rs
@@ -1,33 +1,33 @@
-//! How long ago a caller first tried, read from the time that it has left.
+//! Estimates the time since a caller's first attempt from its remaining timeout.
 //!
-//! A caller that comes back after a refusal, or after a connection that brought nothing, is a new request
-//! here, but its objective runs since its first try, and so does its own deadline. Callers of a route give
-//! the same time at first, so one that gives less has waited already. What was traded: a caller with a
-//! shorter deadline than others of its route is taken for one that has come back, if the difference is
-//! one that callers wait.
+//! A retry after a refusal or a failed connection arrives as a new request, but its latency
+//! objective and its deadline count from the first attempt. Callers of a route start with the same
+//! timeout, so one that sends a smaller value has already waited. A first attempt with a timeout
+//! slightly shorter than usual for its route is mistaken for a retry.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Part of its time that a caller may have waited to be taken for one that has come back: it waits a third
-/// of it at most when told to, and the refusal took some time too.
+/// Largest estimated age, as a share of the initial timeout. A caller waits at most a third of its
+/// timeout when refused, plus the time that the refusal took.
 const MAX_AGE_SHARE: f64 = 0.5;
-/// Differences that are the way to this instance.
+/// Smallest estimated age; shorter differences are network delay.
 const MIN_AGE: Duration = Duration::from_millis(20);
 
-/// The times that callers give at first, by route.
+/// Estimates request ages from the initial timeout of each route.
 #[derive(Debug, Default)]
 pub struct AgeEstimator {
     initial_timeouts: HashMap<String, Duration>,
 }
 
 impl AgeEstimator {
-    /// Forgets everything, as with a new configuration.
+    /// Discards all initial timeouts, for a new configuration.
     pub fn clear(&mut self) {
         self.initial_timeouts.clear();
     }
 
-    /// Time since the first try of a caller of that route who has so much time left.
+    /// Returns the estimated time since the first attempt of a caller of `route`, given the time
+    /// that remains until its deadline.
     pub fn estimate(
         &mut self,
         route: &str,
--- a/oxbowbend-core/tests/ages.rs
+++ b/oxbowbend-core/tests/ages.rs
@@ -1,4 +1,4 @@
-//! How long callers have waited already, read from the time that they have left.
+//! Age estimates of requests from the remaining timeout.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
         (Some(s(12) - 5 * MS), s(0)),
         (Some(s(12) - 400 * MS), 400 * MS),
         (Some(s(8)), s(4)),
-        // Nobody waits so long; this caller has less time from the beginning.
+        // Too long for a retry; the caller started with a shorter timeout.
         (Some(s(2)), s(0)),
         (None, s(0)),
     ] {
