--- a/oxbowbend-core/src/budget.rs
+++ b/oxbowbend-core/src/budget.rs
@@ -1,24 +1,24 @@
-//! Bounds on retries and on trusting an endpoint that fails.
+//! Retry budgets and circuit breakers.
 //!
-//! A retry budget keeps retries a fixed share of first attempts, so that an outage does not
-//! multiply the load. A breaker stops sending to an endpoint that refuses, and lets one request
-//! through at a growing interval. Ejection is bounded elsewhere: when every endpoint of a pool is
-//! open, the one that opened first is used all the same.
+//! A retry budget limits retries to a fixed share of first attempts, so that an outage does not
+//! multiply the load. A circuit breaker stops requests to a failing endpoint and lets one request
+//! through as a probe at exponentially growing intervals. If the breakers of all endpoints of a
+//! pool are open, the scheduler still uses the one that opened first.
 
 use std::time::{Duration, Instant};
 
-/// Retries allowed for each first attempt.
+/// Retries earned by each first attempt.
 const RETRY_RATIO: f64 = 0.1;
-/// Retries that may be saved up.
+/// Upper bound of the accumulated retries.
 const MAX_BALANCE: f64 = 20.0;
-/// Failures in a row that open a breaker.
+/// Consecutive failures that open a breaker.
 const FAILURE_THRESHOLD: u32 = 3;
-/// First interval for which a breaker stays open.
+/// Time for which a breaker stays open at first.
 const INITIAL_OPEN_TIME: Duration = Duration::from_millis(500);
-/// Longest interval for which a breaker stays open.
+/// Longest time for which a breaker stays open.
 const MAX_OPEN_TIME: Duration = Duration::from_secs(16);
 
-/// A share of first attempts that may be spent on retries.
+/// A budget of retries that grows with first attempts.
 ///
 /// ```
 /// use oxbowbend_core::budget::RetryBudget;
@@ -41,14 +41,14 @@
 }
 
 impl RetryBudget {
-    /// Counts a first attempt.
+    /// Records a first attempt.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + RETRY_RATIO).min(MAX_BALANCE);
     }
 
-    /// Takes one retry out of the budget, if it allows one.
+    /// Takes one retry from the budget; returns `false` if there is none.
     pub fn try_withdraw(&mut self) -> bool {
-        // Ten deposits of a tenth must buy a whole retry in spite of rounding.
+        // Ten deposits of 0.1 must allow one retry despite rounding errors.
         const EPSILON: f64 = 1e-9;
         if self.balance + EPSILON < 1.0 {
             return false;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Circuit breaker of one endpoint.
+/// The circuit breaker of one endpoint.
 ///
 /// ```
 /// use oxbowbend_core::budget::CircuitBreaker;
@@ -76,12 +76,12 @@
 }
 
 impl CircuitBreaker {
-    /// Notes a success and closes the breaker.
+    /// Records a success and closes the breaker.
     pub fn record_success(&mut self) {
         *self = CircuitBreaker::default();
     }
 
-    /// Notes a failure; several in a row open the breaker.
+    /// Records a failure; the breaker opens after several consecutive ones.
     pub fn record_failure(&mut self, now: Instant) {
         self.consecutive_failures += 1;
         if self.consecutive_failures < FAILURE_THRESHOLD {
@@ -92,7 +92,8 @@
         self.open_until = Some(now + open_time);
     }
 
-    /// Whether a request may be sent. While the breaker is open only a probe at its end may.
+    /// Returns whether a request may be sent, either because the breaker is closed or as a probe at
+    /// the end of its open time.
     pub fn allows(&self, now: Instant) -> bool {
         self.open_until.is_none_or(|until| now >= until)
     }
--- a/oxbowbend-core/src/cache.rs
+++ b/oxbowbend-core/src/cache.rs
@@ -1,16 +1,16 @@
-//! What an endpoint's prefix cache probably holds.
+//! A model of the contents of an endpoint's prefix cache.
 //!
-//! Engines publish cache events late and with gaps, so the scheduler's own grants are the primary
-//! source: a prompt sent to an endpoint leaves its blocks there until enough other tokens have
-//! pushed them out. The estimate errs whenever the engine evicts by another rule; a run's report of
-//! cached tokens does not correct it yet.
+//! Engines publish cache events late and incompletely, so the model is derived from the prompts
+//! that the scheduler sends: their blocks stay cached until newer tokens evict them. The model is
+//! inaccurate if the engine does not evict in least-recently-used order; cached-token counts
+//! reported by runs are not used to correct it.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Prompt tokens covered by one prefix hash.
+/// Number of prompt tokens covered by one prefix hash.
 pub const BLOCK_TOKENS: u32 = 64;
 
-/// Least-recently-used model of one endpoint's cache.
+/// A least-recently-used model of one endpoint's prefix cache.
 ///
 /// ```
 /// use oxbowbend_core::cache::{PrefixCache, BLOCK_TOKENS};
@@ -27,7 +27,7 @@
 }
 
 impl PrefixCache {
-    /// Creates an empty model of a cache that holds `capacity_tokens`.
+    /// Creates an empty model of a cache with room for `capacity_tokens`.
     pub fn new(capacity_tokens: u64) -> PrefixCache {
         let capacity_blocks = (capacity_tokens / u64::from(BLOCK_TOKENS)) as usize;
         PrefixCache {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Records that a prompt with these cumulative block hashes was sent to the endpoint.
+    /// Records a prompt sent to the endpoint, given its cumulative block hashes.
     pub fn insert(&mut self, prefix: &[u64]) {
         for hash in prefix.iter().take(self.capacity_blocks) {
             self.tick += 1;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Tokens of the prompt that are probably cached.
+    /// Returns the number of prompt tokens that are probably cached.
     pub fn cached_tokens(&self, prefix: &[u64]) -> u32 {
         let hits = prefix.iter().take_while(|h| self.last_used.contains_key(h)).count();
         hits as u32 * BLOCK_TOKENS
