--- a/oxbowbend-core/src/ids.rs
+++ b/oxbowbend-core/src/ids.rs
@@ -2,32 +2,33 @@
 
 use std::sync::Arc;
 
-/// One incarnation of an instance. A restarted instance gets a new one, never an old one again.
+/// One run of an instance. A restarted instance gets a new id that was never used before.
 pub type InstanceId = Arc<str>;
-/// One caller's request; it doubles as the run id at the endpoint.
+/// A caller's request; also used as the run id at the endpoint.
 pub type RequestId = Arc<str>;
-/// A declared endpoint.
+/// An endpoint declared in the configuration.
 pub type EndpointId = Arc<str>;
-/// One start of an endpoint, as instances name it to each other: a hash of its id and of when it began. Two of
-/// a thousand endpoints share one in 8,000 fleets, and then count as one for their load.
+/// One run of an endpoint in messages between instances: a hash of its id and start time. The load
+/// of endpoints with colliding keys is added up; a collision occurs in about one of 8,000 fleets of
+/// 1,000 endpoints.
 pub type EndpointKey = u32;
-/// A declared client account.
+/// A client account declared in the configuration.
 pub type AccountId = Arc<str>;
-/// A declared service.
+/// A service declared in the configuration.
 pub type ServiceId = Arc<str>;
-/// Version of an endpoint's software.
+/// The software version of an endpoint.
 pub type VersionId = Arc<str>;
-/// A pool: the endpoints that serve one model or service inside one place.
+/// A pool: the endpoints that serve one model or service at one location.
 pub type PoolId = Arc<str>;
-/// A declared place.
+/// A location declared in the configuration.
 pub type LocationId = Arc<str>;
 /// An availability zone.
 pub type ZoneId = Arc<str>;
-/// Rank of a tier; 0 is the highest.
+/// Priority of a tier; 0 is the highest.
 pub type TierLevel = u8;
-/// Number of a request's attempt to be granted. A higher one voids every earlier grant.
+/// Number of a request's attempt to obtain a grant. Grants of lower attempts are void.
 pub type Attempt = u32;
 /// Version of the platform's instance list.
 pub type InstanceListVersion = u64;
-/// Revision of the configuration.
+/// A revision of the configuration.
 pub type ConfigRevision = u64;
--- a/oxbowbend-core/src/selection.rs
+++ b/oxbowbend-core/src/selection.rs
@@ -1,38 +1,44 @@
-//! Choice of endpoint for a request.
+//! Policies that select an endpoint for a request.
 //!
-//! The policy that ships is [`EarliestFinish`]: the endpoint on which the request is expected to finish
-//! first, counting the prompt tokens that its cache probably holds. The others are baselines,
-//! kept to be measured against in the experiment tool.
+//! The scheduler uses [`EarliestFinish`], which selects the endpoint with the earliest predicted
+//! completion, taking cached prompt tokens into account. The other policies are baselines for the
+//! experiment tool.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// An endpoint that has a free slot, as a policy sees it.
+/// An endpoint with a free slot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// Position in the pool's list of endpoints.
+    /// Index in the pool's list of endpoints.
     pub index: usize,
     /// Predicted seconds from dispatch to the last token.
     pub predicted_seconds: f64,
-    /// Requests known to be outstanding there, from our own grants.
+    /// Outstanding requests that the scheduler granted to the endpoint.
     pub outstanding: u32,
-    /// Requests running according to the endpoint's last, stale report.
+    /// Running requests according to the endpoint's last report, which may be stale.
     pub reported_running: u32,
-    /// Whether it straggles and is to be avoided for now.
+    /// Whether the endpoint is a straggler, to be selected only if there is no other.
     pub avoid: bool,
 }
 
-/// A policy that picks one of the candidates.
+/// A policy that selects one of the candidates.
 pub trait SelectionPolicy {
-    /// Returns the position in `candidates` of the chosen one; `None` if there are none.
+    /// Returns the position of the selected endpoint in `candidates`, or `None` if it is empty.
     fn select(&mut self, candidates: &[Candidate]) -> Option<usize>;
 }
 
-/// Earliest predicted finish, stragglers last.
+/// Earliest predicted completion, with stragglers last.
 ///
 /// ```
 /// use oxbowbend_core::selection::{Candidate, EarliestFinish, SelectionPolicy};
-/// let c = |index, seconds, avoid| Candidate { index, predicted_seconds: seconds, outstanding: 0, reported_running: 0, avoid };
+/// let c = |index, predicted_seconds, avoid| Candidate {
+///     index,
+///     predicted_seconds,
+///     outstanding: 0,
+///     reported_running: 0,
+///     avoid,
+/// };
 /// let candidates = [c(0, 3.0, false), c(1, 1.0, true), c(2, 2.0, false)];
 /// assert_eq!(EarliestFinish.select(&candidates), Some(2));
 /// ```
@@ -49,7 +55,7 @@
     }
 }
 
-/// Baseline: fewest requests outstanding.
+/// Baseline: fewest outstanding requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastOutstanding;
 
@@ -59,7 +65,7 @@
     }
 }
 
-/// Baseline: each endpoint in turn.
+/// Baseline: endpoints in rotation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     last: Option<usize>,
@@ -74,7 +80,7 @@
     }
 }
 
-/// Baseline: uniformly at random.
+/// Baseline: uniformly random.
 #[derive(Clone, Debug)]
 pub struct Random(Pcg32);
 
@@ -94,7 +100,7 @@
     }
 }
 
-/// Baseline: the less loaded of two random endpoints by their stale reports.
+/// Baseline: the less loaded of two random endpoints according to their last reports.
 #[derive(Clone, Debug)]
 pub struct PowerOfTwoChoices(Pcg32);
 
