--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -1,24 +1,16 @@
-//! Quotas of client accounts over a sliding window, kept by all instances without asking anybody.
+//! Sliding-window quotas of client accounts, enforced by all instances without coordination.
 //!
-//! Each instance adds up what it admits itself and what the others report to have admitted, so all
-//! know nearly the same; what is admitted while a report is on its way is within what the operator
-//! tolerates.
+//! Each instance adds the units that the other instances report to those that it admits itself.
+//! Units admitted while a report is in transit are covered by the configured overage.
 //!
-//! Two things are not known and are guarded against. An instance that hears only some of the others
-//! takes only the same share of the limit, so that the sides of a partition together stay within
-//! it; of what a note tells it to be used already, all of the limit's rest is shared like that. And an instance that has just started does not know what was admitted before. So one of the
-//! instances notes the window in the store a few times a second, and a fresh one starts from that,
-//! adding what may have come since the note at the rate of its last second. Whoever hears it tells it what it
-//! knows of the windows: notes are gone while all that could write them stop, and one that started then
-//! admitted 36 in 100 of a used-up window again.
+//! An instance that receives reports from only part of the fleet uses only that share of the limit,
+//! so the sides of a network partition together stay within it. An instance that has just started
+//! restores the window from the last snapshot in the store, which one of the instances writes
+//! several times a second, and assumes that usage continued at the rate of the snapshot's last
+//! second. It also restores the window from its peers' reports, because the snapshot is lost if all
+//! instances that could write it stop.
 //!
-//! Assuming a part of the window to be used up after a start, without a note or with a coarse one,
-//! was tried: where all instances restart twice within a few seconds it refuses most of what is
-//! owed (kalemdar-tutanak trouble-3: worth 0.746 before, 0.463 with it).
-//!
-//! What the operator tolerates beyond the limit is used up to a margin: it is owed like the rest.
-//! Putting it behind everything else was tried and cost more than it gave (bilang-ibon scale-2:
-//! worth 0.655 without, 0.577 with it).
+//! Part of the configured overage is admitted as well; the rest covers reports in transit.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -27,82 +19,84 @@
 use crate::ids::AccountId;
 use crate::routes::Quota;
 
-/// Time by which a note may be behind: the time between two, and the way to the store and back.
+/// Age of a snapshot when it is read: the interval between writes plus the latency of the store.
 const SNAPSHOT_DELAY: Duration = Duration::from_millis(600);
-/// Length of the slots of a note.
+/// Length of the slots of a snapshot.
 const SNAPSHOT_SLOT: Duration = Duration::from_secs(1);
-/// Span of time for which is told what was admitted lately, and how many of them are told: whoever represented a cell
-/// before has been silent for up to 1.5 s.
+/// Length of the slots of a [`RecentUsage`].
 pub const RECENT_SLOT: Duration = Duration::from_millis(250);
+/// Slots of a [`RecentUsage`]; must cover the 1.5 s for which the previous representative of a cell
+/// may have been silent.
 const RECENT_SLOTS: u32 = 12;
-/// Parts of the window in which units are added up.
+/// Number of slices of the window; units admitted in the same slice are merged.
 const WINDOW_SLICES: u32 = 32;
-/// Part of what is tolerated beyond the limit that is used where an instance hears only some of
-/// the others; the rest covers reports on their way.
+/// Share of the configured overage that is admitted; the rest covers reports in transit.
 pub(crate) const USABLE_OVERAGE_SHARE: f64 = 0.6;
-/// Part of the limit from which an account is busy: what is admitted then must be told at once, since
-/// the limit may be reached before the next beat.
+/// Share of the limit above which admitted units are reported at once, since the limit may be
+/// reached before the next heartbeat.
 const NEAR_LIMIT_SHARE: f64 = 0.6;
 
-/// How old a note of an account's window may be.
+/// The age of a snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SnapshotAge {
-    /// As old as notes usually are.
+    /// At most [`SNAPSHOT_DELAY`].
     Fresh,
-    /// Of an older copy of the store: nobody knows how old. Usage is taken to have gone on for a whole window.
+    /// Unknown, since the snapshot comes from an older copy of the store. Usage is assumed to have
+    /// continued for a whole window.
     Old,
 }
 
-/// Units that an account has used in each of the last seconds, the newest first.
+/// Units that an account used in each of the last seconds, newest first.
 pub type WindowUsage = Vec<u64>;
 
-/// Units that were admitted in each of the last spans of [`RECENT_SLOT`], the newest first.
+/// Units admitted in each of the last slots of length [`RECENT_SLOT`], newest first.
 pub type RecentUsage = Vec<u64>;
 
-/// Units that were admitted within a time before now.
+/// Returns the units admitted within the last `time`.
 pub fn admitted_within(recent: &[u64], time: Duration) -> f64 {
     let slots = time.as_secs_f64() / RECENT_SLOT.as_secs_f64();
     let part = |(n, units): (usize, &u64)| *units as f64 * (slots - n as f64).clamp(0.0, 1.0);
     recent.iter().enumerate().map(part).sum()
 }
 
-/// Bounds of all quotas.
+/// Settings that apply to all quotas.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaPolicy {
     /// Length of the window.
     pub window: Duration,
-    /// Share by which the limit may be passed.
+    /// Share of the limit by which it may be exceeded.
     pub overage: f64,
-    /// Units beyond that.
+    /// Units by which it may be exceeded in addition.
     pub slack: f64,
 }
 
 #[derive(Debug)]
 struct Usage {
     quota: Quota,
-    /// Units admitted here in this life.
+    /// Units admitted by this instance since it started.
     local_total: u64,
-    /// Units admitted by the other instances of the cell, as they told.
+    /// Units reported by the other instances of this cell since then.
     cell_peers_total: u64,
-    /// Units admitted by other cells, likewise.
+    /// Units reported by other cells since then.
     other_cells_total: u64,
-    /// What of both was admitted lately.
+    /// Units admitted recently in this cell.
     cell_recent: TimedUnits,
+    /// Units admitted recently in other cells.
     other_cells_recent: TimedUnits,
-    /// What was admitted in this life, here and as others told.
+    /// Units in the window admitted since this instance started, including reported ones.
     admitted: TimedUnits,
-    /// What a note told at the start of this life.
+    /// Units in the window admitted before this instance started.
     restored: TimedUnits,
 }
 
-/// Units admitted lately, the oldest first.
+/// Units with the times of their admission, oldest first.
 #[derive(Debug, Default)]
 struct TimedUnits {
     entries: VecDeque<(Instant, f64)>,
     total: f64,
 }
 
-/// The quotas of all accounts as one instance sees them.
+/// The quotas of all accounts as known to one instance.
 #[derive(Debug)]
 pub struct Quotas {
     policy: QuotaPolicy,
@@ -111,12 +105,12 @@
 }
 
 impl Quotas {
-    /// No quotas yet.
+    /// Creates an empty set of quotas.
     pub fn new(policy: QuotaPolicy) -> Quotas {
         Quotas { policy, usages: HashMap::new(), reachable_share: 1.0 }
     }
 
-    /// Puts the quotas of a configuration in force. What accounts have used stays.
+    /// Replaces the quotas, keeping the usage of accounts that remain.
     pub fn configure<'a>(&mut self, quotas: impl IntoIterator<Item = (&'a AccountId, Quota)>) {
         let mut old = std::mem::take(&mut self.usages);
         for (account, quota) in quotas {
@@ -137,16 +131,16 @@
         }
     }
 
-    /// Sets the share of the fleet that is heard, this instance included.
+    /// Sets the share of the fleet, including this instance, from which reports arrive.
     pub fn set_reachable_share(&mut self, reachable_share: f64) {
         self.reachable_share = reachable_share.clamp(0.0, 1.0);
     }
 
-    /// Admits a request of so many units, or tells when to come back.
+    /// Admits a request of `units`.
     ///
     /// # Errors
     ///
-    /// Fails with the time until the window will have room.
+    /// Returns the time until the window has room for the request.
     pub fn admit(&mut self, now: Instant, account: &str, units: u64) -> Result<(), Duration> {
         let Some(usage) = self.usages.get_mut(account) else { return Ok(()) };
         usage.expire(now, self.policy.window);
@@ -160,7 +154,7 @@
         Ok(())
     }
 
-    /// What is known of an account's window.
+    /// Returns the usage of an account's window.
     pub fn usage(&self, account: &str) -> AccountUsage {
         let Some(usage) = self.usages.get(account) else { return AccountUsage::default() };
         AccountUsage {
@@ -172,7 +166,7 @@
         }
     }
 
-    /// Gives back the units of a request that has not run.
+    /// Refunds the units of a request that did not run.
     pub fn refund(&mut self, account: &str, units: u64) {
         if let Some(usage) = self.usages.get_mut(account) {
             usage.admitted.remove_newest(units as f64);
@@ -181,7 +175,7 @@
         }
     }
 
-    /// Adds what another instance has admitted, or another cell.
+    /// Records units admitted by another instance of this cell or by another cell.
     pub fn record_remote(&mut self, now: Instant, account: &str, units: f64, same_cell: bool) {
         if let Some(usage) = self.usages.get_mut(account) {
             match same_cell {
@@ -198,7 +192,7 @@
         }
     }
 
-    /// Whether an account is so near its limit that the others must know at once what is admitted.
+    /// Returns whether the usage of any account must be reported to the other instances at once.
     pub fn is_near_limit(&self) -> bool {
         self.usages.values().any(|u| {
             let limit = (u.limit(&self.policy) - u.restored.total) * self.reachable_share;
@@ -206,7 +200,7 @@
         })
     }
 
-    /// What accounts have used in the window, as far as is known.
+    /// Returns the window usage of all accounts that have any.
     pub fn window_usage(&mut self, now: Instant) -> Vec<(AccountId, WindowUsage)> {
         let window = self.policy.window;
         let windows = self.usages.iter_mut().filter_map(|(account, usage)| {
@@ -218,7 +212,8 @@
         windows
     }
 
-    /// Starts from a note of an account's window. Of several, the fullest counts.
+    /// Restores an account's window from a snapshot. Of several snapshots, the one with the highest
+    /// usage is kept.
     pub fn restore(
         &mut self,
         now: Instant,
@@ -238,15 +233,15 @@
         }
         usage.restored = TimedUnits::default();
         for (age, units) in window.iter().enumerate().rev() {
-            // The newest end of a slot, so that nothing leaves the window too early.
+            // Use the newest end of the slot, so that no units expire too early.
             let at = now.checked_sub(SNAPSHOT_SLOT * age as u32).unwrap_or(now);
             usage.restored.add(at, *units as f64);
         }
         usage.restored.add(now, estimated);
     }
 
-    /// Starts from what another instance tells of an account's window some moments after the start. What was
-    /// admitted since the start is among it.
+    /// Restores an account's window from a peer's report that arrives shortly after the start. The
+    /// report includes the units admitted since then.
     pub fn restore_from_peer(&mut self, now: Instant, account: &str, window: &[u64]) {
         let Some(usage) = self.usages.get_mut(account) else { return };
         let reported = window.iter().sum::<u64>() as f64;
@@ -263,29 +258,29 @@
         }
     }
 
-    /// What this instance has admitted since its start, for each account.
+    /// Returns the units admitted by this instance since it started, by account.
     pub fn local_totals(&self) -> impl Iterator<Item = (&AccountId, u64)> {
         self.usages.iter().map(|(account, u)| (account, u.local_total))
     }
 
-    /// What other cells have admitted since this instance's start, as far as it has heard.
+    /// Returns the units that other cells reported since this instance started, by account.
     pub fn other_cells_totals(&self) -> impl Iterator<Item = (&AccountId, u64)> {
         self.usages.iter().map(|(account, u)| (account, u.other_cells_total))
     }
 
-    /// What this cell has admitted lately, as far as this instance has heard.
+    /// Returns the units admitted recently in this cell, by account.
     pub fn cell_recent(&self, now: Instant) -> Vec<(AccountId, RecentUsage)> {
         let recent = self.usages.iter().map(|(a, u)| (a.clone(), u.cell_recent.recent(now)));
         recent.filter(|(_, slots)| !slots.is_empty()).collect()
     }
 
-    /// What other cells have admitted lately, likewise.
+    /// Returns the units admitted recently in other cells, by account.
     pub fn other_cells_recent(&self, now: Instant) -> Vec<(AccountId, RecentUsage)> {
         let recent = self.usages.iter().map(|(a, u)| (a.clone(), u.other_cells_recent.recent(now)));
         recent.filter(|(_, slots)| !slots.is_empty()).collect()
     }
 
-    /// What this cell has admitted since this instance's start, as far as it has heard.
+    /// Returns the units admitted in this cell since this instance started, by account.
     pub fn cell_totals(&self) -> impl Iterator<Item = (&AccountId, u64)> {
         self.usages.iter().map(|(account, u)| (account, u.local_total + u.cell_peers_total))
     }
@@ -296,7 +291,8 @@
         self.quota.per_s * policy.window.as_secs_f64() + self.quota.burst
     }
 
-    /// The part of the limit that an instance may use that hears this share of the fleet.
+    /// Returns the part of the limit that an instance may use if it receives reports from this
+    /// share of the fleet.
     fn usable_limit(&self, policy: &QuotaPolicy, reachable_share: f64) -> f64 {
         let limit = self.limit(policy);
         let overage = (limit * policy.overage + policy.slack) * USABLE_OVERAGE_SHARE;
@@ -319,13 +315,13 @@
         slots
     }
 
-    /// A part counts until its last unit is out of the window.
+    /// Removes slices whose newest units have left the window.
     fn expire(&mut self, now: Instant, window: Duration) {
         self.admitted.expire(now, window + window / WINDOW_SLICES);
         self.restored.expire(now, window + window / WINDOW_SLICES);
     }
 
-    /// Time until the window has room for so many units.
+    /// Returns the time until the window has room for `units`.
     fn retry_after(&self, now: Instant, limit: f64, units: f64, window: Duration) -> Duration {
         let mut excess = self.admitted.total + units - limit;
         let mut entries: Vec<_> =
@@ -347,13 +343,13 @@
         self.total += units;
     }
 
-    /// Adds what is older than all before.
+    /// Adds units that are older than all others.
     fn add_oldest(&mut self, at: Instant, units: f64) {
         self.entries.push_front((at, units));
         self.total += units;
     }
 
-    /// Adds to the newest part if that is not older than a part may be.
+    /// Adds units to the newest entry if it is younger than `slice`, or else as a new entry.
     fn add_merged(&mut self, now: Instant, units: f64, slice: Duration) {
         match self.entries.back_mut() {
             Some((at, sum)) if now.saturating_duration_since(*at) < slice => {
@@ -364,13 +360,13 @@
         }
     }
 
-    /// Adds, and forgets what is not told any more.
+    /// Adds units and removes those that are no longer reported as recent.
     fn add_recent(&mut self, now: Instant, units: f64) {
         self.expire(now, RECENT_SLOT * RECENT_SLOTS);
         self.add_merged(now, units, RECENT_SLOT / 4);
     }
 
-    /// The last slots up to the oldest one with anything in it.
+    /// Returns the recent slots up to the oldest non-empty one.
     fn recent(&self, now: Instant) -> RecentUsage {
         let mut slots = RecentUsage::new();
         for (at, units) in &self.entries {
