--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -1,17 +1,13 @@
-//! Token buckets beside the quotas' windows: an account that sends far more than its rate gets its quota
-//! evenly.
+//! Token buckets that spread the quotas of client accounts over time.
 //!
-//! The load that this answers: one account sends several times its usual for seconds. A sliding window
-//! alone lets it spend the quota of the whole window at once, as a burst that all other accounts bear, and
-//! then refuses whatever it asks, urgent or not, until that burst leaves the window; then the same again.
-//! A bucket fills at the account's rate and holds its burst, so what passes in any second is what the
-//! operator allowed for a second.
+//! With a sliding window alone, an account that sends several times its rate uses the quota of the
+//! whole window in one burst, and all of its requests are refused until the burst leaves the
+//! window. A token bucket refills at the account's rate and holds at most its burst, so usage in
+//! any second is limited as well. An account that was idle cannot use the quota of a whole window
+//! at once.
 //!
-//! A less urgent request leaves room for several like itself, so that what is left goes to the urgent
-//! ones. The room goes by the request's own size: a share of the bucket would keep out small requests
-//! that hardly matter.
-//!
-//! What was traded: an account that was silent may not spend all of its window at once.
+//! A request is admitted only if it leaves a reserve for more urgent ones. The reserve is
+//! proportional to the size of the request, so that small requests are not refused.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -21,10 +17,10 @@
 use crate::quota::{QuotaPolicy, USABLE_OVERAGE_SHARE};
 use crate::routes::Quota;
 
-/// Requests like itself for which one leaves room, for each rank below the highest. An account at six
-/// times its usual sends some 40 requests a second, so this is the room for a quarter second of them.
+/// Reserve left by a request for each rank below the highest, in multiples of its own units.
 const RESERVE_PER_RANK: f64 = 10.0;
-/// How fast a bucket fills, in units a second, and how many units it holds.
+
+/// Refill rate and capacity of a bucket.
 #[derive(Clone, Copy, Debug)]
 struct BucketParams {
     refill_per_s: f64,
@@ -34,11 +30,12 @@
 #[derive(Debug)]
 struct Bucket {
     quota: Quota,
-    /// Units in it, and when that was so. Full if nothing was ever taken.
+    /// Units in the bucket and the time of the last refill; `None` if the bucket was never used and
+    /// is full.
     level: Option<(f64, Instant)>,
 }
 
-/// The buckets of all accounts as one instance sees them.
+/// The token buckets of all accounts as known to one instance.
 #[derive(Debug)]
 pub struct TokenBuckets {
     policy: QuotaPolicy,
@@ -47,12 +44,12 @@
 }
 
 impl TokenBuckets {
-    /// No buckets yet.
+    /// Creates an empty set of buckets.
     pub fn new(policy: QuotaPolicy) -> TokenBuckets {
         TokenBuckets { policy, buckets: HashMap::new(), reachable_share: 1.0 }
     }
 
-    /// Puts the quotas of a configuration in force. Levels stay.
+    /// Replaces the quotas, keeping the levels of accounts that remain.
     pub fn configure<'a>(&mut self, quotas: impl IntoIterator<Item = (&'a AccountId, Quota)>) {
         let mut old = std::mem::take(&mut self.buckets);
         for (account, quota) in quotas {
@@ -61,17 +58,17 @@
         }
     }
 
-    /// Sets the share of the fleet that is heard, this instance included.
+    /// Sets the share of the fleet, including this instance, from which reports arrive.
     pub fn set_reachable_share(&mut self, reachable_share: f64) {
         self.reachable_share = reachable_share.clamp(0.0, 1.0);
     }
 
-    /// Lets a request of so many units pass, or tells when to come back. `rank` is that among the
-    /// account's requests; 0 is the most urgent.
+    /// Admits a request of `units`. `rank` is its priority among the account's requests; 0 is the
+    /// most urgent.
     ///
     /// # Errors
     ///
-    /// Fails with the time until the bucket will have room.
+    /// Returns the time until the bucket holds enough units.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -92,7 +89,7 @@
         Ok(())
     }
 
-    /// Takes out what others have admitted.
+    /// Removes units that other instances admitted.
     pub fn record_remote(&mut self, now: Instant, account: &str, units: f64) {
         let (policy, reachable_share) = (self.policy, self.reachable_share);
         if let Some(bucket) = self.buckets.get_mut(account) {
@@ -101,7 +98,7 @@
         }
     }
 
-    /// Adds what is known of an account's bucket.
+    /// Adds the state of an account's bucket to `usage`.
     pub(crate) fn add_usage(&self, account: &str, usage: &mut AccountUsage) {
         if let Some(bucket) = self.buckets.get(account) {
             usage.bucket_level = bucket.level.map_or(0.0, |(level, _)| level);
@@ -109,7 +106,7 @@
         }
     }
 
-    /// Gives back the units of a request that has not run.
+    /// Refunds the units of a request that did not run.
     pub fn refund(&mut self, account: &str, units: u64) {
         let bucket = self.buckets.get_mut(account);
         if let Some((level, _)) = bucket.and_then(|bucket| bucket.level.as_mut()) {
@@ -119,7 +116,7 @@
 }
 
 impl Bucket {
-    /// How the bucket fills where this share of the fleet is heard.
+    /// Returns the parameters of the bucket if reports arrive from this share of the fleet.
     fn params(&self, policy: &QuotaPolicy, reachable_share: f64) -> BucketParams {
         let overage_factor = 1.0 + policy.overage * USABLE_OVERAGE_SHARE;
         let slack = policy.slack * USABLE_OVERAGE_SHARE;
@@ -129,7 +126,7 @@
         }
     }
 
-    /// The level after what has come in until `now`.
+    /// Refills the bucket and returns its level.
     fn refill(&mut self, now: Instant, params: BucketParams) -> &mut f64 {
         let (level, at) = self.level.get_or_insert((params.capacity, now));
         let elapsed = now.saturating_duration_since(*at).as_secs_f64();
