--- a/oxbowbend-core/src/retries.rs
+++ b/oxbowbend-core/src/retries.rs
@@ -1,40 +1,39 @@
-//! How many requests may be sent to a further endpoint, over a sliding window.
+//! Limits retries of requests over a sliding window.
 //!
-//! The platform bounds repeats of a service over all instances: a share of the requests for it
-//! plus a fixed number in any window. Each instance keeps to the share of its own requests and to
-//! an equal part of the fixed number, so no messages are needed; instances that may still join are
-//! counted in.
+//! The platform limits the retries of a service over all instances: in any window, to a share of
+//! its requests plus a fixed number. Each instance applies the ratio to its own requests and uses
+//! an equal part of the fixed number, so the instances need no coordination.
 //!
-//! The load that this answers: hundreds of repeats within seconds, right after a crest of requests. The
-//! platform looks at every window that holds such repeats, also at those that begin while requests are
-//! getting fewer, and sets against them the requests of that window, or of the one half a window or a
-//! whole one before it. So the share is of the fewest requests that any of these windows is sure to
-//! have: counting those of the last window alone passed the bound by 1 in 100 where requests fell by 5
-//! in 100. What was traded: within a window's length of a start, up to a quarter of the share.
+//! The platform compares the retries in a window with the requests in that window, or in one that
+//! starts half a length or a whole length earlier, whichever are most. Retries come in bursts after
+//! a peak of requests, and later windows that contain the same burst have fewer requests. The ratio
+//! is therefore applied to the smallest number of requests that is certain for any window
+//! containing the retry. For one window after a start, this leaves up to a quarter of the ratio
+//! unused.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use crate::ids::ServiceId;
 
-/// Part of the fixed number that is used; the rest covers instances that nobody has counted.
+/// Share of the fixed number that is used; the rest covers instances that are not yet known.
 const FIXED_SHARE: f64 = 0.7;
 
-/// Steps in which the windows are looked at that may hold a repeat, for each window's length.
+/// Number of window positions that are checked for a retry.
 const WINDOW_STEPS: u32 = 10;
 
-/// Bound on repeats.
+/// Limit on retries over all instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimit {
-    /// Repeats for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Repeats beside that, over all instances.
+    /// Retries allowed in addition.
     pub fixed: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
-/// Times of requests, the oldest first.
+/// Times of requests, oldest first.
 #[derive(Debug, Default)]
 struct Times(VecDeque<Instant>);
 
@@ -44,7 +43,7 @@
     retries: Times,
 }
 
-/// Repeats of all services at one instance.
+/// Limits the retries that one instance sends, by service.
 #[derive(Debug)]
 pub struct RetryLimiter {
     limit: RetryLimit,
@@ -52,17 +51,17 @@
 }
 
 impl RetryLimiter {
-    /// Counts nothing yet.
+    /// Creates a limiter without recorded requests.
     pub fn new(limit: RetryLimit) -> RetryLimiter {
         RetryLimiter { limit, services: HashMap::new() }
     }
 
-    /// Counts a request that a caller has sent.
+    /// Records a request from a caller.
     pub fn record_request(&mut self, now: Instant, service: &str) {
         self.counts(now, service).requests.add(now);
     }
 
-    /// Whether a request may be sent once more; counts it if so.
+    /// Returns whether a request may be retried, and records the retry if so.
     pub fn try_retry(&mut self, now: Instant, service: &str, instances: usize) -> bool {
         let RetryLimit { ratio, fixed, window } = self.limit;
         let counts = self.counts(now, service);
@@ -88,14 +87,14 @@
 }
 
 impl Counts {
-    /// The fewest requests that any window with a repeat of now in it is sure to be set against.
+    /// Returns the smallest number of requests that applies to any window containing `now`.
     fn min_window_requests(&self, now: Instant, window: Duration) -> usize {
         let ages = (0..WINDOW_STEPS).map(|step| window * step / WINDOW_STEPS);
         ages.map(|age| self.requests_counted_for(now, age, window)).min().unwrap_or(0)
     }
 
-    /// Requests so far that a window is set against that began so long ago: its own, or those of the windows
-    /// half a length and a whole one before it, whichever has most.
+    /// Returns the number of requests that applies to a window that started `age` ago: the most in
+    /// that window and those starting half a length and a whole length earlier.
     fn requests_counted_for(&self, now: Instant, age: Duration, window: Duration) -> usize {
         let starts = [age, age + window / 2, age + window];
         let counts = starts.map(|start| self.requests.count_in_window(now, start, window));
@@ -118,7 +117,7 @@
         }
     }
 
-    /// How many there were in a window that began so long before now.
+    /// Returns the number of requests in a window that started `age` ago.
     fn count_in_window(&self, now: Instant, age: Duration, window: Duration) -> usize {
         let is_before = |age: Duration| move |t: &Instant| now.saturating_duration_since(*t) > age;
         let begin = self.0.partition_point(is_before(age));
