--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -1,8 +1,7 @@
-//! What the operator has declared for plain routing: routes, client accounts, services, limits.
+//! The operator's configuration: routes, client accounts, services and limits.
 //!
-//! A [`RoutingTable`] is one version of it, whole and immutable. A table is never changed in place, so
-//! that a request is handled by one version from its arrival to its end, whatever comes in force
-//! meanwhile.
+//! A [`RoutingTable`] is one immutable version of the configuration, so that a request is handled
+//! by a single version even if a new one takes effect meanwhile.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,116 +11,116 @@
 
 use crate::ids::{AccountId, EndpointId, EndpointKey, ServiceId, VersionId, ZoneId};
 
-/// What may be repeated.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Idempotency {
-    /// A request may run more than once.
+    /// It may run more than once.
     Idempotent,
-    /// A request runs at most once.
+    /// It runs at most once.
     NonIdempotent,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name, for logs and metrics.
+    /// Name used in logs and metrics.
     pub name: String,
-    /// Host that a request must name.
+    /// Host name of matching requests.
     pub host: String,
-    /// Beginning of the path that a request must have; ends with a slash.
+    /// Path prefix of matching requests; ends with a slash.
     pub prefix: String,
-    /// Services with their weights.
+    /// Target services and their weights.
     pub targets: Vec<(ServiceId, u32)>,
-    /// What may be repeated.
+    /// Whether requests are idempotent.
     pub idempotency: Idempotency,
-    /// Whether the answer is a stream of events.
+    /// Whether responses are event streams.
     pub stream: bool,
-    /// Whether a broken stream may be continued by another endpoint.
+    /// Whether another endpoint may resume an interrupted stream.
     pub resumable: bool,
-    /// Endpoints that one request may be sent to.
+    /// Maximum number of endpoints to which a request may be sent.
     pub max_attempts: u32,
-    /// Longest time that a request is kept.
+    /// Maximum duration of a request.
     pub timeout: Duration,
-    /// Time within which the answer, or its first event, should be there.
+    /// Latency objective for the response or its first event.
     pub objective: Duration,
-    /// Longest pause between two events of a stream that is still in time.
+    /// Objective for the time between two events of a stream.
     pub event_gap_objective: Option<Duration>,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub tier: u8,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without an API key.
     pub public: bool,
 }
 
-/// Bound on what a client account may have executed.
+/// Limit on the usage of a client account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Units a second.
+    /// Units per second.
     pub per_s: f64,
-    /// Units that may be saved up.
+    /// Units of a burst.
     pub burst: f64,
 }
 
-/// One client account.
+/// A client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
     /// Name.
     pub name: AccountId,
-    /// Rank; goes before the route's.
+    /// Priority, which takes precedence over the route's.
     pub tier: Option<u8>,
-    /// Bound; none if unlimited.
+    /// Quota, or `None` if usage is unlimited.
     pub quota: Option<Quota>,
-    /// Units of a request that does not tell its own.
+    /// Units of a request that does not specify them.
     pub default_units: u64,
-    /// Whether requests count by their tokens rather than one each.
+    /// Whether units are tokens rather than requests.
     pub counts_tokens: bool,
 }
 
-/// One service.
+/// A service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Connections that each of its endpoints accepts from all instances.
+    /// Maximum number of connections from all instances to each endpoint.
     pub max_connections: u32,
-    /// Tokens in an event of its streams; 0 if its endpoints are no model engines.
+    /// Tokens per stream event; 0 if the endpoints are not model engines.
     pub tokens_per_event: u32,
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestLimits {
-    /// Bytes of a head.
+    /// Maximum size of a request head.
     pub max_head_bytes: usize,
-    /// Bytes of a body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Time for which callers may leave a connection idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// An endpoint as it has registered itself.
+/// The registration of an endpoint.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct Endpoint {
-    /// Id of this life of the endpoint.
+    /// Id, which stays the same over restarts.
     pub id: EndpointId,
-    /// Service that it belongs to.
+    /// Service to which it belongs.
     pub service: ServiceId,
-    /// Where it is reached.
+    /// Network address.
     pub address: std::net::SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Requests that it executes at once.
+    /// Number of requests that it executes concurrently.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new requests.
     pub leaving: bool,
-    /// When it began, in milliseconds since the Unix epoch; 0 if it does not say so. An endpoint may start
-    /// again under its id, and then knows nothing of before.
+    /// Start time in milliseconds since the Unix epoch; 0 if unknown. A restarted endpoint keeps
+    /// its id but not its state.
     #[serde(rename = "born", default)]
     pub started_at_ms: u64,
-    /// Version of its software; empty if it does not say so.
+    /// Software version; empty if unknown.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub version: VersionId,
 }
 
 impl Endpoint {
-    /// This start of the endpoint, in short.
+    /// Returns a hash of the endpoint's id and start time.
     ///
     /// ```
     /// # use oxbowbend_core::routes::Endpoint;
@@ -145,7 +144,7 @@
     }
 }
 
-/// One version of the operator's configuration.
+/// One version of the routing configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingTable {
     version: u64,
@@ -157,7 +156,7 @@
 }
 
 impl RoutingTable {
-    /// Builds a table. Of two accounts with the same key the later one has it.
+    /// Creates an empty table. A key given to several accounts belongs to the last one added.
     pub fn new(version: u64, limits: RequestLimits) -> RoutingTable {
         RoutingTable {
             version,
@@ -189,22 +188,26 @@
         self.services.insert(name, service);
     }
 
-    /// Version of the configuration.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bounds on what callers may send.
+    /// Returns the limits on callers' requests.
     pub fn limits(&self) -> RequestLimits {
         self.limits
     }
 
-    /// The route of a request: of its host, the one with the longest prefix of its path.
+    /// Returns the route with the host and the longest matching path prefix.
     ///
     /// ```
     /// use oxbowbend_core::routes::{RequestLimits, RoutingTable};
     /// use std::time::Duration;
-    /// let limits = RequestLimits { max_head_bytes: 8192, max_body_bytes: 1 << 20, idle_timeout: Duration::from_secs(60) };
+    /// let limits = RequestLimits {
+    ///     max_head_bytes: 8192,
+    ///     max_body_bytes: 1 << 20,
+    ///     idle_timeout: Duration::from_secs(60),
+    /// };
     /// assert!(RoutingTable::new(1, limits).route("example.org", "/a/").is_none());
     /// ```
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
@@ -212,27 +215,31 @@
         routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    /// The account that holds a key.
+    /// Returns the account with an API key.
     pub fn account_by_key(&self, key: &str) -> Option<&Account> {
         self.accounts.get(self.accounts_by_key.get(key)?)
     }
 
-    /// All accounts.
+    /// Returns all accounts.
     pub fn accounts(&self) -> impl Iterator<Item = &Account> {
         self.accounts.values()
     }
 
-    /// Whether requests need a key at all.
+    /// Returns whether any accounts are configured; without them, requests need no API key.
     pub fn has_accounts(&self) -> bool {
         !self.accounts.is_empty()
     }
 
-    /// Connections that the most modest service accepts, from all instances together.
+    /// Returns the lowest connection limit of any service that has one.
     ///
     /// ```
     /// use oxbowbend_core::routes::{RequestLimits, RoutingTable, Service};
     /// use std::time::Duration;
-    /// let limits = RequestLimits { max_head_bytes: 8192, max_body_bytes: 1 << 20, idle_timeout: Duration::from_secs(60) };
+    /// let limits = RequestLimits {
+    ///     max_head_bytes: 8192,
+    ///     max_body_bytes: 1 << 20,
+    ///     idle_timeout: Duration::from_secs(60),
+    /// };
     /// let mut table = RoutingTable::new(1, limits);
     /// table.add_service("s".into(), Service { max_connections: 96, tokens_per_event: 0 });
     /// assert_eq!(table.min_service_connections(), Some(96));
@@ -241,26 +248,26 @@
         self.services.values().map(|s| s.max_connections).filter(|n| *n > 0).min()
     }
 
-    /// A service by name.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Longest time that a request to a service may take, by its routes.
+    /// Returns the longest timeout of the routes to a service.
     pub fn max_timeout(&self, service: &ServiceId) -> Duration {
         let is_target = |route: &&Arc<Route>| route.targets.iter().any(|(name, _)| name == service);
         let routes = self.routes_by_host.values().flatten().filter(is_target);
         routes.map(|route| route.timeout).max().unwrap_or(Duration::ZERO)
     }
 
-    /// Number of routes.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.routes_by_host.values().map(Vec::len).sum()
     }
 }
 
 impl Route {
-    /// The service for a request, by weight; `random` is a random number.
+    /// Selects a target service by weight; `random` is a uniformly distributed number.
     pub fn pick_target(&self, random: u64) -> Option<&ServiceId> {
         let total: u64 = self.targets.iter().map(|(_, w)| u64::from(*w)).sum();
         let mut remaining = random % total.max(1);
