--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -1,35 +1,33 @@
-//! What an instance that has been told to stop still takes on.
+//! Admission of requests during a graceful shutdown.
 //!
-//! The load that this answers: instances stop one after the other, so close that for seconds all of them
-//! are stopping, or all of an availability zone, and callers go on coming since there is nobody else. One that
-//! stops is then the best that its callers have. It goes on taking every request that will certainly end
-//! before the instance must, and tells the others at once that they have not run. While enough others are
-//! ready it takes nothing more and ends with its last answer, so that it is back before the next ones stop.
-//!
-//! What was traded: where nobody else is ready, an instance that callers go on coming to stays until the end
-//! of its grace time.
+//! In a rolling restart, all instances of a fleet or an availability zone may be shutting down at
+//! the same time. If too few others are ready, an instance therefore keeps admitting requests that
+//! are certain to complete before its deadline, and refuses the rest at once as not run. If enough
+//! others are ready, it admits no more requests and exits after its last response. An instance
+//! without ready peers that keeps receiving requests stays until the end of its grace period.
 
 use std::time::{Duration, Instant};
 
-/// Part of the grace time after which whatever is left is cut off. The platform kills the process at the end
-/// of it.
+/// Share of the grace period after which remaining requests are aborted. The platform kills the
+/// process at the end of the grace period.
 const GRACE_SHARE: f64 = 0.95;
-/// Times the expected length of an answer that must be left. Callers' estimates are off by a factor of
-/// 1.6 (standard deviation of the logarithm 0.5), so one in 60,000 takes longer.
+/// Multiple of the expected duration of a request that must remain until the deadline. Estimates
+/// have a standard deviation of 0.5 in the logarithm, so one request in 60,000 takes longer.
 const SAFETY_FACTOR: f64 = 8.0;
-/// Time that must be left beside that, for the way to the endpoint and back.
+/// Additional time that must remain, for network delay.
 const NETWORK_MARGIN: Duration = Duration::from_millis(300);
-/// Time for which answers of unknown length are taken on. The balancer takes two questions a second apart to
-/// notice that the instance is not ready.
+/// Time for which all requests are admitted. The load balancer needs two failed probes, one second
+/// apart, to stop sending requests.
 const FULL_SERVICE_TIME: Duration = Duration::from_millis(2500);
 
-/// Time without a request after which nothing more is expected.
+/// Time without requests before an exit if others are not ready.
 const IDLE_WITHOUT_PEERS: Duration = Duration::from_millis(300);
 
-/// Time without a request after which none has arrived that is not read yet.
+/// Time without requests before an exit if others are ready; covers requests received but not yet
+/// read.
 const IDLE_WITH_PEERS: Duration = Duration::from_millis(30);
 
-/// A stop in progress.
+/// A graceful shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
     started_at: Instant,
@@ -37,23 +35,23 @@
 }
 
 impl Shutdown {
-    /// A stop that began then and may take that long.
+    /// Creates a shutdown that started at `started_at` and must end within `grace_period`.
     pub fn new(started_at: Instant, grace_period: Duration) -> Shutdown {
         Shutdown { started_at, grace_period }
     }
 
-    /// When whatever is left is cut off.
+    /// Returns the time at which remaining requests are aborted.
     pub fn deadline(&self) -> Instant {
         self.started_at + self.grace_period.mul_f64(GRACE_SHARE)
     }
 
-    /// Until when the instance serves as before.
+    /// Returns the time until which all requests are admitted.
     pub fn full_service_until(&self) -> Instant {
         self.started_at + FULL_SERVICE_TIME.min(self.grace_period / 3)
     }
 
-    /// Whether the instance may end: nothing is in progress, and nobody has come for a moment, which need not be
-    /// long if others are ready.
+    /// Returns whether the instance may exit: no requests are in flight and none has arrived for a
+    /// while, which is shorter if others are ready.
     pub fn can_exit(
         &self,
         now: Instant,
@@ -65,13 +63,14 @@
         now >= self.full_service_until() && in_flight == 0 && idle >= required_idle
     }
 
-    /// How long a request may wait for a place that would otherwise wait for `wait`: no longer than it can
-    /// still be told that it has not run.
+    /// Shortens the time for which a request waits for a slot, so that it can be refused as not run
+    /// before the deadline.
     pub fn cap_wait(&self, now: Instant, wait: Duration) -> Duration {
         wait.min((self.deadline() - NETWORK_MARGIN).saturating_duration_since(now))
     }
 
-    /// Whether to take on an answer of that expected length; none if the length is not known.
+    /// Returns whether to admit a request, given its expected duration or `None` if that is
+    /// unknown.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -80,11 +79,12 @@
     ///
     /// let now = Instant::now();
     /// let shutdown = Shutdown::new(now, Duration::from_secs(8));
-    /// assert!(shutdown.admits(now + Duration::from_secs(5), Some(Duration::from_millis(200)), false));
-    /// assert!(!shutdown.admits(now + Duration::from_secs(5), Some(Duration::from_secs(2)), false));
-    /// assert!(!shutdown.admits(now + Duration::from_secs(5), None, false));
+    /// let later = now + Duration::from_secs(5);
+    /// assert!(shutdown.admits(later, Some(Duration::from_millis(200)), false));
+    /// assert!(!shutdown.admits(later, Some(Duration::from_secs(2)), false));
+    /// assert!(!shutdown.admits(later, None, false));
     /// // Others are ready.
-    /// assert!(!shutdown.admits(now + Duration::from_secs(5), Some(Duration::from_millis(200)), true));
+    /// assert!(!shutdown.admits(later, Some(Duration::from_millis(200)), true));
     /// ```
     pub fn admits(
         &self,
