--- a/oxbowbend-core/src/speed.rs
+++ b/oxbowbend-core/src/speed.rs
@@ -1,26 +1,26 @@
-//! Learned speed of an endpoint, and whether it straggles.
+//! Speed estimates of endpoints and detection of stragglers.
 //!
-//! Equal work does not finish in equal time, and reports arrive stale; what an endpoint did with
-//! our own runs is the freshest evidence. TokenBuckets are kept as exponentially weighted means of
-//! seconds per token, which, unlike means of tokens per second, weigh slow runs as much as they
-//! cost. A straggler is judged against its own long history, not against other endpoints.
+//! Estimates are learned from the scheduler's own runs, since the endpoints' reports are stale.
+//! They are exponentially weighted means of seconds per token; means of tokens per second would
+//! underweight slow runs. An endpoint is compared with its own history rather than with other
+//! endpoints to detect stragglers.
 
 use std::time::{Duration, Instant};
 
 use crate::message;
 
-/// Weight of the newest run in the fast mean.
+/// Weight of the newest run in the mean seconds per token.
 const RATE_WEIGHT: f64 = 0.25;
-/// Weight of the newest run in the slow mean, the endpoint's history.
+/// Weight of the newest run in the baseline.
 const BASELINE_WEIGHT: f64 = 0.01;
-/// An endpoint straggles when its recent runs take this many times its history.
+/// Multiple of the baseline above which a run makes its endpoint a straggler.
 const STRAGGLER_RATIO: f64 = 2.5;
-/// Runs that must have been seen before an endpoint can be called a straggler.
+/// Minimum number of runs before an endpoint can be a straggler.
 const MIN_RUNS: u32 = 5;
-/// Time after which a straggler is given one request as a probe.
+/// Time after which a straggler receives one request as a probe.
 const PROBE_AFTER: Duration = Duration::from_secs(10);
 
-/// Estimates for one endpoint.
+/// The speed estimate of one endpoint.
 ///
 /// ```
 /// use oxbowbend_core::speed::SpeedEstimate;
@@ -38,7 +38,7 @@
 }
 
 impl SpeedEstimate {
-    /// Starts from declared rates in tokens per second.
+    /// Creates an estimate from configured rates in tokens per second.
     pub fn new(prefill_rate: f64, decode_rate: f64) -> SpeedEstimate {
         let decode_s_per_token = 1.0 / decode_rate.max(f64::MIN_POSITIVE);
         let prefill_s_per_token = 1.0 / prefill_rate.max(f64::MIN_POSITIVE);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Learns from a finished run.
+    /// Updates the estimate from a finished run.
     pub fn record_run(&mut self, now: Instant, report: &message::RunReport) {
         if report.end != message::RunEnd::Complete {
             return;
@@ -86,16 +86,18 @@
         }
     }
 
-    /// An answer that came in one piece shows only the sum, so both phases are scaled alike.
+    /// Scales both rates for a response that was not streamed, of which only the total time is
+    /// known.
     fn scale_rates(&mut self, ratio: f64) {
         let factor = 1.0 + (ratio.clamp(0.1, 10.0) - 1.0) * RATE_WEIGHT;
         self.prefill_s_per_token *= factor;
         self.decode_s_per_token *= factor;
     }
 
-    /// `baseline_ratio` is the slow mean of (actual / predicted), carried along with the prediction: as
-    /// the fast means adapt, the ratio falls back to 1, so the straggle is judged on onset and
-    /// ended by a probe that meets the prediction made before it.
+    /// Updates the baseline, the long-term mean of actual to predicted time, and the straggler
+    /// state. The rates adapt to a slowdown, so the ratio returns to 1 while the endpoint is still
+    /// slow; the state is therefore entered at the onset and left with a probe of normal speed or a
+    /// run faster than predicted.
     fn update_straggling(&mut self, now: Instant, ratio: f64) {
         self.runs += 1;
         update_mean(&mut self.baseline_ratio, ratio, BASELINE_WEIGHT);
@@ -108,14 +110,14 @@
         self.probing = false;
     }
 
-    /// Seconds that a run of this size takes from dispatch to the last token.
+    /// Returns the predicted seconds from dispatch to the last token.
     pub fn predict_seconds(&self, fresh_prompt_tokens: u32, output_tokens: u32) -> f64 {
         f64::from(fresh_prompt_tokens) * self.prefill_s_per_token
             + f64::from(output_tokens) * self.decode_s_per_token
     }
 
-    /// Whether the endpoint should be passed over. After a while it is let through once; the
-    /// caller then says so with [`SpeedEstimate::start_probe`].
+    /// Returns whether the endpoint should be avoided as a straggler. It is `false` for one request
+    /// after a while, which the caller marks with [`SpeedEstimate::start_probe`].
     pub fn should_avoid(&self, now: Instant) -> bool {
         match self.straggling_since {
             None => false,
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Notes that a request was sent although the endpoint is a straggler.
+    /// Marks the next run as the probe of a straggler.
     pub fn start_probe(&mut self) {
         self.probing = self.straggling_since.is_some();
     }
