--- a/oxbowbend-core/src/routes.rs
+++ b/oxbowbend-core/src/routes.rs
@@ -98,7 +98,7 @@
 /// The registration of an endpoint.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct Endpoint {
-    /// Id, which stays the same over restarts.
+    /// Id, which may stay the same after a restart.
     pub id: EndpointId,
     /// Service to which it belongs.
     pub service: ServiceId,
@@ -110,8 +110,8 @@
     pub slots: u32,
     /// Whether it accepts no new requests.
     pub leaving: bool,
-    /// Start time in milliseconds since the Unix epoch; 0 if unknown. A restarted endpoint keeps
-    /// its id but not its state.
+    /// Start time in milliseconds since the Unix epoch; 0 if unknown. Tells apart the runs of an
+    /// endpoint that restarts under the same id without its state.
     #[serde(rename = "born", default)]
     pub started_at_ms: u64,
     /// Software version; empty if unknown.
