--- a/oxbowbend-core/src/quota.rs
+++ b/oxbowbend-core/src/quota.rs
@@ -39,7 +39,7 @@
 /// The age of a snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SnapshotAge {
-    /// At most [`SNAPSHOT_DELAY`].
+    /// At most the usual delay of snapshots.
     Fresh,
     /// Unknown, since the snapshot comes from an older copy of the store. Usage is assumed to have
     /// continued for a whole window.
