--- a/oxbowbend-core/src/token_bucket.rs
+++ b/oxbowbend-core/src/token_bucket.rs
@@ -7,7 +7,8 @@
 //! at once.
 //!
 //! A request is admitted only if it leaves a reserve for more urgent ones. The reserve is
-//! proportional to the size of the request, so that small requests are not refused.
+//! proportional to the size of the request rather than to the bucket, so that small requests, which
+//! have little effect, still pass.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
