--- a/oxbowbend-core/tests/admission.rs
+++ b/oxbowbend-core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Client accounts that send far more than their rate.
+//! Admission control for accounts that exceed their rate.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
     QuotaPolicy { window: Duration::from_secs(8), overage: 0.1, slack: 140_000.0 };
 const QUOTA: Quota = Quota { per_s: 250_000.0, burst: 250_000.0 };
 
-/// Requests of an account: rank, units, time between two.
+/// Requests of an account: rank, units, interval in milliseconds.
 const BASE_LOAD: [(u8, u64, u64); 4] =
     [(0, 10_400, 170), (1, 3_500, 100), (2, 2_000, 105), (2, 200, 125)];
 
@@ -21,8 +21,8 @@
     admission
 }
 
-/// Replays 12 s in which the account sends `factor` its usual. Returns the units admitted in each second,
-/// and for each kind of request the part that was admitted after the first second.
+/// Replays 12 s in which the account sends `factor` times its base load. Returns the units admitted
+/// in each second, and the share of each kind of request that was admitted after the first second.
 fn replay(factor: u64) -> (Vec<u64>, Vec<f64>) {
     let (start, mut admission) = (Instant::now(), admission());
     let mut seconds = vec![0; 12];
@@ -54,7 +54,7 @@
 #[test]
 fn a_flood_gets_the_quota_evenly_instead_of_all_at_once() {
     let (seconds, _) = replay(6);
-    // The rate with what is used of the tolerance, and the bucket in the first second.
+    // The rate with the usable overage; the first second also uses the burst.
     let per_s = 265_000;
     assert!(seconds[0] <= 2 * per_s + 84_000, "{seconds:?}");
     for units in &seconds[1..] {
