--- a/oxbowbend-core/tests/quota_handovers.rs
+++ b/oxbowbend-core/tests/quota_handovers.rs
@@ -1,5 +1,5 @@
-//! What instances of a fleet of several cells believe of an account's use while all of them are stopped in turn: who
-//! tells a cell's sums to the others changes with each stop.
+//! Usage estimates in a fleet of several cells during a rolling restart, in which the
+//! representatives that report a cell's totals change with each stop.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -11,17 +11,18 @@
 
 const WINDOW: Duration = Duration::from_secs(8);
 const POLICY: QuotaPolicy = QuotaPolicy { window: WINDOW, overage: 0.1, slack: 0.0 };
-/// Far more than is used, so that nothing is refused.
+/// High enough that nothing is refused.
 const QUOTA: Quota = Quota { per_s: 1e9, burst: 1e9 };
 const CELLS: usize = 3;
 const CELL_SIZE: usize = 4;
 const HEARTBEAT: Duration = Duration::from_millis(130);
-/// Beats for which an instance is away, and between two stops.
+/// Heartbeats for which a stopped instance is down.
 const DOWN_BEATS: u64 = 10;
+/// Heartbeats between two stops.
 const STOP_INTERVAL_BEATS: u64 = 18;
-/// Time for which one that represents its cell also tells what was admitted lately.
+/// Time for which a new representative also reports recent usage.
 const NEW_REPRESENTATIVE_TIME: Duration = Duration::from_millis(1500);
-/// Units that an instance admits with each beat.
+/// Units that an instance admits per heartbeat.
 const UNITS_PER_BEAT: u64 = 10;
 
 fn collect_owned<'a>(
@@ -35,7 +36,7 @@
     cell: Cell,
     quotas: Quotas,
     started_at: Instant,
-    /// Since when it represents its cell.
+    /// Since when it has been the representative of its cell.
     representative_since: Option<Instant>,
     is_up: bool,
     is_stopping: bool,
@@ -112,7 +113,7 @@
     }
 }
 
-/// What an instance believes was used, against what was.
+/// Usage estimated by an instance and actual usage.
 #[derive(Debug)]
 struct Estimate {
     _instance: String,
@@ -121,7 +122,8 @@
     actual: f64,
 }
 
-/// Plays stops of all instances in turn. Returns what each instance that has run for a while believes at each beat.
+/// Simulates a rolling restart. Returns the estimates of all instances that have run for a while,
+/// at each heartbeat.
 fn simulate_rolling_restart(beats: u64) -> Vec<Estimate> {
     let start = Instant::now();
     let mut nodes: Vec<_> = (0..CELLS * CELL_SIZE).map(|n| Node::start(start, n, 1)).collect();
@@ -129,7 +131,7 @@
     let mut estimates = Vec::new();
     for beat in 0..beats {
         let now = start + HEARTBEAT * beat as u32;
-        // The representatives are stopped first, then the next ones in their place.
+        // The representatives are stopped first, then those that replace them.
         let stopped_node = |at: u64| {
             ((at % (CELLS as u64)) * CELL_SIZE as u64 + at / CELLS as u64 % CELL_SIZE as u64)
                 as usize
@@ -181,11 +183,10 @@
     estimates
 }
 
-/// While who told the sums changed, what others had told meanwhile was counted again: instances believed up to
-/// 4 times the true use, and refused what was owed.
+/// Guards against counting units again when the representative of a cell changes.
 ///
-/// What may be unknown is a tenth, which is tolerated beyond a quota. What may be counted too much are two seconds of the
-/// eight: notes are told by the second, and at a hand-over two tell the same for a moment.
+/// Estimates may be too low by a tenth, the configured overage, and too high by two of the eight
+/// seconds, since snapshots have slots of one second and two representatives overlap at a handover.
 #[test]
 fn usage_is_counted_once_in_a_rolling_restart() {
     let estimates = simulate_rolling_restart(420);
@@ -195,7 +196,7 @@
     let outliers: Vec<_> = outliers.collect();
     let max_ratio = estimates.iter().map(|b| b.estimated / b.actual).fold(0.0, f64::max);
     let min_ratio = estimates.iter().map(|b| b.estimated / b.actual).fold(f64::INFINITY, f64::min);
-    println!("estimated {min_ratio:.3} to {max_ratio:.3} of what was actual");
+    println!("estimated {min_ratio:.3} to {max_ratio:.3} of the actual usage");
     assert!(
         outliers.is_empty(),
         "{} of {}: {:#?}",
@@ -205,8 +206,8 @@
     );
 }
 
-/// An instance that stops is back within a second, and then it may be on the other side of a cut: its part is not
-/// used by others. Counted as heard for 12 s, the two sides of a cut used 10 sixths of a quota.
+/// A stopped instance may restart on the other side of a network partition, so its peers must not
+/// use its share of a quota.
 #[test]
 fn the_share_of_a_stopped_instance_is_not_redistributed() {
     let now = Instant::now();
