--- a/oxbowbend-core/tests/quotas.rs
+++ b/oxbowbend-core/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas and repeats over a sliding window.
+//! Quotas and retry limits over a sliding window.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 const S: Duration = Duration::from_secs(1);
 const POLICY: QuotaPolicy =
     QuotaPolicy { window: Duration::from_secs(8), overage: 0.1, slack: 100.0 };
-/// 100 a second and a burst of 100: 900 in a window.
+/// 900 units per window.
 const QUOTA: Quota = Quota { per_s: 100.0, burst: 100.0 };
 
 fn quotas() -> Quotas {
@@ -35,10 +35,10 @@
     }
     for t in &times {
         let n = times.iter().filter(|u| *u >= t && **u < *t + POLICY.window).count();
-        // 900, a tenth and 100 are tolerated, and six tenths of that are used.
+        // 900 plus 0.6 of the overage of 90 + 100.
         assert!(n <= 1014, "{n} in a window");
     }
-    // Nearly all of what five windows allow is used.
+    // Nearly all of the limit of five windows is used.
     assert!(times.len() > 4300, "{}", times.len());
 }
 
@@ -48,7 +48,7 @@
     for (window, room) in [
         (vec![], 1014),
         (vec![0, 500], 514),
-        // What came since the note is taken to have gone on like the last second: 0.6 of it.
+        // Usage since the snapshot is assumed to be 0.6 of the snapshot's last second.
         (vec![100, 400], 454),
         (vec![1000, 14], 0),
     ] {
@@ -131,7 +131,7 @@
 fn retries_stay_within_the_ratio_and_the_fixed_share() {
     let limit = RetryLimit { ratio: 0.2, fixed: 50.0, window: 10 * S };
     let now = Instant::now();
-    // Requests, instances, repeats allowed: 0.2 x requests + 0.7 x 50 / instances.
+    // Requests, instances, allowed retries: 0.2 x requests + 0.7 x 50 / instances.
     for (requests, instances, allowed) in [(0, 1, 35), (0, 7, 5), (100, 7, 25), (10, 700, 2)] {
         let mut retry_limiter = RetryLimiter::new(limit);
         (0..requests).for_each(|_| retry_limiter.record_request(now, "s"));
@@ -142,13 +142,13 @@
     }
 }
 
-/// Repeats come in hundreds right after a crest of requests (engines that start again answer that they are not the
-/// ones that were meant), and requests get fewer while those repeats are still in the window.
+/// Guards against exceeding the limit in later windows, which contain the same burst of retries but
+/// fewer requests.
 #[test]
 fn retries_after_a_peak_stay_within_every_window() {
     const MS: Duration = Duration::from_millis(1);
     let limit = RetryLimit { ratio: 0.2, fixed: 50.0, window: 10 * S };
-    // Requests a second until 20 s, for the next 10 s, and after that.
+    // Requests per second until 20 s, for the next 10 s, and after that.
     for (before, peak, after) in [(160, 200, 140), (100, 200, 100), (100, 100, 50), (200, 200, 200)]
     {
         let start = Instant::now();
@@ -167,7 +167,7 @@
                 retry_limiter.record_request(now, "s");
                 requests_sent.push(ms);
             }
-            // From the middle of the crest on, more are asked for than may be.
+            // From the middle of the peak on, more retries are attempted than allowed.
             if ms >= 25_000 && retry_limiter.try_retry(now, "s", 1) {
                 retries.push(ms);
             }
@@ -182,7 +182,7 @@
             let n = count(&retries, from);
             assert!(n as f64 <= allowed, "{n} from {from} ms, {allowed} allowed; peak {peak}");
         }
-        // What the bound allows is used: four fifths of the ratio of all requests since.
+        // At least 0.8 of the ratio is used.
         let since = requests_sent.iter().filter(|ms| **ms >= 25_000).count();
         assert!(retries.len() as f64 > 0.16 * since as f64, "{} for {since}", retries.len());
     }
@@ -192,7 +192,7 @@
 fn a_restart_of_the_whole_fleet_stays_within_the_overage() {
     let start = Instant::now();
     let now = start + 9 * S;
-    // Units a second, and what was used before that.
+    // Units per second, and units used before that.
     for (rate, before) in [(55, 0), (55, 500), (100, 400), (400, 0), (400, 500), (400, 900)] {
         let mut old = quotas();
         let mut used = (0..before).filter(|_| old.admit(now, "a", 1).is_ok()).count();
@@ -211,14 +211,13 @@
             restarted.restore(back, account, window, SnapshotAge::Fresh)
         });
         let total = used as u32 + admitted(&mut restarted, back);
-        assert!(total <= 1090, "{rate} a second after {before}: {total} in all");
-        // Nothing that is owed is kept back but the guess of what was not noted.
-        assert!(total >= 900, "{rate} a second after {before}: {total} in all");
+        assert!(total <= 1090, "{rate} per second after {before}: {total} in total");
+        // Only the estimated usage since the snapshot is withheld.
+        assert!(total >= 900, "{rate} per second after {before}: {total} in total");
     }
 }
 
-/// Two instances that tell only now and then passed a limit together while a third was cut off
-/// (kalemdar-tutanak, scale-2 with seed 1043736703208).
+/// Guards against instances that together exceed a limit between two of their reports.
 #[test]
 fn an_account_is_near_its_limit_before_it_is_refused() {
     let now = Instant::now();
@@ -227,7 +226,7 @@
     assert!(!quotas.is_near_limit());
     quotas.admit(now, "a", 1).expect("room");
     assert!(quotas.is_near_limit());
-    // The smaller the part of the fleet that is heard, the sooner.
+    // With a smaller reachable share, the threshold is lower.
     let mut alone = Quotas::new(POLICY);
     alone.configure([(&"a".into(), QUOTA)]);
     alone.set_reachable_share(0.5);
@@ -235,9 +234,8 @@
     assert!(alone.is_near_limit());
 }
 
-/// After a restart of the whole fleet no instance hears the others yet. What the note tells was used
-/// by all of them, and must not be held against one instance's own part
-/// (kalemdar-tutanak-grown trouble-1: 147 requests refused in the first second).
+/// The restored usage is that of the whole fleet and must not be subtracted from one instance's
+/// share alone.
 #[test]
 fn a_restart_without_peers_gets_its_share_of_the_remainder() {
     let now = Instant::now() + 20 * S;
@@ -250,7 +248,7 @@
         assert_eq!(
             admitted(&mut restarted, now),
             room,
-            "{instances} instances, {snapshot} snapshot"
+            "{instances} instances, {snapshot} units restored"
         );
     }
 }
@@ -278,12 +276,12 @@
         quotas.configure([(&account, quota)]);
         quotas
     };
-    // (units of the window told, admitted here before, heard of before, may still be admitted)
+    // Window reported by the peer, units admitted locally and remotely before, remaining units.
     let cases: [(&[u64], u64, f64, u64); 6] = [
         (&[], 0, 0.0, 800),
         (&[800], 0, 0.0, 0),
         (&[100, 200, 300], 0, 0.0, 200),
-        // What was admitted since the start is among it.
+        // The report includes the units admitted since the start.
         (&[100, 200, 300], 50, 30.0, 200),
         (&[10, 200], 50, 30.0, 590),
         (&[10], 50, 30.0, 720),
@@ -296,7 +294,7 @@
         quotas.restore_from_peer(now, "a", reported);
         assert!(quotas.admit(now, "a", left + 1).is_err(), "{reported:?}");
         assert_eq!(quotas.admit(now, "a", left), Ok(()), "{reported:?}");
-        // And all of it leaves the window.
+        // All of it leaves the window.
         assert_eq!(
             quotas.admit(now + Duration::from_millis(8300), "a", 800),
             Ok(()),
