--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under their id, and addresses at which another one answers.
+//! Endpoints that restart under the same id, and addresses reused by another endpoint.
 
 mod cells;
 
@@ -8,7 +8,6 @@
 use oxbowbend_core::cell::{Cell, Extent, Outcome, UNHEARD};
 use oxbowbend_core::routes::Endpoint;
 
-/// An endpoint that says when it began.
 fn endpoint_started_at(n: u8, slots: u32, born: u64) -> Endpoint {
     Endpoint { started_at_ms: born, ..endpoint(n, slots) }
 }
@@ -29,7 +28,7 @@
     cell.set_endpoints([new.clone()]);
     arrive(&mut cell, now, 3);
     assert_eq!(placed(&mut cell, now).len(), 2);
-    // The end of what ran at the earlier start frees no place of this one.
+    // The end of a request from the earlier run frees no slot of the new one.
     (0..2).for_each(|_| cell.finish(now, old.key(), 100, Outcome::Bad));
     assert_eq!(placed(&mut cell, now).len(), 0);
     assert_eq!(cell.load(now, new.key()), 2);
@@ -50,7 +49,7 @@
     assert_eq!(placed(&mut cell, now)[0].1, "e2");
     assert_eq!(cell.take_news().len(), 1);
     cell.set_endpoints([new.clone(), other.clone()]);
-    // Neither the pace of the earlier start counts, nor its failures, nor what comes to be known of them now.
+    // Neither the pace nor any failures of the earlier run apply, including those reported late.
     assert_eq!(cell.known_paces(now), [(other.key(), 20_000)]);
     (0..4).for_each(|_| cell.judge(now, old.key(), Outcome::Bad));
     cell.suspect(now, old.key(), now);
@@ -75,7 +74,7 @@
     assert_eq!(b.known_paces(now), []);
     b.arrive(want(0, 100, now - UNHEARD));
     assert_eq!(placed(&mut b, now).len(), 1);
-    // Of the same start, all of it counts.
+    // Reports about the same run apply.
     let mut c = cell("c", std::slice::from_ref(&old));
     c.hear(now, a.report(now, Extent::Full), true);
     assert_eq!(c.load(now, old.key()), 1);
@@ -90,12 +89,12 @@
     cell.arrive(want(0, 100, now));
     cell.arrive(want(0, 100, now));
     assert_eq!(placed(&mut cell, now).len(), 2);
-    // One such answer is enough, even for half of a service.
+    // One such response is enough, even if it pauses half of a service.
     cell.finish(now, absent.key(), 100, Outcome::Absent);
     assert_eq!(cell.take_news().len(), 1);
     cell.arrive(want(0, 100, now));
     assert_eq!(placed(&mut cell, now), []);
-    // After a while it is tried again, by one request at a time.
+    // After a pause it is probed with one request at a time.
     let later = now + Duration::from_secs(1);
     cell.arrive(want(0, 100, later));
     let tried = placed(&mut cell, later);
--- a/oxbowbend-core/tests/routes.rs
+++ b/oxbowbend-core/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes and keys.
+//! Route selection and API keys.
 
 use std::time::Duration;
 
