--- a/oxbowbend-core/tests/shutdown.rs
+++ b/oxbowbend-core/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! What an instance that stops still takes on, and when it ends.
+//! Admission and exit of an instance that is shutting down.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 fn admitted_requests_end_before_the_deadline() {
     let started_at = Instant::now();
     let shutdown = Shutdown::new(started_at, GRACE_PERIOD);
-    // Milliseconds since the signal; expected length; whether others are ready.
+    // Milliseconds since the signal, expected duration, whether others are ready, admitted.
     for (at, expected, others, admits) in [
         (0, Some(60_000), true, true),
         (2400, None, true, true),
@@ -51,8 +51,8 @@
     }
 }
 
-/// Six instances stop in turn, a second between, each needing 0.7 s to come back, with streams of 1.2 s.
-/// Callers come to each alike. At no time are all callers refused.
+/// Six instances are stopped one second apart and restart within 0.7 s; streams last 1.2 s. At no
+/// time may all instances refuse requests.
 #[test]
 fn a_rolling_stop_never_refuses_every_caller() {
     let start = Instant::now();
@@ -74,7 +74,7 @@
             let shutdown = Shutdown::new(stop_signal_at(n), GRACE_PERIOD);
             let others_ready = ready * 2 + 1 >= 6;
             accepting += usize::from(shutdown.admits(now, Some(100 * MS), others_ready));
-            // Without others it is never quiet; with them its last stream ends 1.2 s after it took it.
+            // Without ready peers it is never idle; with them its last stream ends after 1.2 s.
             let is_idle = others_ready && now >= shutdown.full_service_until() + 1200 * MS;
             let is_done = shutdown.can_exit(now, usize::from(!is_idle), 50 * MS, others_ready);
             if is_done || now >= shutdown.deadline() {
@@ -87,14 +87,12 @@
     assert_eq!(refused_by_all, 0);
 }
 
-/// A request that came 0.22 s before the end of a stop waited for a place, for which it was allowed 0.32 s, and its
-/// connection was closed without an answer when the process ended: taken at 26.98 s, closed at 27.21 s, the
-/// signal at 19.60 s and `stopped cut_off=2 after_ms=7610`.
+/// Guards against closing the connection of a queued request without a response.
 #[test]
 fn queued_requests_are_refused_before_the_deadline() {
     let started_at = Instant::now();
     let shutdown = Shutdown::new(started_at, GRACE_PERIOD);
-    // Milliseconds since the signal, time that the request would wait, and that it does.
+    // Milliseconds since the signal, requested and allowed waiting time.
     for (at, wait, expected_ms) in [
         (0, 320, 320),
         (6900, 320, 320),
