--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -8,8 +8,8 @@
 use oxbowbend_core::cell::{Cell, Extent, Outcome, UNHEARD};
 use oxbowbend_core::routes::Endpoint;
 
-fn endpoint_started_at(n: u8, slots: u32, born: u64) -> Endpoint {
-    Endpoint { started_at_ms: born, ..endpoint(n, slots) }
+fn endpoint_started_at(n: u8, slots: u32, started_at_ms: u64) -> Endpoint {
+    Endpoint { started_at_ms, ..endpoint(n, slots) }
 }
 
 fn arrive(cell: &mut Cell, now: Instant, requests: u32) {
