--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use crate::ids::{AccountId, EndpointKey, InstanceId, ServiceId, ZoneId};
-use crate::quarantine::Told;
+use crate::quarantine::QuarantineUpdate;
 use crate::quota::{Lately, Window};
 use crate::rollout::evidence::EvidenceKey;
 use crate::rollout::ToldRollout;
@@ -125,8 +125,8 @@
     #[serde(rename = "B", default, skip_serializing_if = "ToldEndpoints::is_empty")]
     pub said: ToldEndpoints,
     /// What it knows of requests that end endpoints.
-    #[serde(rename = "Q", default, skip_serializing_if = "Told::is_empty")]
-    pub quarantine: Told,
+    #[serde(rename = "Q", default, skip_serializing_if = "QuarantineUpdate::is_empty")]
+    pub quarantine: QuarantineUpdate,
     /// Where it knows representatives of other cells to be, or at the first start of a fleet all instances.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub peers: Vec<SocketAddr>,
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -3,7 +3,7 @@
 //! Such a request comes back under new ids at any instance, so it is known by its [`Fingerprint`]. When an endpoint
 //! ends, requests that ran there and of whose answers nothing had come are suspected; one that must have ended three
 //! endpoints is quarantined: no instance sends it to an endpoint, and its caller hears at once that it has not run. Instances tell each other
-//! what they have seen, and what was decided ([`Told`]): whole facts, each of which may be lost, come twice or
+//! what they have seen, and what was decided ([`QuarantineUpdate`]): whole facts, each of which may be lost, come twice or
 //! late, and comes to the same whoever passes it on. Decisions are also noted in the store, so that they outlast all
 //! instances.
 //!
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 
 pub use ends::Run;
-pub use told::{Told, ToldAnswer, ToldEnd, ToldVerdict};
+pub use told::{QuarantineUpdate, ToldAnswer, ToldEnd, ToldVerdict};
 pub use verdict::ENDS;
 
 use crate::cell::Extent;
@@ -213,13 +213,13 @@
     /// What to tell other instances in a report of an extent: what is new, and in full ones also older decisions in
     /// turn. What others have seen is told on by those who pass it on: in a fleet of several cells, their
     /// representatives.
-    pub fn tell(&mut self, now: Instant, extent: Extent, passes_on: bool) -> Told {
+    pub fn tell(&mut self, now: Instant, extent: Extent, passes_on: bool) -> QuarantineUpdate {
         let in_full = extent == Extent::Full;
         let (ends_for, rest_for) = match extent {
             Extent::Loads => (TOLD_AT_ONCE, TOLD_AT_ONCE),
             Extent::Changes | Extent::Full => (ENDS_TOLD_FOR, TOLD_FOR),
         };
-        Told {
+        QuarantineUpdate {
             ends: self.ends.tell(now, ends_for, passes_on, in_full),
             verdicts: self.verdicts.tell(now, rest_for, in_full),
             answers: self.answered.tell(now, rest_for),
@@ -228,7 +228,7 @@
 
     /// Takes in what another instance tells; whatever it tells twice changes nothing. Returns the starts of endpoints
     /// that are newly known to have ended.
-    pub fn hear(&mut self, now: Instant, told: &Told) -> Vec<EndpointKey> {
+    pub fn hear(&mut self, now: Instant, told: &QuarantineUpdate) -> Vec<EndpointKey> {
         for answer in &told.answers {
             let at = before(now, answer.age_ms);
             if self.answered.told(now, answer.fingerprint, at) {
--- a/oxbowbend-core/src/quarantine/told.rs
+++ b/oxbowbend-core/src/quarantine/told.rs
@@ -6,7 +6,7 @@
 
 /// What one report tells. Ages are sent instead of times, since no two clocks agree.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct Told {
+pub struct QuarantineUpdate {
     /// Ends of endpoints.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub ends: Vec<ToldEnd>,
@@ -18,7 +18,7 @@
     pub answers: Vec<ToldAnswer>,
 }
 
-impl Told {
+impl QuarantineUpdate {
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty() && self.verdicts.is_empty() && self.answers.is_empty()
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -6,7 +6,7 @@
 use oxbowbend_core::cell::Outcome;
 use oxbowbend_core::fingerprint::Fingerprint;
 use oxbowbend_core::ids::EndpointKey;
-use oxbowbend_core::quarantine::{Change, Gate, Quarantine, Run, Told};
+use oxbowbend_core::quarantine::{Change, Gate, Quarantine, QuarantineUpdate, Run};
 use oxbowbend_core::routes::Endpoint;
 
 use crate::observe;
@@ -73,7 +73,7 @@
 
 impl State {
     /// Takes in what another instance tells.
-    pub(crate) fn hear_of_ends(&mut self, now: Instant, told: &Told) {
+    pub(crate) fn hear_of_ends(&mut self, now: Instant, told: &QuarantineUpdate) {
         if told.is_empty() {
             return;
         }
