--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::age_ms;
-use super::told::ToldEnd;
+use super::told::CrashRecord;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
 
@@ -162,13 +162,13 @@
         lately: Duration,
         passes_on: bool,
         in_full: bool,
-    ) -> Vec<ToldEnd> {
+    ) -> Vec<CrashRecord> {
         let repeated = if in_full { self.repeated() } else { HashSet::new() };
         let is_late = |end: &End| now.saturating_duration_since(end.learned) < lately;
         let is_again = |end: &End| end.is_own && end.suspects().any(|f| repeated.contains(&f));
         let is_told = |end: &&End| (is_late(end) && (end.is_own || passes_on)) || is_again(end);
         let told = self.all.iter().rev().filter(is_told).take(MAX_TOLD);
-        let told = told.map(|end| ToldEnd {
+        let told = told.map(|end| CrashRecord {
             endpoint: end.endpoint,
             age_ms: age_ms(now, end.at),
             runs: end.runs.clone(),
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 
 pub use ends::Run;
-pub use told::{QuarantineUpdate, ToldAnswer, ToldEnd, ToldVerdict};
+pub use told::{CrashRecord, QuarantineUpdate, ToldAnswer, ToldVerdict};
 pub use verdict::ENDS;
 
 use crate::cell::Extent;
--- a/oxbowbend-core/src/quarantine/told.rs
+++ b/oxbowbend-core/src/quarantine/told.rs
@@ -9,7 +9,7 @@
 pub struct QuarantineUpdate {
     /// Ends of endpoints.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
-    pub ends: Vec<ToldEnd>,
+    pub ends: Vec<CrashRecord>,
     /// Decisions.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub verdicts: Vec<ToldVerdict>,
@@ -27,7 +27,7 @@
 
 /// An end of an endpoint.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct ToldEnd {
+pub struct CrashRecord {
     /// The start that ended.
     #[serde(rename = "k")]
     pub endpoint: EndpointKey,
