--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 
 pub use ends::Run;
-pub use told::{CrashRecord, QuarantineUpdate, ToldAnswer, ToldVerdict};
+pub use told::{CrashRecord, DecisionRecord, QuarantineUpdate, ToldAnswer};
 pub use verdict::ENDS;
 
 use crate::cell::Extent;
@@ -248,7 +248,7 @@
     }
 
     /// Takes in decisions of other instances, or that the store holds.
-    pub fn hear_verdicts(&mut self, now: Instant, verdicts: &[ToldVerdict]) {
+    pub fn hear_verdicts(&mut self, now: Instant, verdicts: &[DecisionRecord]) {
         for told in verdicts {
             match self.verdicts.hear(now, told) {
                 Some(Standing::Released) => {
@@ -268,7 +268,7 @@
     }
 
     /// Decisions to note in the store: all, or those that this instance came to.
-    pub fn notes(&self, now: Instant, all: bool) -> Vec<ToldVerdict> {
+    pub fn notes(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
         self.verdicts.notes(now, all)
     }
 
--- a/oxbowbend-core/src/quarantine/told.rs
+++ b/oxbowbend-core/src/quarantine/told.rs
@@ -12,7 +12,7 @@
     pub ends: Vec<CrashRecord>,
     /// Decisions.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
-    pub verdicts: Vec<ToldVerdict>,
+    pub verdicts: Vec<DecisionRecord>,
     /// Good answers to requests that were suspected.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub answers: Vec<ToldAnswer>,
@@ -41,7 +41,7 @@
 
 /// A decision on a request.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct ToldVerdict {
+pub struct DecisionRecord {
     /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::ends::{End, Ends};
-use super::told::ToldVerdict;
+use super::told::DecisionRecord;
 use super::{age_ms, Gate};
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointKey, InstanceId};
@@ -128,7 +128,7 @@
     }
 
     /// Takes in what another instance or the store tells; returns what it says if that is news.
-    pub(super) fn hear(&mut self, now: Instant, told: &ToldVerdict) -> Option<Standing> {
+    pub(super) fn hear(&mut self, now: Instant, told: &DecisionRecord) -> Option<Standing> {
         let known = self.all.get(&told.fingerprint);
         let order = |epoch, is_over, trials| (epoch, is_over, trials);
         let theirs = order(told.epoch, told.left_ms.is_none(), told.trials);
@@ -170,7 +170,7 @@
         now: Instant,
         lately: Duration,
         in_full: bool,
-    ) -> Vec<ToldVerdict> {
+    ) -> Vec<DecisionRecord> {
         let is_late = |v: &Verdict| now.saturating_duration_since(v.changed) < lately;
         let late = self.all.iter().filter(|(_, v)| is_late(v)).take(MAX_TOLD);
         let mut told: Vec<_> = late.map(|(f, v)| v.told(now, *f)).collect();
@@ -183,13 +183,13 @@
         told
     }
 
-    pub(super) fn notes(&self, now: Instant, all: bool) -> Vec<ToldVerdict> {
+    pub(super) fn notes(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
         let is_noted = |v: &Verdict| v.until.is_some() && (all || v.is_own);
         let mut noted: Vec<_> = self.all.iter().filter(|(_, v)| is_noted(v)).collect();
         noted.sort_by_key(|(_, v)| std::cmp::Reverse(v.changed));
         let noted = noted.into_iter().take(MAX_TOLD);
         // Whoever reads it does not know how old it is: its time begins anew, and the note stays as it is.
-        let note = |f: Fingerprint, v: &Verdict| ToldVerdict {
+        let note = |f: Fingerprint, v: &Verdict| DecisionRecord {
             left_ms: Some(pause(v.trials).as_millis() as u32),
             ..v.told(now, f)
         };
@@ -198,9 +198,9 @@
 }
 
 impl Verdict {
-    fn told(&self, now: Instant, fingerprint: Fingerprint) -> ToldVerdict {
+    fn told(&self, now: Instant, fingerprint: Fingerprint) -> DecisionRecord {
         let left_ms = self.until.map(|until| age_ms(until, now));
-        ToldVerdict { fingerprint, epoch: self.epoch, trials: self.trials, left_ms }
+        DecisionRecord { fingerprint, epoch: self.epoch, trials: self.trials, left_ms }
     }
 }
 
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -4,7 +4,7 @@
 
 use oxbowbend_core::cell::Extent;
 use oxbowbend_core::ids::EndpointKey;
-use oxbowbend_core::quarantine::{Change, Gate, Quarantine, Run, ToldVerdict, ENDS, SETTLE};
+use oxbowbend_core::quarantine::{Change, DecisionRecord, Gate, Quarantine, Run, ENDS, SETTLE};
 
 /// A request that ends endpoints, and others.
 const BAD: u64 = 7;
@@ -250,7 +250,7 @@
         end(&mut q, after(now, n), 1000 + n as u32, &[100_000 + n, 200_000 + n / 2], &[]);
     }
     let verdict =
-        |fingerprint| ToldVerdict { fingerprint, epoch: 1, trials: 0, left_ms: Some(9000) };
+        |fingerprint| DecisionRecord { fingerprint, epoch: 1, trials: 0, left_ms: Some(9000) };
     let told: Vec<_> = (300_000..310_000).map(verdict).collect();
     q.hear_verdicts(after(now, 3_000), &told);
     assert!(is_closed(&q, after(now, 3_000), BAD), "it is held longer than those");
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::cell::Extent;
-use oxbowbend_core::quarantine::{Quarantine, Run, ToldVerdict, ENDS, SETTLE};
+use oxbowbend_core::quarantine::{DecisionRecord, Quarantine, Run, ENDS, SETTLE};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -58,7 +58,7 @@
     is_cut: bool,
     /// Ends that an instance has seen in this life, and whether the other request was beside.
     seen: Vec<(usize, bool)>,
-    noted: Vec<ToldVerdict>,
+    noted: Vec<DecisionRecord>,
     /// Whether the request was held by somebody when notes were last written.
     is_noted: bool,
     next: u32,
--- a/oxbowbend-gateway/src/seam.rs
+++ b/oxbowbend-gateway/src/seam.rs
@@ -10,7 +10,7 @@
 use oxbowbend_core::ids::{
     AccountId, EndpointId, EndpointKey, InstanceId, ServiceId, VersionId, ZoneId,
 };
-use oxbowbend_core::quarantine::ToldVerdict;
+use oxbowbend_core::quarantine::DecisionRecord;
 use oxbowbend_core::quota::Window;
 use oxbowbend_core::rollout::{Order, Status, ToldRollout};
 use oxbowbend_core::routes::{Endpoint, Table};
@@ -143,7 +143,7 @@
     pub epoch: Epoch,
     /// Requests in quarantine, from this instance if it decided that, else likewise.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub quarantined: Vec<ToldVerdict>,
+    pub quarantined: Vec<DecisionRecord>,
     /// Roll-outs in progress, if it is on this instance to note them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rollouts: Vec<ToldRollout>,
