--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::age_ms;
-use super::told::ToldAnswer;
+use super::told::SuccessRecord;
 use crate::fingerprint::Fingerprint;
 
 /// Places of the table; a later request may take an earlier one's. With the 60 requests a second of a busy instance
@@ -72,11 +72,11 @@
         self.news.push((fingerprint, now));
     }
 
-    pub(super) fn tell(&mut self, now: Instant, lately: Duration) -> Vec<ToldAnswer> {
+    pub(super) fn tell(&mut self, now: Instant, lately: Duration) -> Vec<SuccessRecord> {
         self.news.retain(|(_, since)| now.saturating_duration_since(*since) < lately);
         let told = self.news.iter().rev().take(MAX_TOLD).filter_map(|(fingerprint, _)| {
             let at = self.at(*fingerprint)?;
-            Some(ToldAnswer { fingerprint: *fingerprint, age_ms: age_ms(now, at) })
+            Some(SuccessRecord { fingerprint: *fingerprint, age_ms: age_ms(now, at) })
         });
         told.collect()
     }
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 
 pub use ends::Run;
-pub use told::{CrashRecord, DecisionRecord, QuarantineUpdate, ToldAnswer};
+pub use told::{CrashRecord, DecisionRecord, QuarantineUpdate, SuccessRecord};
 pub use verdict::ENDS;
 
 use crate::cell::Extent;
--- a/oxbowbend-core/src/quarantine/told.rs
+++ b/oxbowbend-core/src/quarantine/told.rs
@@ -15,7 +15,7 @@
     pub verdicts: Vec<DecisionRecord>,
     /// Good answers to requests that were suspected.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
-    pub answers: Vec<ToldAnswer>,
+    pub answers: Vec<SuccessRecord>,
 }
 
 impl QuarantineUpdate {
@@ -58,7 +58,7 @@
 
 /// A good answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct ToldAnswer {
+pub struct SuccessRecord {
     /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
