--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -220,7 +220,7 @@
             Extent::Changes | Extent::Full => (ENDS_TOLD_FOR, TOLD_FOR),
         };
         QuarantineUpdate {
-            ends: self.ends.tell(now, ends_for, passes_on, in_full),
+            crashes: self.ends.tell(now, ends_for, passes_on, in_full),
             verdicts: self.verdicts.tell(now, rest_for, in_full),
             answers: self.answered.tell(now, rest_for),
         }
@@ -237,7 +237,7 @@
         }
         self.hear_verdicts(now, &told.verdicts);
         let mut ended = Vec::new();
-        for end in &told.ends {
+        for end in &told.crashes {
             if !self.ends.is_known(end.endpoint) {
                 ended.push(end.endpoint);
             }
--- a/oxbowbend-core/src/quarantine/told.rs
+++ b/oxbowbend-core/src/quarantine/told.rs
@@ -9,7 +9,7 @@
 pub struct QuarantineUpdate {
     /// Ends of endpoints.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
-    pub ends: Vec<CrashRecord>,
+    pub crashes: Vec<CrashRecord>,
     /// Decisions.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub verdicts: Vec<DecisionRecord>,
@@ -21,7 +21,7 @@
 impl QuarantineUpdate {
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
-        self.ends.is_empty() && self.verdicts.is_empty() && self.answers.is_empty()
+        self.crashes.is_empty() && self.verdicts.is_empty() && self.answers.is_empty()
     }
 }
 
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -283,7 +283,7 @@
     for key in 0..20 {
         end(&mut q, now, key, &[1000 + u64::from(key)], &[]);
     }
-    let told = |q: &mut Quarantine, ms, extent| q.tell(after(now, ms), extent, false).ends.len();
+    let told = |q: &mut Quarantine, ms, extent| q.tell(after(now, ms), extent, false).crashes.len();
     assert_eq!(told(&mut q, 10, Extent::Loads), 8);
     assert_eq!(told(&mut q, 30, Extent::Loads), 0);
     assert_eq!(told(&mut q, 900, Extent::Changes), 8);
@@ -296,7 +296,7 @@
     let (mut other, told) = (instance("b"), q.tell(now, Extent::Changes, false));
     other.hear(now, &told);
     assert!(other.tell(now, Extent::Full, false).is_empty());
-    assert_eq!(other.tell(now, Extent::Full, true).ends.len(), told.ends.len());
+    assert_eq!(other.tell(now, Extent::Full, true).crashes.len(), told.crashes.len());
 }
 
 #[test]
