--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -221,7 +221,7 @@
         };
         QuarantineUpdate {
             crashes: self.ends.tell(now, ends_for, passes_on, in_full),
-            verdicts: self.verdicts.tell(now, rest_for, in_full),
+            decisions: self.verdicts.tell(now, rest_for, in_full),
             answers: self.answered.tell(now, rest_for),
         }
     }
@@ -235,7 +235,7 @@
                 self.clear(now, answer.fingerprint, at);
             }
         }
-        self.hear_verdicts(now, &told.verdicts);
+        self.hear_verdicts(now, &told.decisions);
         let mut ended = Vec::new();
         for end in &told.crashes {
             if !self.ends.is_known(end.endpoint) {
--- a/oxbowbend-core/src/quarantine/told.rs
+++ b/oxbowbend-core/src/quarantine/told.rs
@@ -12,7 +12,7 @@
     pub crashes: Vec<CrashRecord>,
     /// Decisions.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
-    pub verdicts: Vec<DecisionRecord>,
+    pub decisions: Vec<DecisionRecord>,
     /// Good answers to requests that were suspected.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub answers: Vec<SuccessRecord>,
@@ -21,7 +21,7 @@
 impl QuarantineUpdate {
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
-        self.crashes.is_empty() && self.verdicts.is_empty() && self.answers.is_empty()
+        self.crashes.is_empty() && self.decisions.is_empty() && self.answers.is_empty()
     }
 }
 
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -255,7 +255,7 @@
     q.hear_verdicts(after(now, 3_000), &told);
     assert!(is_closed(&q, after(now, 3_000), BAD), "it is held longer than those");
     assert!(q.held() <= 4096, "{}", q.held());
-    assert!(q.tell(after(now, 3_000), Extent::Full, true).verdicts.len() <= 32);
+    assert!(q.tell(after(now, 3_000), Extent::Full, true).decisions.len() <= 32);
 }
 
 #[test]
