--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -222,14 +222,14 @@
         QuarantineUpdate {
             crashes: self.ends.tell(now, ends_for, passes_on, in_full),
             decisions: self.verdicts.tell(now, rest_for, in_full),
-            answers: self.answered.tell(now, rest_for),
+            successes: self.answered.tell(now, rest_for),
         }
     }
 
     /// Takes in what another instance tells; whatever it tells twice changes nothing. Returns the starts of endpoints
     /// that are newly known to have ended.
     pub fn hear(&mut self, now: Instant, told: &QuarantineUpdate) -> Vec<EndpointKey> {
-        for answer in &told.answers {
+        for answer in &told.successes {
             let at = before(now, answer.age_ms);
             if self.answered.told(now, answer.fingerprint, at) {
                 self.clear(now, answer.fingerprint, at);
--- a/oxbowbend-core/src/quarantine/told.rs
+++ b/oxbowbend-core/src/quarantine/told.rs
@@ -15,13 +15,13 @@
     pub decisions: Vec<DecisionRecord>,
     /// Good answers to requests that were suspected.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
-    pub answers: Vec<SuccessRecord>,
+    pub successes: Vec<SuccessRecord>,
 }
 
 impl QuarantineUpdate {
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
-        self.crashes.is_empty() && self.decisions.is_empty() && self.answers.is_empty()
+        self.crashes.is_empty() && self.decisions.is_empty() && self.successes.is_empty()
     }
 }
 
