--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -171,7 +171,7 @@
         let told = told.map(|end| CrashRecord {
             endpoint: end.endpoint,
             age_ms: age_ms(now, end.at),
-            runs: end.runs.clone(),
+            attempts: end.runs.clone(),
         });
         told.collect()
     }
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -242,7 +242,7 @@
                 ended.push(end.endpoint);
             }
             let at = before(now, end.age_ms);
-            self.suspect(now, at, end.endpoint, end.runs.clone(), false);
+            self.suspect(now, at, end.endpoint, end.attempts.clone(), false);
         }
         ended
     }
--- a/oxbowbend-core/src/quarantine/told.rs
+++ b/oxbowbend-core/src/quarantine/told.rs
@@ -36,7 +36,7 @@
     pub age_ms: u32,
     /// What ran there.
     #[serde(rename = "r")]
-    pub runs: Vec<Run>,
+    pub attempts: Vec<Run>,
 }
 
 /// A decision on a request.
