--- a/oxbowbend-core/src/quarantine/told.rs
+++ b/oxbowbend-core/src/quarantine/told.rs
@@ -53,7 +53,7 @@
     pub trials: u32,
     /// Milliseconds until the next trial; none if the quarantine is over.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
-    pub left_ms: Option<u32>,
+    pub remaining_ms: Option<u32>,
 }
 
 /// A good answer to a request.
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -131,13 +131,13 @@
     pub(super) fn hear(&mut self, now: Instant, told: &DecisionRecord) -> Option<Standing> {
         let known = self.all.get(&told.fingerprint);
         let order = |epoch, is_over, trials| (epoch, is_over, trials);
-        let theirs = order(told.epoch, told.left_ms.is_none(), told.trials);
+        let theirs = order(told.epoch, told.remaining_ms.is_none(), told.trials);
         let is_old = known.is_some_and(|v| order(v.epoch, v.until.is_none(), v.trials) >= theirs);
-        if is_old || (known.is_none() && told.left_ms.is_none()) {
+        if is_old || (known.is_none() && told.remaining_ms.is_none()) {
             return None;
         }
         self.make_room(now);
-        let left = told.left_ms.map(|ms| Duration::from_millis(u64::from(ms)).min(PAUSE.1));
+        let left = told.remaining_ms.map(|ms| Duration::from_millis(u64::from(ms)).min(PAUSE.1));
         let verdict = Verdict {
             epoch: told.epoch,
             trials: told.trials,
@@ -190,7 +190,7 @@
         let noted = noted.into_iter().take(MAX_TOLD);
         // Whoever reads it does not know how old it is: its time begins anew, and the note stays as it is.
         let note = |f: Fingerprint, v: &Verdict| DecisionRecord {
-            left_ms: Some(pause(v.trials).as_millis() as u32),
+            remaining_ms: Some(pause(v.trials).as_millis() as u32),
             ..v.told(now, f)
         };
         noted.map(|(f, v)| note(*f, v)).collect()
@@ -200,7 +200,12 @@
 impl Verdict {
     fn told(&self, now: Instant, fingerprint: Fingerprint) -> DecisionRecord {
         let left_ms = self.until.map(|until| age_ms(until, now));
-        DecisionRecord { fingerprint, epoch: self.epoch, trials: self.trials, left_ms }
+        DecisionRecord {
+            fingerprint,
+            epoch: self.epoch,
+            trials: self.trials,
+            remaining_ms: left_ms,
+        }
     }
 }
 
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -250,7 +250,7 @@
         end(&mut q, after(now, n), 1000 + n as u32, &[100_000 + n, 200_000 + n / 2], &[]);
     }
     let verdict =
-        |fingerprint| DecisionRecord { fingerprint, epoch: 1, trials: 0, left_ms: Some(9000) };
+        |fingerprint| DecisionRecord { fingerprint, epoch: 1, trials: 0, remaining_ms: Some(9000) };
     let told: Vec<_> = (300_000..310_000).map(verdict).collect();
     q.hear_verdicts(after(now, 3_000), &told);
     assert!(is_closed(&q, after(now, 3_000), BAD), "it is held longer than those");
