--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::age_ms;
-use super::told::SuccessRecord;
+use super::records::SuccessRecord;
 use crate::fingerprint::Fingerprint;
 
 /// Places of the table; a later request may take an earlier one's. With the 60 requests a second of a busy instance
--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::age_ms;
-use super::told::CrashRecord;
+use super::records::CrashRecord;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
 
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -14,13 +14,13 @@
 
 mod answered;
 mod ends;
-mod told;
+mod records;
 mod verdict;
 
 use std::time::{Duration, Instant};
 
 pub use ends::Run;
-pub use told::{CrashRecord, DecisionRecord, QuarantineUpdate, SuccessRecord};
+pub use records::{CrashRecord, DecisionRecord, QuarantineUpdate, SuccessRecord};
 pub use verdict::ENDS;
 
 use crate::cell::Extent;
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::ends::{End, Ends};
-use super::told::DecisionRecord;
+use super::records::DecisionRecord;
 use super::{age_ms, Gate};
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointKey, InstanceId};
