--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -19,7 +19,7 @@
 /// A run that broke off when its endpoint ended. It travels as a list of its parts in this order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(from = "(Fingerprint, bool)", into = "(Fingerprint, bool)")]
-pub struct Run {
+pub struct InterruptedAttempt {
     /// The request.
     pub fingerprint: Fingerprint,
     /// Whether nothing had come of its answer yet. What ends an endpoint does so soon after it begins, so others
@@ -27,14 +27,14 @@
     pub is_quiet: bool,
 }
 
-impl From<(Fingerprint, bool)> for Run {
-    fn from((fingerprint, is_quiet): (Fingerprint, bool)) -> Run {
-        Run { fingerprint, is_quiet }
+impl From<(Fingerprint, bool)> for InterruptedAttempt {
+    fn from((fingerprint, is_quiet): (Fingerprint, bool)) -> InterruptedAttempt {
+        InterruptedAttempt { fingerprint, is_quiet }
     }
 }
 
-impl From<Run> for (Fingerprint, bool) {
-    fn from(run: Run) -> (Fingerprint, bool) {
+impl From<InterruptedAttempt> for (Fingerprint, bool) {
+    fn from(run: InterruptedAttempt) -> (Fingerprint, bool) {
         (run.fingerprint, run.is_quiet)
     }
 }
@@ -52,7 +52,7 @@
     is_settled: bool,
     /// Whether this instance had a run there.
     is_own: bool,
-    runs: Vec<Run>,
+    runs: Vec<InterruptedAttempt>,
 }
 
 impl End {
@@ -66,7 +66,7 @@
         self.runs.iter().filter(|run| run.is_quiet).map(|run| run.fingerprint)
     }
 
-    fn add(&mut self, run: Run) -> bool {
+    fn add(&mut self, run: InterruptedAttempt) -> bool {
         let known = self.runs.iter_mut().find(|known| known.fingerprint == run.fingerprint);
         if let Some(known) = known {
             let is_news = run.is_quiet && !known.is_quiet;
@@ -114,7 +114,7 @@
         now: Instant,
         at: Instant,
         endpoint: EndpointKey,
-        runs: &[Run],
+        runs: &[InterruptedAttempt],
         is_own: bool,
     ) -> bool {
         let known = self.all.iter().position(|end| end.endpoint == endpoint);
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -19,7 +19,7 @@
 
 use std::time::{Duration, Instant};
 
-pub use ends::Run;
+pub use ends::InterruptedAttempt;
 pub use records::{CrashRecord, DecisionRecord, QuarantineUpdate, SuccessRecord};
 pub use verdict::ENDS;
 
@@ -100,7 +100,7 @@
     endpoint: EndpointId,
     key: EndpointKey,
     at: Instant,
-    run: Run,
+    run: InterruptedAttempt,
 }
 
 /// What one instance knows of such requests.
@@ -110,12 +110,12 @@
 /// ```
 /// use std::time::Instant;
 ///
-/// use oxbowbend_core::quarantine::{Gate, Quarantine, Run, SETTLE};
+/// use oxbowbend_core::quarantine::{Gate, Quarantine, InterruptedAttempt, SETTLE};
 ///
 /// let (mut quarantine, now) = (Quarantine::new(&"i-1".into()), Instant::now());
 /// for endpoint in 0..3 {
 ///     assert_eq!(quarantine.gate(now, 7), Gate::Open);
-///     quarantine.broke_off(now, &"e".into(), endpoint, Run { fingerprint: 7, is_quiet: true });
+///     quarantine.broke_off(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, is_quiet: true });
 ///     quarantine.ended(now, endpoint);
 /// }
 /// quarantine.settle(now + SETTLE);
@@ -162,7 +162,13 @@
     }
 
     /// Notes a run that broke off at an endpoint that was in service and may have ended.
-    pub fn broke_off(&mut self, now: Instant, endpoint: &EndpointId, key: EndpointKey, run: Run) {
+    pub fn broke_off(
+        &mut self,
+        now: Instant,
+        endpoint: &EndpointId,
+        key: EndpointKey,
+        run: InterruptedAttempt,
+    ) {
         if self.ends.is_known(key) {
             self.suspect(now, now, key, vec![run], true);
             return;
@@ -185,7 +191,8 @@
             std::mem::take(&mut self.pending).into_iter().partition(|p| p.key == key);
         self.pending = rest;
         let is_fresh = |p: &Pending| now.saturating_duration_since(p.at) < PENDING;
-        let runs: Vec<Run> = Vec::into_iter(ended).filter(is_fresh).map(|p| p.run).collect();
+        let runs: Vec<InterruptedAttempt> =
+            Vec::into_iter(ended).filter(is_fresh).map(|p| p.run).collect();
         if !runs.is_empty() {
             self.suspect(now, now, key, runs, true);
         }
@@ -288,12 +295,13 @@
         now: Instant,
         at: Instant,
         key: EndpointKey,
-        runs: Vec<Run>,
+        runs: Vec<InterruptedAttempt>,
         is_own: bool,
     ) {
         let is_new_end = !self.ends.is_known(key);
         let floor = at.checked_sub(ANSWERED_BEFORE).unwrap_or(at);
-        let was_answered = |run: &Run| self.answered.was_since(run.fingerprint, floor);
+        let was_answered =
+            |run: &InterruptedAttempt| self.answered.was_since(run.fingerprint, floor);
         let (cleared, runs): (Vec<_>, Vec<_>) = runs.into_iter().partition(was_answered);
         cleared.iter().for_each(|run| self.acquit(now, run.fingerprint));
         let is_news = self.ends.add(now, at, key, &runs, is_own);
--- a/oxbowbend-core/src/quarantine/records.rs
+++ b/oxbowbend-core/src/quarantine/records.rs
@@ -1,6 +1,6 @@
 //! What instances tell each other, and note in the store.
 
-use super::ends::Run;
+use super::ends::InterruptedAttempt;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
 
@@ -36,7 +36,7 @@
     pub age_ms: u32,
     /// What ran there.
     #[serde(rename = "r")]
-    pub attempts: Vec<Run>,
+    pub attempts: Vec<InterruptedAttempt>,
 }
 
 /// A decision on a request.
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::cell::Extent;
-use oxbowbend_core::quarantine::{DecisionRecord, Quarantine, Run, ENDS, SETTLE};
+use oxbowbend_core::quarantine::{DecisionRecord, InterruptedAttempt, Quarantine, ENDS, SETTLE};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -104,7 +104,7 @@
         let q = &mut self.instances[at];
         let others = is_beside.then_some(GOOD);
         for fingerprint in [BAD].into_iter().chain(others) {
-            let run = Run { fingerprint, is_quiet: true };
+            let run = InterruptedAttempt { fingerprint, is_quiet: true };
             q.broke_off(self.now, &"e".into(), self.next, run);
         }
         q.ended(self.now, self.next);
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -6,7 +6,7 @@
 use oxbowbend_core::cell::Outcome;
 use oxbowbend_core::fingerprint::Fingerprint;
 use oxbowbend_core::ids::EndpointKey;
-use oxbowbend_core::quarantine::{Change, Gate, Quarantine, QuarantineUpdate, Run};
+use oxbowbend_core::quarantine::{Change, Gate, InterruptedAttempt, Quarantine, QuarantineUpdate};
 use oxbowbend_core::routes::Endpoint;
 
 use crate::observe;
@@ -34,7 +34,7 @@
 
     /// Notes a run that broke off; tells whether its endpoint must be checked. One that leaves, or has left, may
     /// end without anybody's doing.
-    pub(crate) fn run_broke_off(&self, endpoint: &Endpoint, run: Run) -> bool {
+    pub(crate) fn run_broke_off(&self, endpoint: &Endpoint, run: InterruptedAttempt) -> bool {
         let (now, key) = (clock::now(), endpoint.key());
         let mut state = self.lock();
         let State { world, quarantine, .. } = &mut *state;
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -4,7 +4,7 @@
 
 use async_std::{future, task};
 use oxbowbend_clock as clock;
-use oxbowbend_core::quarantine::{Gate, Run};
+use oxbowbend_core::quarantine::{Gate, InterruptedAttempt};
 use oxbowbend_core::routes::Endpoint;
 use oxbowbend_http::h1;
 
@@ -49,7 +49,7 @@
     ///
     /// It goes on if the caller leaves meanwhile.
     pub(super) async fn check_end(&self, job: &Job, endpoint: &Endpoint, is_quiet: bool) {
-        let run = Run { fingerprint: job.fingerprint, is_quiet };
+        let run = InterruptedAttempt { fingerprint: job.fingerprint, is_quiet };
         if self.shared.run_broke_off(endpoint, run) {
             let (shared, pool) = (self.shared.clone(), self.pool.clone());
             task::spawn(check(shared, pool, endpoint.clone())).await;
