--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -24,18 +24,18 @@
     pub fingerprint: Fingerprint,
     /// Whether nothing had come of its answer yet. What ends an endpoint does so soon after it begins, so others
     /// of whose answer something had come did not.
-    pub is_quiet: bool,
+    pub awaiting_response: bool,
 }
 
 impl From<(Fingerprint, bool)> for InterruptedAttempt {
     fn from((fingerprint, is_quiet): (Fingerprint, bool)) -> InterruptedAttempt {
-        InterruptedAttempt { fingerprint, is_quiet }
+        InterruptedAttempt { fingerprint, awaiting_response: is_quiet }
     }
 }
 
 impl From<InterruptedAttempt> for (Fingerprint, bool) {
     fn from(run: InterruptedAttempt) -> (Fingerprint, bool) {
-        (run.fingerprint, run.is_quiet)
+        (run.fingerprint, run.awaiting_response)
     }
 }
 
@@ -63,14 +63,14 @@
 
     /// What is suspected of having ended it: that of whose answers nothing had come.
     pub(super) fn suspects(&self) -> impl Iterator<Item = Fingerprint> + '_ {
-        self.runs.iter().filter(|run| run.is_quiet).map(|run| run.fingerprint)
+        self.runs.iter().filter(|run| run.awaiting_response).map(|run| run.fingerprint)
     }
 
     fn add(&mut self, run: InterruptedAttempt) -> bool {
         let known = self.runs.iter_mut().find(|known| known.fingerprint == run.fingerprint);
         if let Some(known) = known {
-            let is_news = run.is_quiet && !known.is_quiet;
-            known.is_quiet |= run.is_quiet;
+            let is_news = run.awaiting_response && !known.awaiting_response;
+            known.awaiting_response |= run.awaiting_response;
             return is_news;
         }
         let has_room = self.runs.len() < MAX_RUNS;
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -115,7 +115,7 @@
 /// let (mut quarantine, now) = (Quarantine::new(&"i-1".into()), Instant::now());
 /// for endpoint in 0..3 {
 ///     assert_eq!(quarantine.gate(now, 7), Gate::Open);
-///     quarantine.broke_off(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, is_quiet: true });
+///     quarantine.broke_off(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, awaiting_response: true });
 ///     quarantine.ended(now, endpoint);
 /// }
 /// quarantine.settle(now + SETTLE);
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -25,8 +25,10 @@
 
 /// An endpoint ends, at which these ran for one instance; of those under `begun` something had come.
 fn end(q: &mut Quarantine, now: Instant, key: EndpointKey, quiet: &[u64], begun: &[u64]) {
-    let quiet = quiet.iter().map(|f| InterruptedAttempt { fingerprint: *f, is_quiet: true });
-    let begun = begun.iter().map(|f| InterruptedAttempt { fingerprint: *f, is_quiet: false });
+    let quiet =
+        quiet.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: true });
+    let begun =
+        begun.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: false });
     quiet.chain(begun).for_each(|run| q.broke_off(now, &"e".into(), key, run));
     q.ended(now, key);
     q.settle(now + SETTLE);
@@ -106,7 +108,7 @@
 #[test]
 fn a_broken_connection_is_no_end() {
     let (mut q, now) = (instance("a"), Instant::now());
-    let run = InterruptedAttempt { fingerprint: BAD, is_quiet: true };
+    let run = InterruptedAttempt { fingerprint: BAD, awaiting_response: true };
     for key in 0..10 {
         q.broke_off(now, &"e".into(), key, run);
     }
@@ -121,7 +123,12 @@
     let (mut q, now) = (instance("a"), Instant::now());
     for key in 0..ENDS as u32 {
         let endpoint = format!("e-{key}").as_str().into();
-        q.broke_off(now, &endpoint, key, InterruptedAttempt { fingerprint: BAD, is_quiet: true });
+        q.broke_off(
+            now,
+            &endpoint,
+            key,
+            InterruptedAttempt { fingerprint: BAD, awaiting_response: true },
+        );
         q.entry_changed(after(now, 1500), &endpoint);
     }
     q.settle(after(now, 1500) + SETTLE);
@@ -306,11 +313,16 @@
     let (mut a, mut b, now) = (instance("a"), instance("b"), Instant::now());
     for key in 0..ENDS as u32 {
         let at = after(now, u64::from(key) * 100);
-        let good = InterruptedAttempt { fingerprint: GOOD, is_quiet: true };
+        let good = InterruptedAttempt { fingerprint: GOOD, awaiting_response: true };
         a.broke_off(at, &"e".into(), key, good);
         a.ended(at, key);
         a.settle(at + Duration::from_millis(10));
-        b.broke_off(at, &"e".into(), key, InterruptedAttempt { fingerprint: BAD, is_quiet: true });
+        b.broke_off(
+            at,
+            &"e".into(),
+            key,
+            InterruptedAttempt { fingerprint: BAD, awaiting_response: true },
+        );
         b.ended(at, key);
     }
     // It is at one more end, without the other one.
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -104,7 +104,7 @@
         let q = &mut self.instances[at];
         let others = is_beside.then_some(GOOD);
         for fingerprint in [BAD].into_iter().chain(others) {
-            let run = InterruptedAttempt { fingerprint, is_quiet: true };
+            let run = InterruptedAttempt { fingerprint, awaiting_response: true };
             q.broke_off(self.now, &"e".into(), self.next, run);
         }
         q.ended(self.now, self.next);
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -49,7 +49,7 @@
     ///
     /// It goes on if the caller leaves meanwhile.
     pub(super) async fn check_end(&self, job: &Job, endpoint: &Endpoint, is_quiet: bool) {
-        let run = InterruptedAttempt { fingerprint: job.fingerprint, is_quiet };
+        let run = InterruptedAttempt { fingerprint: job.fingerprint, awaiting_response: is_quiet };
         if self.shared.run_broke_off(endpoint, run) {
             let (shared, pool) = (self.shared.clone(), self.pool.clone());
             task::spawn(check(shared, pool, endpoint.clone())).await;
