--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -10,7 +10,7 @@
 
 /// Ends that are kept, the newest: those of 13 s in which half of 160 endpoints end every 4 s. A request that ends
 /// endpoints that fast needs less than a second for three.
-const MAX_ENDS: usize = 256;
+const MAX_CRASHES: usize = 256;
 /// Requests that are kept of one end. Endpoints run 4 to 10 at once, and have some more in their queues.
 const MAX_RUNS: usize = 64;
 /// Ends that one report tells.
@@ -119,7 +119,7 @@
     ) -> bool {
         let known = self.all.iter().position(|end| end.endpoint == endpoint);
         let index = known.unwrap_or_else(|| {
-            if self.all.len() >= MAX_ENDS {
+            if self.all.len() >= MAX_CRASHES {
                 self.all.pop_front();
             }
             self.all.push_back(End {
