--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -12,7 +12,7 @@
 /// endpoints that fast needs less than a second for three.
 const MAX_CRASHES: usize = 256;
 /// Requests that are kept of one end. Endpoints run 4 to 10 at once, and have some more in their queues.
-const MAX_RUNS: usize = 64;
+const MAX_ATTEMPTS_PER_CRASH: usize = 64;
 /// Ends that one report tells.
 const MAX_TOLD: usize = 8;
 
@@ -73,7 +73,7 @@
             known.awaiting_response |= run.awaiting_response;
             return is_news;
         }
-        let has_room = self.runs.len() < MAX_RUNS;
+        let has_room = self.runs.len() < MAX_ATTEMPTS_PER_CRASH;
         self.runs.extend(has_room.then_some(run));
         has_room
     }
