--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -14,7 +14,7 @@
 /// Requests that are kept of one end. Endpoints run 4 to 10 at once, and have some more in their queues.
 const MAX_ATTEMPTS_PER_CRASH: usize = 64;
 /// Ends that one report tells.
-const MAX_TOLD: usize = 8;
+const MAX_RECORDS_PER_UPDATE: usize = 8;
 
 /// A run that broke off when its endpoint ended. It travels as a list of its parts in this order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
@@ -167,7 +167,7 @@
         let is_late = |end: &End| now.saturating_duration_since(end.learned) < lately;
         let is_again = |end: &End| end.is_own && end.suspects().any(|f| repeated.contains(&f));
         let is_told = |end: &&End| (is_late(end) && (end.is_own || passes_on)) || is_again(end);
-        let told = self.all.iter().rev().filter(is_told).take(MAX_TOLD);
+        let told = self.all.iter().rev().filter(is_told).take(MAX_RECORDS_PER_UPDATE);
         let told = told.map(|end| CrashRecord {
             endpoint: end.endpoint,
             age_ms: age_ms(now, end.at),
