--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -41,7 +41,7 @@
 
 /// One end of an endpoint.
 #[derive(Clone, Debug)]
-pub(super) struct End {
+pub(super) struct Crash {
     pub(super) endpoint: EndpointKey,
     at: Instant,
     /// When something was last learned of it.
@@ -55,7 +55,7 @@
     runs: Vec<InterruptedAttempt>,
 }
 
-impl End {
+impl Crash {
     /// All that ran there.
     pub(super) fn all(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.runs.iter().map(|run| run.fingerprint)
@@ -82,19 +82,19 @@
 /// The ends that are known, the oldest first.
 #[derive(Debug, Default)]
 pub(super) struct Ends {
-    all: VecDeque<End>,
+    all: VecDeque<Crash>,
 }
 
 impl Ends {
     /// Those of which it is known what ran there.
-    pub(super) fn settled(&self) -> impl Iterator<Item = &End> {
+    pub(super) fn settled(&self) -> impl Iterator<Item = &Crash> {
         self.all.iter().filter(|end| end.is_settled)
     }
 
     /// Settles what was learned of so long ago; tells whether there is something new to judge by.
     pub(super) fn settle(&mut self, now: Instant, after: Duration) -> bool {
         let is_due =
-            |end: &&mut End| !end.is_settled && now.saturating_duration_since(end.since) >= after;
+            |end: &&mut Crash| !end.is_settled && now.saturating_duration_since(end.since) >= after;
         let due = self.all.iter_mut().filter(is_due).map(|end| end.is_settled = true);
         due.count() > 0
     }
@@ -122,7 +122,7 @@
             if self.all.len() >= MAX_CRASHES {
                 self.all.pop_front();
             }
-            self.all.push_back(End {
+            self.all.push_back(Crash {
                 endpoint,
                 at,
                 learned: now,
@@ -164,9 +164,9 @@
         in_full: bool,
     ) -> Vec<CrashRecord> {
         let repeated = if in_full { self.repeated() } else { HashSet::new() };
-        let is_late = |end: &End| now.saturating_duration_since(end.learned) < lately;
-        let is_again = |end: &End| end.is_own && end.suspects().any(|f| repeated.contains(&f));
-        let is_told = |end: &&End| (is_late(end) && (end.is_own || passes_on)) || is_again(end);
+        let is_late = |end: &Crash| now.saturating_duration_since(end.learned) < lately;
+        let is_again = |end: &Crash| end.is_own && end.suspects().any(|f| repeated.contains(&f));
+        let is_told = |end: &&Crash| (is_late(end) && (end.is_own || passes_on)) || is_again(end);
         let told = self.all.iter().rev().filter(is_told).take(MAX_RECORDS_PER_UPDATE);
         let told = told.map(|end| CrashRecord {
             endpoint: end.endpoint,
@@ -179,6 +179,6 @@
     /// Requests that are suspected of several ends.
     fn repeated(&self) -> HashSet<Fingerprint> {
         let mut once = HashSet::new();
-        self.all.iter().flat_map(End::suspects).filter(|f| !once.insert(*f)).collect()
+        self.all.iter().flat_map(Crash::suspects).filter(|f| !once.insert(*f)).collect()
     }
 }
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::ends::{End, Ends};
+use super::ends::{Crash, Ends};
 use super::records::DecisionRecord;
 use super::{age_ms, Gate};
 use crate::fingerprint::Fingerprint;
@@ -228,7 +228,7 @@
 /// cleared when they are found.
 pub(super) fn judge(ends: &Ends, verdicts: &Verdicts) -> Judgement {
     let mut known: HashMap<Fingerprint, u32> = HashMap::new();
-    ends.settled().flat_map(End::all).for_each(|f| *known.entry(f).or_default() += 1);
+    ends.settled().flat_map(Crash::all).for_each(|f| *known.entry(f).or_default() += 1);
     let held: Vec<_> = known.keys().copied().filter(|f| verdicts.is_held(*f)).collect();
     // Of these not enough is known here to judge anew.
     let mut found: HashSet<_> = held.iter().copied().filter(|f| known[f] < ENDS as u32).collect();
