--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -81,11 +81,11 @@
 
 /// The ends that are known, the oldest first.
 #[derive(Debug, Default)]
-pub(super) struct Ends {
+pub(super) struct Crashes {
     all: VecDeque<Crash>,
 }
 
-impl Ends {
+impl Crashes {
     /// Those of which it is known what ran there.
     pub(super) fn settled(&self) -> impl Iterator<Item = &Crash> {
         self.all.iter().filter(|end| end.is_settled)
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -27,7 +27,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointId, EndpointKey, InstanceId};
 use answered::Answered;
-use ends::Ends;
+use ends::Crashes;
 use verdict::{Culprit, Judgement, Standing, Verdicts};
 
 /// Time before an end in which a good answer to the same request speaks for it: it is then served several times
@@ -124,7 +124,7 @@
 #[derive(Debug)]
 pub struct Quarantine {
     pending: Vec<Pending>,
-    ends: Ends,
+    ends: Crashes,
     answered: Answered,
     verdicts: Verdicts,
     /// Whether something was learned since it was last judged.
@@ -137,7 +137,7 @@
     pub fn new(me: &InstanceId) -> Quarantine {
         Quarantine {
             pending: Vec::new(),
-            ends: Ends::default(),
+            ends: Crashes::default(),
             answered: Answered::default(),
             verdicts: Verdicts::new(me),
             is_changed: false,
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::ends::{Crash, Ends};
+use super::ends::{Crash, Crashes};
 use super::records::DecisionRecord;
 use super::{age_ms, Gate};
 use crate::fingerprint::Fingerprint;
@@ -226,7 +226,7 @@
 /// Judges anew by all ends that are known. The request that was at most of them explains these, then the one
 /// that was at most of the rest, and so on: one that was taken for a culprit since it ran beside several of them is
 /// cleared when they are found.
-pub(super) fn judge(ends: &Ends, verdicts: &Verdicts) -> Judgement {
+pub(super) fn judge(ends: &Crashes, verdicts: &Verdicts) -> Judgement {
     let mut known: HashMap<Fingerprint, u32> = HashMap::new();
     ends.settled().flat_map(Crash::all).for_each(|f| *known.entry(f).or_default() += 1);
     let held: Vec<_> = known.keys().copied().filter(|f| verdicts.is_held(*f)).collect();
@@ -255,7 +255,7 @@
 /// It must be suspected of [`ENDS`] ends, and no other one may be suspected of all of them too: the two
 /// could not be told apart, and one more end tells. If it does not, both are held. Against requests that end
 /// endpoints late, when something has come of their answers, being at [`ENDS_BESIDE`] ends is enough.
-fn most_likely(ends: &Ends, found: &HashSet<Fingerprint>) -> Vec<Culprit> {
+fn most_likely(ends: &Crashes, found: &HashSet<Fingerprint>) -> Vec<Culprit> {
     let open = ends.settled().filter(|end| !end.all().any(|f| found.contains(&f)));
     let (mut suspected, mut beside) = (Tally::default(), Tally::default());
     for end in open {
