--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -45,7 +45,7 @@
     pub(super) endpoint: EndpointKey,
     at: Instant,
     /// When something was last learned of it.
-    learned: Instant,
+    updated_at: Instant,
     /// When it was first learned of.
     since: Instant,
     /// Whether what ran there is taken to be known.
@@ -125,7 +125,7 @@
             self.all.push_back(Crash {
                 endpoint,
                 at,
-                learned: now,
+                updated_at: now,
                 since: now,
                 is_settled: false,
                 is_own,
@@ -137,7 +137,7 @@
         end.is_own |= is_own;
         let added = runs.iter().filter(|run| end.add(**run)).count();
         if added > 0 {
-            end.learned = now;
+            end.updated_at = now;
         }
         added > 0 || known.is_none()
     }
@@ -164,7 +164,7 @@
         in_full: bool,
     ) -> Vec<CrashRecord> {
         let repeated = if in_full { self.repeated() } else { HashSet::new() };
-        let is_late = |end: &Crash| now.saturating_duration_since(end.learned) < lately;
+        let is_late = |end: &Crash| now.saturating_duration_since(end.updated_at) < lately;
         let is_again = |end: &Crash| end.is_own && end.suspects().any(|f| repeated.contains(&f));
         let is_told = |end: &&Crash| (is_late(end) && (end.is_own || passes_on)) || is_again(end);
         let told = self.all.iter().rev().filter(is_told).take(MAX_RECORDS_PER_UPDATE);
