--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -47,7 +47,7 @@
     /// When something was last learned of it.
     updated_at: Instant,
     /// When it was first learned of.
-    since: Instant,
+    first_seen_at: Instant,
     /// Whether what ran there is taken to be known.
     is_settled: bool,
     /// Whether this instance had a run there.
@@ -93,8 +93,9 @@
 
     /// Settles what was learned of so long ago; tells whether there is something new to judge by.
     pub(super) fn settle(&mut self, now: Instant, after: Duration) -> bool {
-        let is_due =
-            |end: &&mut Crash| !end.is_settled && now.saturating_duration_since(end.since) >= after;
+        let is_due = |end: &&mut Crash| {
+            !end.is_settled && now.saturating_duration_since(end.first_seen_at) >= after
+        };
         let due = self.all.iter_mut().filter(is_due).map(|end| end.is_settled = true);
         due.count() > 0
     }
@@ -126,7 +127,7 @@
                 endpoint,
                 at,
                 updated_at: now,
-                since: now,
+                first_seen_at: now,
                 is_settled: false,
                 is_own,
                 runs: Vec::new(),
