--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Crash {
     pub(super) endpoint: EndpointKey,
-    at: Instant,
+    crashed_at: Instant,
     /// When something was last learned of it.
     updated_at: Instant,
     /// When it was first learned of.
@@ -125,7 +125,7 @@
             }
             self.all.push_back(Crash {
                 endpoint,
-                at,
+                crashed_at: at,
                 updated_at: now,
                 first_seen_at: now,
                 is_settled: false,
@@ -146,7 +146,7 @@
     /// Takes a request off all ends up to an instant; tells whether it was there.
     pub(super) fn clear(&mut self, fingerprint: Fingerprint, until: Instant) -> bool {
         let mut was_there = false;
-        for end in self.all.iter_mut().filter(|end| end.at <= until) {
+        for end in self.all.iter_mut().filter(|end| end.crashed_at <= until) {
             let before = end.runs.len();
             end.runs.retain(|run| run.fingerprint != fingerprint);
             was_there |= end.runs.len() < before;
@@ -171,7 +171,7 @@
         let told = self.all.iter().rev().filter(is_told).take(MAX_RECORDS_PER_UPDATE);
         let told = told.map(|end| CrashRecord {
             endpoint: end.endpoint,
-            age_ms: age_ms(now, end.at),
+            age_ms: age_ms(now, end.crashed_at),
             attempts: end.runs.clone(),
         });
         told.collect()
