--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -51,7 +51,7 @@
     /// Whether what ran there is taken to be known.
     is_settled: bool,
     /// Whether this instance had a run there.
-    is_own: bool,
+    is_local: bool,
     runs: Vec<InterruptedAttempt>,
 }
 
@@ -129,13 +129,13 @@
                 updated_at: now,
                 first_seen_at: now,
                 is_settled: false,
-                is_own,
+                is_local: is_own,
                 runs: Vec::new(),
             });
             self.all.len() - 1
         });
         let end = &mut self.all[index];
-        end.is_own |= is_own;
+        end.is_local |= is_own;
         let added = runs.iter().filter(|run| end.add(**run)).count();
         if added > 0 {
             end.updated_at = now;
@@ -166,8 +166,8 @@
     ) -> Vec<CrashRecord> {
         let repeated = if in_full { self.repeated() } else { HashSet::new() };
         let is_late = |end: &Crash| now.saturating_duration_since(end.updated_at) < lately;
-        let is_again = |end: &Crash| end.is_own && end.suspects().any(|f| repeated.contains(&f));
-        let is_told = |end: &&Crash| (is_late(end) && (end.is_own || passes_on)) || is_again(end);
+        let is_again = |end: &Crash| end.is_local && end.suspects().any(|f| repeated.contains(&f));
+        let is_told = |end: &&Crash| (is_late(end) && (end.is_local || passes_on)) || is_again(end);
         let told = self.all.iter().rev().filter(is_told).take(MAX_RECORDS_PER_UPDATE);
         let told = told.map(|end| CrashRecord {
             endpoint: end.endpoint,
