--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -52,29 +52,29 @@
     is_settled: bool,
     /// Whether this instance had a run there.
     is_local: bool,
-    runs: Vec<InterruptedAttempt>,
+    attempts: Vec<InterruptedAttempt>,
 }
 
 impl Crash {
     /// All that ran there.
     pub(super) fn all(&self) -> impl Iterator<Item = Fingerprint> + '_ {
-        self.runs.iter().map(|run| run.fingerprint)
+        self.attempts.iter().map(|run| run.fingerprint)
     }
 
     /// What is suspected of having ended it: that of whose answers nothing had come.
     pub(super) fn suspects(&self) -> impl Iterator<Item = Fingerprint> + '_ {
-        self.runs.iter().filter(|run| run.awaiting_response).map(|run| run.fingerprint)
+        self.attempts.iter().filter(|run| run.awaiting_response).map(|run| run.fingerprint)
     }
 
     fn add(&mut self, run: InterruptedAttempt) -> bool {
-        let known = self.runs.iter_mut().find(|known| known.fingerprint == run.fingerprint);
+        let known = self.attempts.iter_mut().find(|known| known.fingerprint == run.fingerprint);
         if let Some(known) = known {
             let is_news = run.awaiting_response && !known.awaiting_response;
             known.awaiting_response |= run.awaiting_response;
             return is_news;
         }
-        let has_room = self.runs.len() < MAX_ATTEMPTS_PER_CRASH;
-        self.runs.extend(has_room.then_some(run));
+        let has_room = self.attempts.len() < MAX_ATTEMPTS_PER_CRASH;
+        self.attempts.extend(has_room.then_some(run));
         has_room
     }
 }
@@ -130,7 +130,7 @@
                 first_seen_at: now,
                 is_settled: false,
                 is_local: is_own,
-                runs: Vec::new(),
+                attempts: Vec::new(),
             });
             self.all.len() - 1
         });
@@ -147,9 +147,9 @@
     pub(super) fn clear(&mut self, fingerprint: Fingerprint, until: Instant) -> bool {
         let mut was_there = false;
         for end in self.all.iter_mut().filter(|end| end.crashed_at <= until) {
-            let before = end.runs.len();
-            end.runs.retain(|run| run.fingerprint != fingerprint);
-            was_there |= end.runs.len() < before;
+            let before = end.attempts.len();
+            end.attempts.retain(|run| run.fingerprint != fingerprint);
+            was_there |= end.attempts.len() < before;
         }
         was_there
     }
@@ -172,7 +172,7 @@
         let told = told.map(|end| CrashRecord {
             endpoint: end.endpoint,
             age_ms: age_ms(now, end.crashed_at),
-            attempts: end.runs.clone(),
+            attempts: end.attempts.clone(),
         });
         told.collect()
     }
