--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -57,7 +57,7 @@
 
 impl Crash {
     /// All that ran there.
-    pub(super) fn all(&self) -> impl Iterator<Item = Fingerprint> + '_ {
+    pub(super) fn fingerprints(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.attempts.iter().map(|run| run.fingerprint)
     }
 
@@ -106,7 +106,7 @@
 
     /// Whether a request was at an end.
     pub(super) fn names(&self, fingerprint: Fingerprint) -> bool {
-        self.all.iter().any(|end| end.all().any(|f| f == fingerprint))
+        self.all.iter().any(|end| end.fingerprints().any(|f| f == fingerprint))
     }
 
     /// Takes runs in of an end at `at`; tells whether something is new.
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -228,7 +228,7 @@
 /// cleared when they are found.
 pub(super) fn judge(ends: &Crashes, verdicts: &Verdicts) -> Judgement {
     let mut known: HashMap<Fingerprint, u32> = HashMap::new();
-    ends.settled().flat_map(Crash::all).for_each(|f| *known.entry(f).or_default() += 1);
+    ends.settled().flat_map(Crash::fingerprints).for_each(|f| *known.entry(f).or_default() += 1);
     let held: Vec<_> = known.keys().copied().filter(|f| verdicts.is_held(*f)).collect();
     // Of these not enough is known here to judge anew.
     let mut found: HashSet<_> = held.iter().copied().filter(|f| known[f] < ENDS as u32).collect();
@@ -242,8 +242,8 @@
         culprits.extend(next);
     }
     let is_explained = |f: &Fingerprint| {
-        let mut mine = ends.settled().filter(|end| end.all().any(|run| run == *f));
-        !found.contains(f) && mine.all(|end| end.all().any(|run| found.contains(&run)))
+        let mut mine = ends.settled().filter(|end| end.fingerprints().any(|run| run == *f));
+        !found.contains(f) && mine.all(|end| end.fingerprints().any(|run| found.contains(&run)))
     };
     let cleared = held.into_iter().filter(is_explained).collect();
     culprits.retain(|culprit| !verdicts.is_held(culprit.fingerprint));
@@ -256,11 +256,11 @@
 /// could not be told apart, and one more end tells. If it does not, both are held. Against requests that end
 /// endpoints late, when something has come of their answers, being at [`ENDS_BESIDE`] ends is enough.
 fn most_likely(ends: &Crashes, found: &HashSet<Fingerprint>) -> Vec<Culprit> {
-    let open = ends.settled().filter(|end| !end.all().any(|f| found.contains(&f)));
+    let open = ends.settled().filter(|end| !end.fingerprints().any(|f| found.contains(&f)));
     let (mut suspected, mut beside) = (Tally::default(), Tally::default());
     for end in open {
         end.suspects().for_each(|f| suspected.add(f, end.endpoint));
-        end.all().for_each(|f| beside.add(f, end.endpoint));
+        end.fingerprints().for_each(|f| beside.add(f, end.endpoint));
     }
     let suspects = suspected.most();
     let is_certain = suspects.len() == 1;
