--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -66,7 +66,7 @@
         self.attempts.iter().filter(|run| run.awaiting_response).map(|run| run.fingerprint)
     }
 
-    fn add(&mut self, run: InterruptedAttempt) -> bool {
+    fn add_attempt(&mut self, run: InterruptedAttempt) -> bool {
         let known = self.attempts.iter_mut().find(|known| known.fingerprint == run.fingerprint);
         if let Some(known) = known {
             let is_news = run.awaiting_response && !known.awaiting_response;
@@ -136,7 +136,7 @@
         });
         let end = &mut self.all[index];
         end.is_local |= is_own;
-        let added = runs.iter().filter(|run| end.add(**run)).count();
+        let added = runs.iter().filter(|run| end.add_attempt(**run)).count();
         if added > 0 {
             end.updated_at = now;
         }
