--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -82,13 +82,13 @@
 /// The ends that are known, the oldest first.
 #[derive(Debug, Default)]
 pub(super) struct Crashes {
-    all: VecDeque<Crash>,
+    crashes: VecDeque<Crash>,
 }
 
 impl Crashes {
     /// Those of which it is known what ran there.
     pub(super) fn settled(&self) -> impl Iterator<Item = &Crash> {
-        self.all.iter().filter(|end| end.is_settled)
+        self.crashes.iter().filter(|end| end.is_settled)
     }
 
     /// Settles what was learned of so long ago; tells whether there is something new to judge by.
@@ -96,17 +96,17 @@
         let is_due = |end: &&mut Crash| {
             !end.is_settled && now.saturating_duration_since(end.first_seen_at) >= after
         };
-        let due = self.all.iter_mut().filter(is_due).map(|end| end.is_settled = true);
+        let due = self.crashes.iter_mut().filter(is_due).map(|end| end.is_settled = true);
         due.count() > 0
     }
 
     pub(super) fn is_known(&self, endpoint: EndpointKey) -> bool {
-        self.all.iter().any(|end| end.endpoint == endpoint)
+        self.crashes.iter().any(|end| end.endpoint == endpoint)
     }
 
     /// Whether a request was at an end.
     pub(super) fn names(&self, fingerprint: Fingerprint) -> bool {
-        self.all.iter().any(|end| end.fingerprints().any(|f| f == fingerprint))
+        self.crashes.iter().any(|end| end.fingerprints().any(|f| f == fingerprint))
     }
 
     /// Takes runs in of an end at `at`; tells whether something is new.
@@ -118,12 +118,12 @@
         runs: &[InterruptedAttempt],
         is_own: bool,
     ) -> bool {
-        let known = self.all.iter().position(|end| end.endpoint == endpoint);
+        let known = self.crashes.iter().position(|end| end.endpoint == endpoint);
         let index = known.unwrap_or_else(|| {
-            if self.all.len() >= MAX_CRASHES {
-                self.all.pop_front();
+            if self.crashes.len() >= MAX_CRASHES {
+                self.crashes.pop_front();
             }
-            self.all.push_back(Crash {
+            self.crashes.push_back(Crash {
                 endpoint,
                 crashed_at: at,
                 updated_at: now,
@@ -132,9 +132,9 @@
                 is_local: is_own,
                 attempts: Vec::new(),
             });
-            self.all.len() - 1
+            self.crashes.len() - 1
         });
-        let end = &mut self.all[index];
+        let end = &mut self.crashes[index];
         end.is_local |= is_own;
         let added = runs.iter().filter(|run| end.add_attempt(**run)).count();
         if added > 0 {
@@ -146,7 +146,7 @@
     /// Takes a request off all ends up to an instant; tells whether it was there.
     pub(super) fn clear(&mut self, fingerprint: Fingerprint, until: Instant) -> bool {
         let mut was_there = false;
-        for end in self.all.iter_mut().filter(|end| end.crashed_at <= until) {
+        for end in self.crashes.iter_mut().filter(|end| end.crashed_at <= until) {
             let before = end.attempts.len();
             end.attempts.retain(|run| run.fingerprint != fingerprint);
             was_there |= end.attempts.len() < before;
@@ -168,7 +168,7 @@
         let is_late = |end: &Crash| now.saturating_duration_since(end.updated_at) < lately;
         let is_again = |end: &Crash| end.is_local && end.suspects().any(|f| repeated.contains(&f));
         let is_told = |end: &&Crash| (is_late(end) && (end.is_local || passes_on)) || is_again(end);
-        let told = self.all.iter().rev().filter(is_told).take(MAX_RECORDS_PER_UPDATE);
+        let told = self.crashes.iter().rev().filter(is_told).take(MAX_RECORDS_PER_UPDATE);
         let told = told.map(|end| CrashRecord {
             endpoint: end.endpoint,
             age_ms: age_ms(now, end.crashed_at),
@@ -180,6 +180,6 @@
     /// Requests that are suspected of several ends.
     fn repeated(&self) -> HashSet<Fingerprint> {
         let mut once = HashSet::new();
-        self.all.iter().flat_map(Crash::suspects).filter(|f| !once.insert(*f)).collect()
+        self.crashes.iter().flat_map(Crash::suspects).filter(|f| !once.insert(*f)).collect()
     }
 }
