--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -92,7 +92,7 @@
     }
 
     /// Settles what was learned of so long ago; tells whether there is something new to judge by.
-    pub(super) fn settle(&mut self, now: Instant, after: Duration) -> bool {
+    pub(super) fn mark_settled(&mut self, now: Instant, after: Duration) -> bool {
         let is_due = |end: &&mut Crash| {
             !end.is_settled && now.saturating_duration_since(end.first_seen_at) >= after
         };
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -118,7 +118,7 @@
 ///     quarantine.broke_off(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, awaiting_response: true });
 ///     quarantine.ended(now, endpoint);
 /// }
-/// quarantine.settle(now + SETTLE);
+/// quarantine.mark_settled(now + SETTLE);
 /// assert!(matches!(quarantine.gate(now, 7), Gate::Closed(_)));
 /// ```
 #[derive(Debug)]
@@ -314,7 +314,7 @@
 
     /// Judges by what is known of ends for [`SETTLE`]. To be called often, a few times in that.
     pub fn settle(&mut self, now: Instant) {
-        let is_settled = self.ends.settle(now, SETTLE);
+        let is_settled = self.ends.mark_settled(now, SETTLE);
         if is_settled || std::mem::take(&mut self.is_changed) {
             self.decide(now);
         }
