--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -105,7 +105,7 @@
     }
 
     /// Whether a request was at an end.
-    pub(super) fn names(&self, fingerprint: Fingerprint) -> bool {
+    pub(super) fn involves(&self, fingerprint: Fingerprint) -> bool {
         self.crashes.iter().any(|end| end.fingerprints().any(|f| f == fingerprint))
     }
 
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -342,7 +342,7 @@
     /// Lets the others know that a request was answered, and ends its quarantine if nothing is left against it.
     fn acquit(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.answered.tell_of(now, fingerprint);
-        if !self.ends.names(fingerprint) && self.verdicts.release(now, fingerprint) {
+        if !self.ends.involves(fingerprint) && self.verdicts.release(now, fingerprint) {
             self.changes.push(Change::Released { fingerprint });
         }
     }
