--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -110,7 +110,7 @@
     }
 
     /// Takes runs in of an end at `at`; tells whether something is new.
-    pub(super) fn add(
+    pub(super) fn record(
         &mut self,
         now: Instant,
         at: Instant,
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -304,7 +304,7 @@
             |run: &InterruptedAttempt| self.answered.was_since(run.fingerprint, floor);
         let (cleared, runs): (Vec<_>, Vec<_>) = runs.into_iter().partition(was_answered);
         cleared.iter().for_each(|run| self.acquit(now, run.fingerprint));
-        let is_news = self.ends.add(now, at, key, &runs, is_own);
+        let is_news = self.ends.record(now, at, key, &runs, is_own);
         if is_new_end {
             let suspects = runs.iter().map(|run| run.fingerprint).collect();
             self.changes.push(Change::Ended { endpoint: key, suspects, is_own });
