--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -144,7 +144,7 @@
     }
 
     /// Takes a request off all ends up to an instant; tells whether it was there.
-    pub(super) fn clear(&mut self, fingerprint: Fingerprint, until: Instant) -> bool {
+    pub(super) fn remove_request(&mut self, fingerprint: Fingerprint, until: Instant) -> bool {
         let mut was_there = false;
         for end in self.crashes.iter_mut().filter(|end| end.crashed_at <= until) {
             let before = end.attempts.len();
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -334,7 +334,7 @@
 
     /// Takes a request off the evidence up to a while after a good answer to it.
     fn clear(&mut self, now: Instant, fingerprint: Fingerprint, at: Instant) {
-        if self.ends.clear(fingerprint, at + ANSWERED_BEFORE) {
+        if self.ends.remove_request(fingerprint, at + ANSWERED_BEFORE) {
             self.acquit(now, fingerprint);
         }
     }
