--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -157,7 +157,7 @@
     /// The newest of which something was learned lately, here or, to be passed on, from others. `in_full` also older ones
     /// that this instance saw, if a request was at several that nobody else explains: who was cut off meanwhile does
     /// not know of them.
-    pub(super) fn tell(
+    pub(super) fn collect_records(
         &self,
         now: Instant,
         lately: Duration,
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -227,7 +227,7 @@
             Extent::Changes | Extent::Full => (ENDS_TOLD_FOR, TOLD_FOR),
         };
         QuarantineUpdate {
-            crashes: self.ends.tell(now, ends_for, passes_on, in_full),
+            crashes: self.ends.collect_records(now, ends_for, passes_on, in_full),
             decisions: self.verdicts.tell(now, rest_for, in_full),
             successes: self.answered.tell(now, rest_for),
         }
