--- a/oxbowbend-core/src/quarantine/ends.rs
+++ b/oxbowbend-core/src/quarantine/ends.rs
@@ -164,7 +164,7 @@
         passes_on: bool,
         in_full: bool,
     ) -> Vec<CrashRecord> {
-        let repeated = if in_full { self.repeated() } else { HashSet::new() };
+        let repeated = if in_full { self.repeat_suspects() } else { HashSet::new() };
         let is_late = |end: &Crash| now.saturating_duration_since(end.updated_at) < lately;
         let is_again = |end: &Crash| end.is_local && end.suspects().any(|f| repeated.contains(&f));
         let is_told = |end: &&Crash| (is_late(end) && (end.is_local || passes_on)) || is_again(end);
@@ -178,7 +178,7 @@
     }
 
     /// Requests that are suspected of several ends.
-    fn repeated(&self) -> HashSet<Fingerprint> {
+    fn repeat_suspects(&self) -> HashSet<Fingerprint> {
         let mut once = HashSet::new();
         self.crashes.iter().flat_map(Crash::suspects).filter(|f| !once.insert(*f)).collect()
     }
