--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -13,13 +13,13 @@
 //! What was traded: the first three endpoints are lost, and whoever was wrongly quarantined waits for a minute.
 
 mod answered;
-mod ends;
+mod crashes;
 mod records;
 mod verdict;
 
 use std::time::{Duration, Instant};
 
-pub use ends::InterruptedAttempt;
+pub use crashes::InterruptedAttempt;
 pub use records::{CrashRecord, DecisionRecord, QuarantineUpdate, SuccessRecord};
 pub use verdict::ENDS;
 
@@ -27,7 +27,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointId, EndpointKey, InstanceId};
 use answered::Answered;
-use ends::Crashes;
+use crashes::Crashes;
 use verdict::{Culprit, Judgement, Standing, Verdicts};
 
 /// Time before an end in which a good answer to the same request speaks for it: it is then served several times
--- a/oxbowbend-core/src/quarantine/records.rs
+++ b/oxbowbend-core/src/quarantine/records.rs
@@ -1,6 +1,6 @@
 //! What instances tell each other, and note in the store.
 
-use super::ends::InterruptedAttempt;
+use super::crashes::InterruptedAttempt;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
 
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::ends::{Crash, Crashes};
+use super::crashes::{Crash, Crashes};
 use super::records::DecisionRecord;
 use super::{age_ms, Gate};
 use crate::fingerprint::Fingerprint;
