--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -8,7 +8,7 @@
 
 /// Places of the table; a later request may take an earlier one's. With the 60 requests a second of a busy instance
 /// one in 25 is forgotten within the 3 s for which it counts.
-const PLACES: usize = 4096;
+const TABLE_SIZE: usize = 4096;
 /// Answers that one report tells.
 const MAX_TOLD: usize = 16;
 /// Answers that wait to be told.
@@ -31,7 +31,7 @@
 impl Default for Answered {
     fn default() -> Answered {
         let empty = Place { fingerprint: 0, at: None };
-        Answered { places: vec![empty; PLACES].into(), news: Vec::new() }
+        Answered { places: vec![empty; TABLE_SIZE].into(), news: Vec::new() }
     }
 }
 
@@ -83,5 +83,5 @@
 }
 
 fn index(fingerprint: Fingerprint) -> usize {
-    fingerprint as usize % PLACES
+    fingerprint as usize % TABLE_SIZE
 }
