--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -10,7 +10,7 @@
 /// one in 25 is forgotten within the 3 s for which it counts.
 const TABLE_SIZE: usize = 4096;
 /// Answers that one report tells.
-const MAX_TOLD: usize = 16;
+const MAX_RECORDS_PER_UPDATE: usize = 16;
 /// Answers that wait to be told.
 const MAX_NEWS: usize = 64;
 
@@ -74,10 +74,11 @@
 
     pub(super) fn tell(&mut self, now: Instant, lately: Duration) -> Vec<SuccessRecord> {
         self.news.retain(|(_, since)| now.saturating_duration_since(*since) < lately);
-        let told = self.news.iter().rev().take(MAX_TOLD).filter_map(|(fingerprint, _)| {
-            let at = self.at(*fingerprint)?;
-            Some(SuccessRecord { fingerprint: *fingerprint, age_ms: age_ms(now, at) })
-        });
+        let told =
+            self.news.iter().rev().take(MAX_RECORDS_PER_UPDATE).filter_map(|(fingerprint, _)| {
+                let at = self.at(*fingerprint)?;
+                Some(SuccessRecord { fingerprint: *fingerprint, age_ms: age_ms(now, at) })
+            });
         told.collect()
     }
 }
