--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -12,7 +12,7 @@
 /// Answers that one report tells.
 const MAX_RECORDS_PER_UPDATE: usize = 16;
 /// Answers that wait to be told.
-const MAX_NEWS: usize = 64;
+const MAX_QUEUED: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
 struct Place {
@@ -66,7 +66,7 @@
     /// Lets others know, who may hold an end against it.
     pub(super) fn tell_of(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.news.retain(|(known, _)| *known != fingerprint);
-        if self.news.len() >= MAX_NEWS {
+        if self.news.len() >= MAX_QUEUED {
             self.news.remove(0);
         }
         self.news.push((fingerprint, now));
