--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -15,7 +15,7 @@
 const MAX_QUEUED: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct TableEntry {
     fingerprint: Fingerprint,
     at: Option<Instant>,
 }
@@ -23,14 +23,14 @@
 /// When requests were last answered well.
 #[derive(Debug)]
 pub(super) struct Answered {
-    places: Box<[Place]>,
+    places: Box<[TableEntry]>,
     /// What others hold against a request that was answered, and since when they are told.
     news: Vec<(Fingerprint, Instant)>,
 }
 
 impl Default for Answered {
     fn default() -> Answered {
-        let empty = Place { fingerprint: 0, at: None };
+        let empty = TableEntry { fingerprint: 0, at: None };
         Answered { places: vec![empty; TABLE_SIZE].into(), news: Vec::new() }
     }
 }
@@ -40,7 +40,7 @@
         let place = &mut self.places[index(fingerprint)];
         let is_later = place.fingerprint == fingerprint && place.at.is_some_and(|known| known > at);
         if !is_later {
-            *place = Place { fingerprint, at: Some(at) };
+            *place = TableEntry { fingerprint, at: Some(at) };
         }
     }
 
