--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -22,20 +22,20 @@
 
 /// When requests were last answered well.
 #[derive(Debug)]
-pub(super) struct Answered {
+pub(super) struct RecentSuccesses {
     places: Box<[TableEntry]>,
     /// What others hold against a request that was answered, and since when they are told.
     news: Vec<(Fingerprint, Instant)>,
 }
 
-impl Default for Answered {
-    fn default() -> Answered {
+impl Default for RecentSuccesses {
+    fn default() -> RecentSuccesses {
         let empty = TableEntry { fingerprint: 0, at: None };
-        Answered { places: vec![empty; TABLE_SIZE].into(), news: Vec::new() }
+        RecentSuccesses { places: vec![empty; TABLE_SIZE].into(), news: Vec::new() }
     }
 }
 
-impl Answered {
+impl RecentSuccesses {
     pub(super) fn note(&mut self, at: Instant, fingerprint: Fingerprint) {
         let place = &mut self.places[index(fingerprint)];
         let is_later = place.fingerprint == fingerprint && place.at.is_some_and(|known| known > at);
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -26,7 +26,7 @@
 use crate::cell::Extent;
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointId, EndpointKey, InstanceId};
-use answered::Answered;
+use answered::RecentSuccesses;
 use crashes::Crashes;
 use verdict::{Culprit, Judgement, Standing, Verdicts};
 
@@ -125,7 +125,7 @@
 pub struct Quarantine {
     pending: Vec<Pending>,
     ends: Crashes,
-    answered: Answered,
+    answered: RecentSuccesses,
     verdicts: Verdicts,
     /// Whether something was learned since it was last judged.
     is_changed: bool,
@@ -138,7 +138,7 @@
         Quarantine {
             pending: Vec::new(),
             ends: Crashes::default(),
-            answered: Answered::default(),
+            answered: RecentSuccesses::default(),
             verdicts: Verdicts::new(me),
             is_changed: false,
             changes: Vec::new(),
