--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 struct TableEntry {
     fingerprint: Fingerprint,
-    at: Option<Instant>,
+    succeeded_at: Option<Instant>,
 }
 
 /// When requests were last answered well.
@@ -30,7 +30,7 @@
 
 impl Default for RecentSuccesses {
     fn default() -> RecentSuccesses {
-        let empty = TableEntry { fingerprint: 0, at: None };
+        let empty = TableEntry { fingerprint: 0, succeeded_at: None };
         RecentSuccesses { places: vec![empty; TABLE_SIZE].into(), news: Vec::new() }
     }
 }
@@ -38,9 +38,10 @@
 impl RecentSuccesses {
     pub(super) fn note(&mut self, at: Instant, fingerprint: Fingerprint) {
         let place = &mut self.places[index(fingerprint)];
-        let is_later = place.fingerprint == fingerprint && place.at.is_some_and(|known| known > at);
+        let is_later =
+            place.fingerprint == fingerprint && place.succeeded_at.is_some_and(|known| known > at);
         if !is_later {
-            *place = TableEntry { fingerprint, at: Some(at) };
+            *place = TableEntry { fingerprint, succeeded_at: Some(at) };
         }
     }
 
@@ -55,7 +56,7 @@
 
     fn at(&self, fingerprint: Fingerprint) -> Option<Instant> {
         let place = &self.places[index(fingerprint)];
-        place.at.filter(|_| place.fingerprint == fingerprint)
+        place.succeeded_at.filter(|_| place.fingerprint == fingerprint)
     }
 
     /// Whether a request was answered well since an instant.
