--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -23,7 +23,7 @@
 /// When requests were last answered well.
 #[derive(Debug)]
 pub(super) struct RecentSuccesses {
-    places: Box<[TableEntry]>,
+    table: Box<[TableEntry]>,
     /// What others hold against a request that was answered, and since when they are told.
     news: Vec<(Fingerprint, Instant)>,
 }
@@ -31,13 +31,13 @@
 impl Default for RecentSuccesses {
     fn default() -> RecentSuccesses {
         let empty = TableEntry { fingerprint: 0, succeeded_at: None };
-        RecentSuccesses { places: vec![empty; TABLE_SIZE].into(), news: Vec::new() }
+        RecentSuccesses { table: vec![empty; TABLE_SIZE].into(), news: Vec::new() }
     }
 }
 
 impl RecentSuccesses {
     pub(super) fn note(&mut self, at: Instant, fingerprint: Fingerprint) {
-        let place = &mut self.places[index(fingerprint)];
+        let place = &mut self.table[index(fingerprint)];
         let is_later =
             place.fingerprint == fingerprint && place.succeeded_at.is_some_and(|known| known > at);
         if !is_later {
@@ -55,7 +55,7 @@
     }
 
     fn at(&self, fingerprint: Fingerprint) -> Option<Instant> {
-        let place = &self.places[index(fingerprint)];
+        let place = &self.table[index(fingerprint)];
         place.succeeded_at.filter(|_| place.fingerprint == fingerprint)
     }
 
