--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -25,13 +25,13 @@
 pub(super) struct RecentSuccesses {
     table: Box<[TableEntry]>,
     /// What others hold against a request that was answered, and since when they are told.
-    news: Vec<(Fingerprint, Instant)>,
+    queued: Vec<(Fingerprint, Instant)>,
 }
 
 impl Default for RecentSuccesses {
     fn default() -> RecentSuccesses {
         let empty = TableEntry { fingerprint: 0, succeeded_at: None };
-        RecentSuccesses { table: vec![empty; TABLE_SIZE].into(), news: Vec::new() }
+        RecentSuccesses { table: vec![empty; TABLE_SIZE].into(), queued: Vec::new() }
     }
 }
 
@@ -66,17 +66,17 @@
 
     /// Lets others know, who may hold an end against it.
     pub(super) fn tell_of(&mut self, now: Instant, fingerprint: Fingerprint) {
-        self.news.retain(|(known, _)| *known != fingerprint);
-        if self.news.len() >= MAX_QUEUED {
-            self.news.remove(0);
+        self.queued.retain(|(known, _)| *known != fingerprint);
+        if self.queued.len() >= MAX_QUEUED {
+            self.queued.remove(0);
         }
-        self.news.push((fingerprint, now));
+        self.queued.push((fingerprint, now));
     }
 
     pub(super) fn tell(&mut self, now: Instant, lately: Duration) -> Vec<SuccessRecord> {
-        self.news.retain(|(_, since)| now.saturating_duration_since(*since) < lately);
+        self.queued.retain(|(_, since)| now.saturating_duration_since(*since) < lately);
         let told =
-            self.news.iter().rev().take(MAX_RECORDS_PER_UPDATE).filter_map(|(fingerprint, _)| {
+            self.queued.iter().rev().take(MAX_RECORDS_PER_UPDATE).filter_map(|(fingerprint, _)| {
                 let at = self.at(*fingerprint)?;
                 Some(SuccessRecord { fingerprint: *fingerprint, age_ms: age_ms(now, at) })
             });
