--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -36,7 +36,7 @@
 }
 
 impl RecentSuccesses {
-    pub(super) fn note(&mut self, at: Instant, fingerprint: Fingerprint) {
+    pub(super) fn record(&mut self, at: Instant, fingerprint: Fingerprint) {
         let place = &mut self.table[index(fingerprint)];
         let is_later =
             place.fingerprint == fingerprint && place.succeeded_at.is_some_and(|known| known > at);
@@ -49,7 +49,7 @@
     pub(super) fn told(&mut self, now: Instant, fingerprint: Fingerprint, at: Instant) -> bool {
         let is_known = self.at(fingerprint).is_some_and(|known| known >= at);
         if !is_known {
-            self.note(at.min(now), fingerprint);
+            self.record(at.min(now), fingerprint);
         }
         !is_known
     }
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -209,7 +209,7 @@
 
     /// Notes a good answer to a request.
     pub fn answered(&mut self, now: Instant, fingerprint: Fingerprint) {
-        self.answered.note(now, fingerprint);
+        self.answered.record(now, fingerprint);
         self.clear(now, fingerprint, now);
         if self.verdicts.release(now, fingerprint) {
             self.answered.tell_of(now, fingerprint);
