--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -46,7 +46,12 @@
     }
 
     /// Notes what another instance tells; returns whether it is news.
-    pub(super) fn told(&mut self, now: Instant, fingerprint: Fingerprint, at: Instant) -> bool {
+    pub(super) fn record_remote(
+        &mut self,
+        now: Instant,
+        fingerprint: Fingerprint,
+        at: Instant,
+    ) -> bool {
         let is_known = self.at(fingerprint).is_some_and(|known| known >= at);
         if !is_known {
             self.record(at.min(now), fingerprint);
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -238,7 +238,7 @@
     pub fn hear(&mut self, now: Instant, told: &QuarantineUpdate) -> Vec<EndpointKey> {
         for answer in &told.successes {
             let at = before(now, answer.age_ms);
-            if self.answered.told(now, answer.fingerprint, at) {
+            if self.answered.record_remote(now, answer.fingerprint, at) {
                 self.clear(now, answer.fingerprint, at);
             }
         }
