--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -52,21 +52,21 @@
         fingerprint: Fingerprint,
         at: Instant,
     ) -> bool {
-        let is_known = self.at(fingerprint).is_some_and(|known| known >= at);
+        let is_known = self.last_success(fingerprint).is_some_and(|known| known >= at);
         if !is_known {
             self.record(at.min(now), fingerprint);
         }
         !is_known
     }
 
-    fn at(&self, fingerprint: Fingerprint) -> Option<Instant> {
+    fn last_success(&self, fingerprint: Fingerprint) -> Option<Instant> {
         let place = &self.table[index(fingerprint)];
         place.succeeded_at.filter(|_| place.fingerprint == fingerprint)
     }
 
     /// Whether a request was answered well since an instant.
     pub(super) fn was_since(&self, fingerprint: Fingerprint, since: Instant) -> bool {
-        self.at(fingerprint).is_some_and(|at| at >= since)
+        self.last_success(fingerprint).is_some_and(|at| at >= since)
     }
 
     /// Lets others know, who may hold an end against it.
@@ -82,7 +82,7 @@
         self.queued.retain(|(_, since)| now.saturating_duration_since(*since) < lately);
         let told =
             self.queued.iter().rev().take(MAX_RECORDS_PER_UPDATE).filter_map(|(fingerprint, _)| {
-                let at = self.at(*fingerprint)?;
+                let at = self.last_success(*fingerprint)?;
                 Some(SuccessRecord { fingerprint: *fingerprint, age_ms: age_ms(now, at) })
             });
         told.collect()
