--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -65,7 +65,7 @@
     }
 
     /// Whether a request was answered well since an instant.
-    pub(super) fn was_since(&self, fingerprint: Fingerprint, since: Instant) -> bool {
+    pub(super) fn succeeded_since(&self, fingerprint: Fingerprint, since: Instant) -> bool {
         self.last_success(fingerprint).is_some_and(|at| at >= since)
     }
 
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -301,7 +301,7 @@
         let is_new_end = !self.ends.is_known(key);
         let floor = at.checked_sub(ANSWERED_BEFORE).unwrap_or(at);
         let was_answered =
-            |run: &InterruptedAttempt| self.answered.was_since(run.fingerprint, floor);
+            |run: &InterruptedAttempt| self.answered.succeeded_since(run.fingerprint, floor);
         let (cleared, runs): (Vec<_>, Vec<_>) = runs.into_iter().partition(was_answered);
         cleared.iter().for_each(|run| self.acquit(now, run.fingerprint));
         let is_news = self.ends.record(now, at, key, &runs, is_own);
