--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -70,7 +70,7 @@
     }
 
     /// Lets others know, who may hold an end against it.
-    pub(super) fn tell_of(&mut self, now: Instant, fingerprint: Fingerprint) {
+    pub(super) fn queue_for_gossip(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.queued.retain(|(known, _)| *known != fingerprint);
         if self.queued.len() >= MAX_QUEUED {
             self.queued.remove(0);
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -212,7 +212,7 @@
         self.answered.record(now, fingerprint);
         self.clear(now, fingerprint, now);
         if self.verdicts.release(now, fingerprint) {
-            self.answered.tell_of(now, fingerprint);
+            self.answered.queue_for_gossip(now, fingerprint);
             self.changes.push(Change::Released { fingerprint });
         }
     }
@@ -341,7 +341,7 @@
 
     /// Lets the others know that a request was answered, and ends its quarantine if nothing is left against it.
     fn acquit(&mut self, now: Instant, fingerprint: Fingerprint) {
-        self.answered.tell_of(now, fingerprint);
+        self.answered.queue_for_gossip(now, fingerprint);
         if !self.ends.involves(fingerprint) && self.verdicts.release(now, fingerprint) {
             self.changes.push(Change::Released { fingerprint });
         }
