--- a/oxbowbend-core/src/quarantine/answered.rs
+++ b/oxbowbend-core/src/quarantine/answered.rs
@@ -78,7 +78,7 @@
         self.queued.push((fingerprint, now));
     }
 
-    pub(super) fn tell(&mut self, now: Instant, lately: Duration) -> Vec<SuccessRecord> {
+    pub(super) fn collect_records(&mut self, now: Instant, lately: Duration) -> Vec<SuccessRecord> {
         self.queued.retain(|(_, since)| now.saturating_duration_since(*since) < lately);
         let told =
             self.queued.iter().rev().take(MAX_RECORDS_PER_UPDATE).filter_map(|(fingerprint, _)| {
