--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -12,9 +12,9 @@
 //!
 //! What was traded: the first three endpoints are lost, and whoever was wrongly quarantined waits for a minute.
 
-mod answered;
 mod crashes;
 mod records;
+mod successes;
 mod verdict;
 
 use std::time::{Duration, Instant};
@@ -26,8 +26,8 @@
 use crate::cell::Extent;
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointId, EndpointKey, InstanceId};
-use answered::RecentSuccesses;
 use crashes::Crashes;
+use successes::RecentSuccesses;
 use verdict::{Culprit, Judgement, Standing, Verdicts};
 
 /// Time before an end in which a good answer to the same request speaks for it: it is then served several times
