--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -21,7 +21,7 @@
 
 pub use crashes::InterruptedAttempt;
 pub use records::{CrashRecord, DecisionRecord, QuarantineUpdate, SuccessRecord};
-pub use verdict::ENDS;
+pub use verdict::CRASH_THRESHOLD;
 
 use crate::cell::Extent;
 use crate::fingerprint::Fingerprint;
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -12,7 +12,7 @@
 use crate::ids::{EndpointKey, InstanceId};
 
 /// Ends that a request must be suspected of.
-pub const ENDS: usize = 3;
+pub const CRASH_THRESHOLD: usize = 3;
 /// Ends among whose requests it was, whatever had come of its answers, if it is in as many as any other. Streams that
 /// are continued elsewhere three times and come back once were beside six at most.
 const ENDS_BESIDE: usize = 5;
@@ -231,7 +231,8 @@
     ends.settled().flat_map(Crash::fingerprints).for_each(|f| *known.entry(f).or_default() += 1);
     let held: Vec<_> = known.keys().copied().filter(|f| verdicts.is_held(*f)).collect();
     // Of these not enough is known here to judge anew.
-    let mut found: HashSet<_> = held.iter().copied().filter(|f| known[f] < ENDS as u32).collect();
+    let mut found: HashSet<_> =
+        held.iter().copied().filter(|f| known[f] < CRASH_THRESHOLD as u32).collect();
     let mut culprits = Vec::new();
     loop {
         let next = most_likely(ends, &found);
@@ -252,7 +253,7 @@
 
 /// The request that must have ended most endpoints at whose end none of those found was.
 ///
-/// It must be suspected of [`ENDS`] ends, and no other one may be suspected of all of them too: the two
+/// It must be suspected of [`CRASH_THRESHOLD`] ends, and no other one may be suspected of all of them too: the two
 /// could not be told apart, and one more end tells. If it does not, both are held. Against requests that end
 /// endpoints late, when something has come of their answers, being at [`ENDS_BESIDE`] ends is enough.
 fn most_likely(ends: &Crashes, found: &HashSet<Fingerprint>) -> Vec<Culprit> {
@@ -264,7 +265,9 @@
     }
     let suspects = suspected.most();
     let is_certain = suspects.len() == 1;
-    if suspects.first().is_some_and(|s| s.ends.len() >= if is_certain { ENDS } else { ENDS + 1 }) {
+    if suspects.first().is_some_and(|s| {
+        s.ends.len() >= if is_certain { CRASH_THRESHOLD } else { CRASH_THRESHOLD + 1 }
+    }) {
         return suspects;
     }
     let is_enough = |culprit: &Culprit| culprit.ends.len() >= ENDS_BESIDE;
@@ -286,7 +289,7 @@
     /// one: whoever is alone can be told from the others.
     fn most(&self) -> Vec<Culprit> {
         let most = self.ends.values().map(Vec::len).max().unwrap_or(0);
-        if most < ENDS {
+        if most < CRASH_THRESHOLD {
             return Vec::new();
         }
         let groups = self.ends.values().filter(|ends| ends.len() == most);
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use oxbowbend_core::cell::Extent;
 use oxbowbend_core::ids::EndpointKey;
 use oxbowbend_core::quarantine::{
-    Change, DecisionRecord, Gate, InterruptedAttempt, Quarantine, ENDS, SETTLE,
+    Change, DecisionRecord, Gate, InterruptedAttempt, Quarantine, CRASH_THRESHOLD, SETTLE,
 };
 
 /// A request that ends endpoints, and others.
@@ -121,7 +121,7 @@
 #[test]
 fn an_entry_that_goes_soon_after_tells_of_an_end() {
     let (mut q, now) = (instance("a"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         let endpoint = format!("e-{key}").as_str().into();
         q.broke_off(
             now,
@@ -143,7 +143,7 @@
         if answered <= 5000 {
             b.answered(after(now, answered), BAD);
         }
-        for key in 0..ENDS as u32 {
+        for key in 0..CRASH_THRESHOLD as u32 {
             end(&mut a, after(now, 5000), key, &[BAD], &[]);
         }
         if answered > 5000 {
@@ -173,7 +173,7 @@
 #[test]
 fn a_good_answer_of_what_was_sent_before_ends_a_quarantine_everywhere() {
     let (mut a, mut b, mut c, now) = (instance("a"), instance("b"), instance("c"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut a, now, key, &[GOOD], &[]);
     }
     exchange(now, &mut a, &mut b);
@@ -195,7 +195,7 @@
 #[test]
 fn one_trial_at_a_time_each_later_than_the_last() {
     let (mut a, mut b, mut now) = (instance("a"), instance("b"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut a, now, key, &[BAD], &[]);
     }
     exchange(now, &mut a, &mut b);
@@ -222,7 +222,7 @@
 #[test]
 fn a_trial_that_is_answered_ends_the_quarantine() {
     let (mut q, now) = (instance("a"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut q, now, key, &[GOOD], &[]);
     }
     assert_eq!(q.gate(now + TRIAL, GOOD), Gate::Trial);
@@ -237,7 +237,7 @@
 #[test]
 fn what_was_noted_outlasts_all_instances() {
     let (mut a, now) = (instance("a"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut a, now, key, &[BAD], &[]);
     }
     let noted = a.notes(now, false);
@@ -252,7 +252,7 @@
 #[test]
 fn what_is_known_is_bounded_and_held_requests_stay() {
     let (mut q, now) = (instance("a"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut q, now, key, &[BAD], &[]);
     }
     for n in 0..3_000_u64 {
@@ -270,19 +270,19 @@
 #[test]
 fn each_change_is_told_to_the_log_once() {
     let (mut a, mut b, now) = (instance("a"), instance("b"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut a, now, key, &[BAD, WORSE], &[GOOD]);
         end(&mut a, now, 10 + key, &[WORSE], &[]);
     }
     let changes = a.take_changes();
-    let held = |c: &&Change| matches!(c, Change::Quarantined { ends, .. } if ends.len() >= ENDS);
+    let held = |c: &&Change| matches!(c, Change::Quarantined { ends, .. } if ends.len() >= CRASH_THRESHOLD);
     let ended = |c: &&Change| matches!(c, Change::Ended { is_own: true, .. });
     assert_eq!(changes.iter().filter(held).count(), 1, "{changes:?}");
-    assert_eq!(changes.iter().filter(ended).count(), 2 * ENDS, "{changes:?}");
+    assert_eq!(changes.iter().filter(ended).count(), 2 * CRASH_THRESHOLD, "{changes:?}");
     exchange(now, &mut a, &mut b);
     exchange(now, &mut a, &mut b);
     let told = b.take_changes();
-    assert_eq!(told.len(), 1 + 2 * ENDS, "{told:?}");
+    assert_eq!(told.len(), 1 + 2 * CRASH_THRESHOLD, "{told:?}");
     assert_eq!(a.take_changes(), []);
 }
 
@@ -311,7 +311,7 @@
 #[test]
 fn nobody_is_judged_before_others_have_told_what_ran_there() {
     let (mut a, mut b, now) = (instance("a"), instance("b"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         let at = after(now, u64::from(key) * 100);
         let good = InterruptedAttempt { fingerprint: GOOD, awaiting_response: true };
         a.broke_off(at, &"e".into(), key, good);
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -6,7 +6,9 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::cell::Extent;
-use oxbowbend_core::quarantine::{DecisionRecord, InterruptedAttempt, Quarantine, ENDS, SETTLE};
+use oxbowbend_core::quarantine::{
+    DecisionRecord, InterruptedAttempt, Quarantine, CRASH_THRESHOLD, SETTLE,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -136,13 +138,16 @@
         for at in 0..INSTANCES {
             let heard: Vec<_> = self.seen.iter().filter(|(by, _)| side(*by) == side(at)).collect();
             let alone = heard.iter().filter(|(_, is_beside)| !is_beside).count();
-            let is_told = heard.len() > ENDS || (heard.len() == ENDS && alone > 0);
+            let is_told =
+                heard.len() > CRASH_THRESHOLD || (heard.len() == CRASH_THRESHOLD && alone > 0);
             let is_closed = |f| self.instances[at].closed_for(self.now, f).is_some();
             if (is_told || (was_noted && self.seen.is_empty())) && !is_closed(BAD) {
                 broken.push(format!("{at} lets it pass, having heard of {heard:?}"));
             }
             let beside = self.seen.iter().filter(|(_, is_beside)| *is_beside).count();
-            if beside < ENDS && self.noted.iter().all(|v| v.fingerprint != GOOD) && is_closed(GOOD)
+            if beside < CRASH_THRESHOLD
+                && self.noted.iter().all(|v| v.fingerprint != GOOD)
+                && is_closed(GOOD)
             {
                 broken.push(format!("{at} holds the other one, beside {beside} ends"));
             }
