--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -15,7 +15,7 @@
 pub const CRASH_THRESHOLD: usize = 3;
 /// Ends among whose requests it was, whatever had come of its answers, if it is in as many as any other. Streams that
 /// are continued elsewhere three times and come back once were beside six at most.
-const ENDS_BESIDE: usize = 5;
+const PRESENCE_THRESHOLD: usize = 5;
 /// First time until a trial, and the longest one. A trial that ends its endpoint costs it some 4 s and what runs
 /// there: one in fifteen of an endpoint's time.
 const PAUSE: (Duration, Duration) = (Duration::from_secs(60), Duration::from_secs(3600));
@@ -255,7 +255,7 @@
 ///
 /// It must be suspected of [`CRASH_THRESHOLD`] ends, and no other one may be suspected of all of them too: the two
 /// could not be told apart, and one more end tells. If it does not, both are held. Against requests that end
-/// endpoints late, when something has come of their answers, being at [`ENDS_BESIDE`] ends is enough.
+/// endpoints late, when something has come of their answers, being at [`PRESENCE_THRESHOLD`] ends is enough.
 fn most_likely(ends: &Crashes, found: &HashSet<Fingerprint>) -> Vec<Culprit> {
     let open = ends.settled().filter(|end| !end.fingerprints().any(|f| found.contains(&f)));
     let (mut suspected, mut beside) = (Tally::default(), Tally::default());
@@ -270,7 +270,7 @@
     }) {
         return suspects;
     }
-    let is_enough = |culprit: &Culprit| culprit.ends.len() >= ENDS_BESIDE;
+    let is_enough = |culprit: &Culprit| culprit.ends.len() >= PRESENCE_THRESHOLD;
     beside.most().into_iter().filter(is_enough).collect()
 }
 
