--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -18,7 +18,8 @@
 const PRESENCE_THRESHOLD: usize = 5;
 /// First time until a trial, and the longest one. A trial that ends its endpoint costs it some 4 s and what runs
 /// there: one in fifteen of an endpoint's time.
-const PAUSE: (Duration, Duration) = (Duration::from_secs(60), Duration::from_secs(3600));
+const TRIAL_DELAY_RANGE: (Duration, Duration) =
+    (Duration::from_secs(60), Duration::from_secs(3600));
 /// Time by which instances' trials are apart, so that one has told the others before the next would begin: word
 /// takes 0.01 s within a cell and 0.5 s beyond it.
 const SPREAD: Duration = Duration::from_secs(10);
@@ -137,7 +138,9 @@
             return None;
         }
         self.make_room(now);
-        let left = told.remaining_ms.map(|ms| Duration::from_millis(u64::from(ms)).min(PAUSE.1));
+        let left = told
+            .remaining_ms
+            .map(|ms| Duration::from_millis(u64::from(ms)).min(TRIAL_DELAY_RANGE.1));
         let verdict = Verdict {
             epoch: told.epoch,
             trials: told.trials,
@@ -211,7 +214,7 @@
 
 /// Time until the next trial after so many.
 fn pause(trials: u32) -> Duration {
-    (PAUSE.0 * (1 << trials.min(6))).min(PAUSE.1)
+    (TRIAL_DELAY_RANGE.0 * (1 << trials.min(6))).min(TRIAL_DELAY_RANGE.1)
 }
 
 /// What the ends that are known come to.
