--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -22,7 +22,7 @@
     (Duration::from_secs(60), Duration::from_secs(3600));
 /// Time by which instances' trials are apart, so that one has told the others before the next would begin: word
 /// takes 0.01 s within a cell and 0.5 s beyond it.
-const SPREAD: Duration = Duration::from_secs(10);
+const MAX_TRIAL_JITTER: Duration = Duration::from_secs(10);
 /// Decisions that are kept: 0.4 MB. Those go first that are over, then those whose time ends first.
 const MAX_VERDICTS: usize = 4096;
 /// Decisions that one report tells beside the new ones, and the store is given.
@@ -107,7 +107,7 @@
     /// By how much this instance's trial is later than the first one might be.
     fn spread(&self, fingerprint: Fingerprint) -> Duration {
         let hash = xxh3_64_with_seed(&fingerprint.to_be_bytes(), self.seed);
-        SPREAD.mul_f64((hash >> 32) as f64 / f64::from(u32::MAX))
+        MAX_TRIAL_JITTER.mul_f64((hash >> 32) as f64 / f64::from(u32::MAX))
     }
 
     /// Quarantines a request; returns for how long.
