--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -24,7 +24,7 @@
 /// takes 0.01 s within a cell and 0.5 s beyond it.
 const MAX_TRIAL_JITTER: Duration = Duration::from_secs(10);
 /// Decisions that are kept: 0.4 MB. Those go first that are over, then those whose time ends first.
-const MAX_VERDICTS: usize = 4096;
+const MAX_DECISIONS: usize = 4096;
 /// Decisions that one report tells beside the new ones, and the store is given.
 const MAX_TOLD: usize = 16;
 /// Time after its trial is due, or its end, for which a decision is kept.
@@ -157,13 +157,13 @@
             let over = v.until.unwrap_or(v.changed).max(v.changed);
             now.saturating_duration_since(over) < FORGET
         };
-        if self.all.len() < MAX_VERDICTS {
+        if self.all.len() < MAX_DECISIONS {
             return;
         }
         self.all.retain(|_, v| is_kept(v));
         let first =
             self.all.iter().min_by_key(|(_, v)| v.until).map(|(fingerprint, _)| *fingerprint);
-        if self.all.len() >= MAX_VERDICTS {
+        if self.all.len() >= MAX_DECISIONS {
             first.map(|fingerprint| self.all.remove(&fingerprint));
         }
     }
