--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -26,7 +26,7 @@
 /// Decisions that are kept: 0.4 MB. Those go first that are over, then those whose time ends first.
 const MAX_DECISIONS: usize = 4096;
 /// Decisions that one report tells beside the new ones, and the store is given.
-const MAX_TOLD: usize = 16;
+const MAX_RECORDS_PER_UPDATE: usize = 16;
 /// Time after its trial is due, or its end, for which a decision is kept.
 const FORGET: Duration = Duration::from_secs(3600);
 
@@ -175,10 +175,14 @@
         in_full: bool,
     ) -> Vec<DecisionRecord> {
         let is_late = |v: &Verdict| now.saturating_duration_since(v.changed) < lately;
-        let late = self.all.iter().filter(|(_, v)| is_late(v)).take(MAX_TOLD);
+        let late = self.all.iter().filter(|(_, v)| is_late(v)).take(MAX_RECORDS_PER_UPDATE);
         let mut told: Vec<_> = late.map(|(f, v)| v.told(now, *f)).collect();
         if in_full {
-            let rest = self.all.range(self.next..).filter(|(_, v)| !is_late(v)).take(MAX_TOLD);
+            let rest = self
+                .all
+                .range(self.next..)
+                .filter(|(_, v)| !is_late(v))
+                .take(MAX_RECORDS_PER_UPDATE);
             let rest: Vec<_> = rest.map(|(f, v)| v.told(now, *f)).collect();
             self.next = rest.last().map_or(0, |last| last.fingerprint.wrapping_add(1));
             told.extend(rest);
@@ -190,7 +194,7 @@
         let is_noted = |v: &Verdict| v.until.is_some() && (all || v.is_own);
         let mut noted: Vec<_> = self.all.iter().filter(|(_, v)| is_noted(v)).collect();
         noted.sort_by_key(|(_, v)| std::cmp::Reverse(v.changed));
-        let noted = noted.into_iter().take(MAX_TOLD);
+        let noted = noted.into_iter().take(MAX_RECORDS_PER_UPDATE);
         // Whoever reads it does not know how old it is: its time begins anew, and the note stays as it is.
         let note = |f: Fingerprint, v: &Verdict| DecisionRecord {
             remaining_ms: Some(pause(v.trials).as_millis() as u32),
