--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -28,7 +28,7 @@
 /// Decisions that one report tells beside the new ones, and the store is given.
 const MAX_RECORDS_PER_UPDATE: usize = 16;
 /// Time after its trial is due, or its end, for which a decision is kept.
-const FORGET: Duration = Duration::from_secs(3600);
+const DECISION_RETENTION: Duration = Duration::from_secs(3600);
 
 /// A request that ended endpoints.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -155,7 +155,7 @@
     fn make_room(&mut self, now: Instant) {
         let is_kept = |v: &Verdict| {
             let over = v.until.unwrap_or(v.changed).max(v.changed);
-            now.saturating_duration_since(over) < FORGET
+            now.saturating_duration_since(over) < DECISION_RETENTION
         };
         if self.all.len() < MAX_DECISIONS {
             return;
