--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -28,7 +28,7 @@
 use crate::ids::{EndpointId, EndpointKey, InstanceId};
 use crashes::Crashes;
 use successes::RecentSuccesses;
-use verdict::{Culprit, Judgement, Standing, Verdicts};
+use verdict::{CrashCause, Judgement, Standing, Verdicts};
 
 /// Time before an end in which a good answer to the same request speaks for it: it is then served several times
 /// in the time in which three endpoints can end under it.
@@ -322,7 +322,7 @@
 
     fn decide(&mut self, now: Instant) {
         let Judgement { culprits, cleared } = verdict::judge(&self.ends, &self.verdicts);
-        for Culprit { fingerprint, ends } in culprits {
+        for CrashCause { fingerprint, ends } in culprits {
             let pause = self.verdicts.hold(now, fingerprint);
             self.changes.push(Change::Quarantined { fingerprint, ends, pause });
         }
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -32,7 +32,7 @@
 
 /// A request that ended endpoints.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) struct Culprit {
+pub(super) struct CrashCause {
     pub(super) fingerprint: Fingerprint,
     pub(super) ends: Vec<EndpointKey>,
 }
@@ -225,7 +225,7 @@
 #[derive(Debug)]
 pub(super) struct Judgement {
     /// Requests to be held.
-    pub(super) culprits: Vec<Culprit>,
+    pub(super) culprits: Vec<CrashCause>,
     /// Requests that are held, and of whose ends each has another culprit.
     pub(super) cleared: Vec<Fingerprint>,
 }
@@ -263,7 +263,7 @@
 /// It must be suspected of [`CRASH_THRESHOLD`] ends, and no other one may be suspected of all of them too: the two
 /// could not be told apart, and one more end tells. If it does not, both are held. Against requests that end
 /// endpoints late, when something has come of their answers, being at [`PRESENCE_THRESHOLD`] ends is enough.
-fn most_likely(ends: &Crashes, found: &HashSet<Fingerprint>) -> Vec<Culprit> {
+fn most_likely(ends: &Crashes, found: &HashSet<Fingerprint>) -> Vec<CrashCause> {
     let open = ends.settled().filter(|end| !end.fingerprints().any(|f| found.contains(&f)));
     let (mut suspected, mut beside) = (Tally::default(), Tally::default());
     for end in open {
@@ -277,7 +277,7 @@
     }) {
         return suspects;
     }
-    let is_enough = |culprit: &Culprit| culprit.ends.len() >= PRESENCE_THRESHOLD;
+    let is_enough = |culprit: &CrashCause| culprit.ends.len() >= PRESENCE_THRESHOLD;
     beside.most().into_iter().filter(is_enough).collect()
 }
 
@@ -294,7 +294,7 @@
 
     /// The request with most ends, with those that were at all of them too. Of several such groups it is a smallest
     /// one: whoever is alone can be told from the others.
-    fn most(&self) -> Vec<Culprit> {
+    fn most(&self) -> Vec<CrashCause> {
         let most = self.ends.values().map(Vec::len).max().unwrap_or(0);
         if most < CRASH_THRESHOLD {
             return Vec::new();
@@ -305,10 +305,10 @@
     }
 
     /// Requests that were at all of these ends, in order.
-    fn alike(&self, ends: &[EndpointKey]) -> Vec<Culprit> {
+    fn alike(&self, ends: &[EndpointKey]) -> Vec<CrashCause> {
         let is_like = |theirs: &&Vec<EndpointKey>| ends.iter().all(|end| theirs.contains(end));
         let alike = self.ends.iter().filter(|(_, theirs)| is_like(theirs));
-        let alike = alike.map(|(f, ends)| Culprit { fingerprint: *f, ends: ends.clone() });
+        let alike = alike.map(|(f, ends)| CrashCause { fingerprint: *f, ends: ends.clone() });
         let mut alike: Vec<_> = alike.collect();
         alike.sort_by_key(|culprit| culprit.fingerprint);
         alike
