--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct CrashCause {
     pub(super) fingerprint: Fingerprint,
-    pub(super) ends: Vec<EndpointKey>,
+    pub(super) crashes: Vec<EndpointKey>,
 }
 
 /// What a decision says.
@@ -273,11 +273,11 @@
     let suspects = suspected.most();
     let is_certain = suspects.len() == 1;
     if suspects.first().is_some_and(|s| {
-        s.ends.len() >= if is_certain { CRASH_THRESHOLD } else { CRASH_THRESHOLD + 1 }
+        s.crashes.len() >= if is_certain { CRASH_THRESHOLD } else { CRASH_THRESHOLD + 1 }
     }) {
         return suspects;
     }
-    let is_enough = |culprit: &CrashCause| culprit.ends.len() >= PRESENCE_THRESHOLD;
+    let is_enough = |culprit: &CrashCause| culprit.crashes.len() >= PRESENCE_THRESHOLD;
     beside.most().into_iter().filter(is_enough).collect()
 }
 
@@ -308,7 +308,7 @@
     fn alike(&self, ends: &[EndpointKey]) -> Vec<CrashCause> {
         let is_like = |theirs: &&Vec<EndpointKey>| ends.iter().all(|end| theirs.contains(end));
         let alike = self.ends.iter().filter(|(_, theirs)| is_like(theirs));
-        let alike = alike.map(|(f, ends)| CrashCause { fingerprint: *f, ends: ends.clone() });
+        let alike = alike.map(|(f, ends)| CrashCause { fingerprint: *f, crashes: ends.clone() });
         let mut alike: Vec<_> = alike.collect();
         alike.sort_by_key(|culprit| culprit.fingerprint);
         alike
