--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -28,7 +28,7 @@
 use crate::ids::{EndpointId, EndpointKey, InstanceId};
 use crashes::Crashes;
 use successes::RecentSuccesses;
-use verdict::{CrashCause, Judgement, Standing, Verdicts};
+use verdict::{CrashCause, DecisionOutcome, Judgement, Verdicts};
 
 /// Time before an end in which a good answer to the same request speaks for it: it is then served several times
 /// in the time in which three endpoints can end under it.
@@ -258,14 +258,14 @@
     pub fn hear_verdicts(&mut self, now: Instant, verdicts: &[DecisionRecord]) {
         for told in verdicts {
             match self.verdicts.hear(now, told) {
-                Some(Standing::Released) => {
+                Some(DecisionOutcome::Released) => {
                     self.changes.push(Change::Released { fingerprint: told.fingerprint });
                 }
-                Some(Standing::Held(pause)) if told.trials == 0 => {
+                Some(DecisionOutcome::Held(pause)) if told.trials == 0 => {
                     let (fingerprint, ends) = (told.fingerprint, Vec::new());
                     self.changes.push(Change::Quarantined { fingerprint, ends, pause });
                 }
-                Some(Standing::Held(_)) => {
+                Some(DecisionOutcome::Held(_)) => {
                     let (fingerprint, trials) = (told.fingerprint, told.trials);
                     self.changes.push(Change::Trial { fingerprint, trials });
                 }
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -39,7 +39,7 @@
 
 /// What a decision says.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Standing {
+pub(super) enum DecisionOutcome {
     /// It is held for this long.
     Held(Duration),
     /// It may be sent.
@@ -129,7 +129,7 @@
     }
 
     /// Takes in what another instance or the store tells; returns what it says if that is news.
-    pub(super) fn hear(&mut self, now: Instant, told: &DecisionRecord) -> Option<Standing> {
+    pub(super) fn hear(&mut self, now: Instant, told: &DecisionRecord) -> Option<DecisionOutcome> {
         let known = self.all.get(&told.fingerprint);
         let order = |epoch, is_over, trials| (epoch, is_over, trials);
         let theirs = order(told.epoch, told.remaining_ms.is_none(), told.trials);
@@ -149,7 +149,7 @@
             is_own: false,
         };
         self.all.insert(told.fingerprint, verdict);
-        Some(left.map_or(Standing::Released, Standing::Held))
+        Some(left.map_or(DecisionOutcome::Released, DecisionOutcome::Held))
     }
 
     fn make_room(&mut self, now: Instant) {
