--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -261,11 +261,11 @@
                 Some(DecisionOutcome::Released) => {
                     self.changes.push(Change::Released { fingerprint: told.fingerprint });
                 }
-                Some(DecisionOutcome::Held(pause)) if told.trials == 0 => {
+                Some(DecisionOutcome::Quarantined(pause)) if told.trials == 0 => {
                     let (fingerprint, ends) = (told.fingerprint, Vec::new());
                     self.changes.push(Change::Quarantined { fingerprint, ends, pause });
                 }
-                Some(DecisionOutcome::Held(_)) => {
+                Some(DecisionOutcome::Quarantined(_)) => {
                     let (fingerprint, trials) = (told.fingerprint, told.trials);
                     self.changes.push(Change::Trial { fingerprint, trials });
                 }
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum DecisionOutcome {
     /// It is held for this long.
-    Held(Duration),
+    Quarantined(Duration),
     /// It may be sent.
     Released,
 }
@@ -149,7 +149,7 @@
             is_own: false,
         };
         self.all.insert(told.fingerprint, verdict);
-        Some(left.map_or(DecisionOutcome::Released, DecisionOutcome::Held))
+        Some(left.map_or(DecisionOutcome::Released, DecisionOutcome::Quarantined))
     }
 
     fn make_room(&mut self, now: Instant) {
