--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Verdict {
+struct Decision {
     epoch: u32,
     trials: u32,
     /// When the next trial is due; none if it is over.
@@ -60,7 +60,7 @@
 /// All decisions.
 #[derive(Debug)]
 pub(super) struct Verdicts {
-    all: BTreeMap<Fingerprint, Verdict>,
+    all: BTreeMap<Fingerprint, Decision>,
     seed: u64,
     /// Where the next full report goes on.
     next: Fingerprint,
@@ -115,7 +115,7 @@
         self.make_room(now);
         let epoch = self.all.get(&fingerprint).map_or(0, |v| v.epoch) + 1;
         let until = Some(now + pause(0));
-        let verdict = Verdict { epoch, trials: 0, until, changed: now, is_own: true };
+        let verdict = Decision { epoch, trials: 0, until, changed: now, is_own: true };
         self.all.insert(fingerprint, verdict);
         pause(0)
     }
@@ -141,7 +141,7 @@
         let left = told
             .remaining_ms
             .map(|ms| Duration::from_millis(u64::from(ms)).min(TRIAL_DELAY_RANGE.1));
-        let verdict = Verdict {
+        let verdict = Decision {
             epoch: told.epoch,
             trials: told.trials,
             until: left.map(|left| now + left),
@@ -153,7 +153,7 @@
     }
 
     fn make_room(&mut self, now: Instant) {
-        let is_kept = |v: &Verdict| {
+        let is_kept = |v: &Decision| {
             let over = v.until.unwrap_or(v.changed).max(v.changed);
             now.saturating_duration_since(over) < DECISION_RETENTION
         };
@@ -174,7 +174,7 @@
         lately: Duration,
         in_full: bool,
     ) -> Vec<DecisionRecord> {
-        let is_late = |v: &Verdict| now.saturating_duration_since(v.changed) < lately;
+        let is_late = |v: &Decision| now.saturating_duration_since(v.changed) < lately;
         let late = self.all.iter().filter(|(_, v)| is_late(v)).take(MAX_RECORDS_PER_UPDATE);
         let mut told: Vec<_> = late.map(|(f, v)| v.told(now, *f)).collect();
         if in_full {
@@ -191,12 +191,12 @@
     }
 
     pub(super) fn notes(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
-        let is_noted = |v: &Verdict| v.until.is_some() && (all || v.is_own);
+        let is_noted = |v: &Decision| v.until.is_some() && (all || v.is_own);
         let mut noted: Vec<_> = self.all.iter().filter(|(_, v)| is_noted(v)).collect();
         noted.sort_by_key(|(_, v)| std::cmp::Reverse(v.changed));
         let noted = noted.into_iter().take(MAX_RECORDS_PER_UPDATE);
         // Whoever reads it does not know how old it is: its time begins anew, and the note stays as it is.
-        let note = |f: Fingerprint, v: &Verdict| DecisionRecord {
+        let note = |f: Fingerprint, v: &Decision| DecisionRecord {
             remaining_ms: Some(pause(v.trials).as_millis() as u32),
             ..v.told(now, f)
         };
@@ -204,7 +204,7 @@
     }
 }
 
-impl Verdict {
+impl Decision {
     fn told(&self, now: Instant, fingerprint: Fingerprint) -> DecisionRecord {
         let left_ms = self.until.map(|until| age_ms(until, now));
         DecisionRecord {
