--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -28,7 +28,7 @@
 use crate::ids::{EndpointId, EndpointKey, InstanceId};
 use crashes::Crashes;
 use successes::RecentSuccesses;
-use verdict::{CrashCause, DecisionOutcome, Judgement, Verdicts};
+use verdict::{CrashCause, DecisionOutcome, Decisions, Judgement};
 
 /// Time before an end in which a good answer to the same request speaks for it: it is then served several times
 /// in the time in which three endpoints can end under it.
@@ -126,7 +126,7 @@
     pending: Vec<Pending>,
     ends: Crashes,
     answered: RecentSuccesses,
-    verdicts: Verdicts,
+    verdicts: Decisions,
     /// Whether something was learned since it was last judged.
     is_changed: bool,
     changes: Vec<Change>,
@@ -139,7 +139,7 @@
             pending: Vec::new(),
             ends: Crashes::default(),
             answered: RecentSuccesses::default(),
-            verdicts: Verdicts::new(me),
+            verdicts: Decisions::new(me),
             is_changed: false,
             changes: Vec::new(),
         }
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -59,16 +59,16 @@
 
 /// All decisions.
 #[derive(Debug)]
-pub(super) struct Verdicts {
+pub(super) struct Decisions {
     all: BTreeMap<Fingerprint, Decision>,
     seed: u64,
     /// Where the next full report goes on.
     next: Fingerprint,
 }
 
-impl Verdicts {
-    pub(super) fn new(me: &InstanceId) -> Verdicts {
-        Verdicts { all: BTreeMap::new(), seed: xxh3_64_with_seed(me.as_bytes(), 0), next: 0 }
+impl Decisions {
+    pub(super) fn new(me: &InstanceId) -> Decisions {
+        Decisions { all: BTreeMap::new(), seed: xxh3_64_with_seed(me.as_bytes(), 0), next: 0 }
     }
 
     fn is_held(&self, fingerprint: Fingerprint) -> bool {
@@ -233,7 +233,7 @@
 /// Judges anew by all ends that are known. The request that was at most of them explains these, then the one
 /// that was at most of the rest, and so on: one that was taken for a culprit since it ran beside several of them is
 /// cleared when they are found.
-pub(super) fn judge(ends: &Crashes, verdicts: &Verdicts) -> Judgement {
+pub(super) fn judge(ends: &Crashes, verdicts: &Decisions) -> Judgement {
     let mut known: HashMap<Fingerprint, u32> = HashMap::new();
     ends.settled().flat_map(Crash::fingerprints).for_each(|f| *known.entry(f).or_default() += 1);
     let held: Vec<_> = known.keys().copied().filter(|f| verdicts.is_held(*f)).collect();
