--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -51,7 +51,7 @@
     epoch: u32,
     trials: u32,
     /// When the next trial is due; none if it is over.
-    until: Option<Instant>,
+    trial_due: Option<Instant>,
     changed: Instant,
     /// Whether this instance came to it.
     is_own: bool,
@@ -72,12 +72,12 @@
     }
 
     fn is_held(&self, fingerprint: Fingerprint) -> bool {
-        self.all.get(&fingerprint).is_some_and(|v| v.until.is_some())
+        self.all.get(&fingerprint).is_some_and(|v| v.trial_due.is_some())
     }
 
     /// Requests in quarantine.
     pub(super) fn all_held(&self) -> impl Iterator<Item = Fingerprint> + '_ {
-        self.all.iter().filter(|(_, v)| v.until.is_some()).map(|(fingerprint, _)| *fingerprint)
+        self.all.iter().filter(|(_, v)| v.trial_due.is_some()).map(|(fingerprint, _)| *fingerprint)
     }
 
     pub(super) fn trials(&self, fingerprint: Fingerprint) -> u32 {
@@ -85,7 +85,7 @@
     }
 
     pub(super) fn closed_for(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
-        let until = self.all.get(&fingerprint)?.until? + self.spread(fingerprint);
+        let until = self.all.get(&fingerprint)?.trial_due? + self.spread(fingerprint);
         (now < until).then(|| until - now)
     }
 
@@ -93,11 +93,11 @@
         if let Some(left) = self.closed_for(now, fingerprint) {
             return Gate::Closed(left);
         }
-        match self.all.get_mut(&fingerprint).filter(|v| v.until.is_some()) {
+        match self.all.get_mut(&fingerprint).filter(|v| v.trial_due.is_some()) {
             None => Gate::Open,
             Some(verdict) => {
                 verdict.trials += 1;
-                verdict.until = Some(now + pause(verdict.trials));
+                verdict.trial_due = Some(now + pause(verdict.trials));
                 (verdict.changed, verdict.is_own) = (now, true);
                 Gate::Trial
             }
@@ -115,16 +115,16 @@
         self.make_room(now);
         let epoch = self.all.get(&fingerprint).map_or(0, |v| v.epoch) + 1;
         let until = Some(now + pause(0));
-        let verdict = Decision { epoch, trials: 0, until, changed: now, is_own: true };
+        let verdict = Decision { epoch, trials: 0, trial_due: until, changed: now, is_own: true };
         self.all.insert(fingerprint, verdict);
         pause(0)
     }
 
     /// Ends a quarantine; tells whether there was one.
     pub(super) fn release(&mut self, now: Instant, fingerprint: Fingerprint) -> bool {
-        let held = self.all.get_mut(&fingerprint).filter(|v| v.until.is_some());
+        let held = self.all.get_mut(&fingerprint).filter(|v| v.trial_due.is_some());
         let Some(verdict) = held else { return false };
-        (verdict.until, verdict.changed, verdict.is_own) = (None, now, true);
+        (verdict.trial_due, verdict.changed, verdict.is_own) = (None, now, true);
         true
     }
 
@@ -133,7 +133,8 @@
         let known = self.all.get(&told.fingerprint);
         let order = |epoch, is_over, trials| (epoch, is_over, trials);
         let theirs = order(told.epoch, told.remaining_ms.is_none(), told.trials);
-        let is_old = known.is_some_and(|v| order(v.epoch, v.until.is_none(), v.trials) >= theirs);
+        let is_old =
+            known.is_some_and(|v| order(v.epoch, v.trial_due.is_none(), v.trials) >= theirs);
         if is_old || (known.is_none() && told.remaining_ms.is_none()) {
             return None;
         }
@@ -144,7 +145,7 @@
         let verdict = Decision {
             epoch: told.epoch,
             trials: told.trials,
-            until: left.map(|left| now + left),
+            trial_due: left.map(|left| now + left),
             changed: now,
             is_own: false,
         };
@@ -154,7 +155,7 @@
 
     fn make_room(&mut self, now: Instant) {
         let is_kept = |v: &Decision| {
-            let over = v.until.unwrap_or(v.changed).max(v.changed);
+            let over = v.trial_due.unwrap_or(v.changed).max(v.changed);
             now.saturating_duration_since(over) < DECISION_RETENTION
         };
         if self.all.len() < MAX_DECISIONS {
@@ -162,7 +163,7 @@
         }
         self.all.retain(|_, v| is_kept(v));
         let first =
-            self.all.iter().min_by_key(|(_, v)| v.until).map(|(fingerprint, _)| *fingerprint);
+            self.all.iter().min_by_key(|(_, v)| v.trial_due).map(|(fingerprint, _)| *fingerprint);
         if self.all.len() >= MAX_DECISIONS {
             first.map(|fingerprint| self.all.remove(&fingerprint));
         }
@@ -191,7 +192,7 @@
     }
 
     pub(super) fn notes(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
-        let is_noted = |v: &Decision| v.until.is_some() && (all || v.is_own);
+        let is_noted = |v: &Decision| v.trial_due.is_some() && (all || v.is_own);
         let mut noted: Vec<_> = self.all.iter().filter(|(_, v)| is_noted(v)).collect();
         noted.sort_by_key(|(_, v)| std::cmp::Reverse(v.changed));
         let noted = noted.into_iter().take(MAX_RECORDS_PER_UPDATE);
@@ -206,7 +207,7 @@
 
 impl Decision {
     fn told(&self, now: Instant, fingerprint: Fingerprint) -> DecisionRecord {
-        let left_ms = self.until.map(|until| age_ms(until, now));
+        let left_ms = self.trial_due.map(|until| age_ms(until, now));
         DecisionRecord {
             fingerprint,
             epoch: self.epoch,
