--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -52,7 +52,7 @@
     trials: u32,
     /// When the next trial is due; none if it is over.
     trial_due: Option<Instant>,
-    changed: Instant,
+    updated_at: Instant,
     /// Whether this instance came to it.
     is_own: bool,
 }
@@ -98,7 +98,7 @@
             Some(verdict) => {
                 verdict.trials += 1;
                 verdict.trial_due = Some(now + pause(verdict.trials));
-                (verdict.changed, verdict.is_own) = (now, true);
+                (verdict.updated_at, verdict.is_own) = (now, true);
                 Gate::Trial
             }
         }
@@ -115,7 +115,8 @@
         self.make_room(now);
         let epoch = self.all.get(&fingerprint).map_or(0, |v| v.epoch) + 1;
         let until = Some(now + pause(0));
-        let verdict = Decision { epoch, trials: 0, trial_due: until, changed: now, is_own: true };
+        let verdict =
+            Decision { epoch, trials: 0, trial_due: until, updated_at: now, is_own: true };
         self.all.insert(fingerprint, verdict);
         pause(0)
     }
@@ -124,7 +125,7 @@
     pub(super) fn release(&mut self, now: Instant, fingerprint: Fingerprint) -> bool {
         let held = self.all.get_mut(&fingerprint).filter(|v| v.trial_due.is_some());
         let Some(verdict) = held else { return false };
-        (verdict.trial_due, verdict.changed, verdict.is_own) = (None, now, true);
+        (verdict.trial_due, verdict.updated_at, verdict.is_own) = (None, now, true);
         true
     }
 
@@ -146,7 +147,7 @@
             epoch: told.epoch,
             trials: told.trials,
             trial_due: left.map(|left| now + left),
-            changed: now,
+            updated_at: now,
             is_own: false,
         };
         self.all.insert(told.fingerprint, verdict);
@@ -155,7 +156,7 @@
 
     fn make_room(&mut self, now: Instant) {
         let is_kept = |v: &Decision| {
-            let over = v.trial_due.unwrap_or(v.changed).max(v.changed);
+            let over = v.trial_due.unwrap_or(v.updated_at).max(v.updated_at);
             now.saturating_duration_since(over) < DECISION_RETENTION
         };
         if self.all.len() < MAX_DECISIONS {
@@ -175,7 +176,7 @@
         lately: Duration,
         in_full: bool,
     ) -> Vec<DecisionRecord> {
-        let is_late = |v: &Decision| now.saturating_duration_since(v.changed) < lately;
+        let is_late = |v: &Decision| now.saturating_duration_since(v.updated_at) < lately;
         let late = self.all.iter().filter(|(_, v)| is_late(v)).take(MAX_RECORDS_PER_UPDATE);
         let mut told: Vec<_> = late.map(|(f, v)| v.told(now, *f)).collect();
         if in_full {
@@ -194,7 +195,7 @@
     pub(super) fn notes(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
         let is_noted = |v: &Decision| v.trial_due.is_some() && (all || v.is_own);
         let mut noted: Vec<_> = self.all.iter().filter(|(_, v)| is_noted(v)).collect();
-        noted.sort_by_key(|(_, v)| std::cmp::Reverse(v.changed));
+        noted.sort_by_key(|(_, v)| std::cmp::Reverse(v.updated_at));
         let noted = noted.into_iter().take(MAX_RECORDS_PER_UPDATE);
         // Whoever reads it does not know how old it is: its time begins anew, and the note stays as it is.
         let note = |f: Fingerprint, v: &Decision| DecisionRecord {
