--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -54,7 +54,7 @@
     trial_due: Option<Instant>,
     updated_at: Instant,
     /// Whether this instance came to it.
-    is_own: bool,
+    is_local: bool,
 }
 
 /// All decisions.
@@ -98,7 +98,7 @@
             Some(verdict) => {
                 verdict.trials += 1;
                 verdict.trial_due = Some(now + pause(verdict.trials));
-                (verdict.updated_at, verdict.is_own) = (now, true);
+                (verdict.updated_at, verdict.is_local) = (now, true);
                 Gate::Trial
             }
         }
@@ -116,7 +116,7 @@
         let epoch = self.all.get(&fingerprint).map_or(0, |v| v.epoch) + 1;
         let until = Some(now + pause(0));
         let verdict =
-            Decision { epoch, trials: 0, trial_due: until, updated_at: now, is_own: true };
+            Decision { epoch, trials: 0, trial_due: until, updated_at: now, is_local: true };
         self.all.insert(fingerprint, verdict);
         pause(0)
     }
@@ -125,7 +125,7 @@
     pub(super) fn release(&mut self, now: Instant, fingerprint: Fingerprint) -> bool {
         let held = self.all.get_mut(&fingerprint).filter(|v| v.trial_due.is_some());
         let Some(verdict) = held else { return false };
-        (verdict.trial_due, verdict.updated_at, verdict.is_own) = (None, now, true);
+        (verdict.trial_due, verdict.updated_at, verdict.is_local) = (None, now, true);
         true
     }
 
@@ -148,7 +148,7 @@
             trials: told.trials,
             trial_due: left.map(|left| now + left),
             updated_at: now,
-            is_own: false,
+            is_local: false,
         };
         self.all.insert(told.fingerprint, verdict);
         Some(left.map_or(DecisionOutcome::Released, DecisionOutcome::Quarantined))
@@ -193,7 +193,7 @@
     }
 
     pub(super) fn notes(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
-        let is_noted = |v: &Decision| v.trial_due.is_some() && (all || v.is_own);
+        let is_noted = |v: &Decision| v.trial_due.is_some() && (all || v.is_local);
         let mut noted: Vec<_> = self.all.iter().filter(|(_, v)| is_noted(v)).collect();
         noted.sort_by_key(|(_, v)| std::cmp::Reverse(v.updated_at));
         let noted = noted.into_iter().take(MAX_RECORDS_PER_UPDATE);
