--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -60,7 +60,7 @@
 /// All decisions.
 #[derive(Debug)]
 pub(super) struct Decisions {
-    all: BTreeMap<Fingerprint, Decision>,
+    decisions: BTreeMap<Fingerprint, Decision>,
     seed: u64,
     /// Where the next full report goes on.
     next: Fingerprint,
@@ -68,24 +68,27 @@
 
 impl Decisions {
     pub(super) fn new(me: &InstanceId) -> Decisions {
-        Decisions { all: BTreeMap::new(), seed: xxh3_64_with_seed(me.as_bytes(), 0), next: 0 }
+        Decisions { decisions: BTreeMap::new(), seed: xxh3_64_with_seed(me.as_bytes(), 0), next: 0 }
     }
 
     fn is_held(&self, fingerprint: Fingerprint) -> bool {
-        self.all.get(&fingerprint).is_some_and(|v| v.trial_due.is_some())
+        self.decisions.get(&fingerprint).is_some_and(|v| v.trial_due.is_some())
     }
 
     /// Requests in quarantine.
     pub(super) fn all_held(&self) -> impl Iterator<Item = Fingerprint> + '_ {
-        self.all.iter().filter(|(_, v)| v.trial_due.is_some()).map(|(fingerprint, _)| *fingerprint)
+        self.decisions
+            .iter()
+            .filter(|(_, v)| v.trial_due.is_some())
+            .map(|(fingerprint, _)| *fingerprint)
     }
 
     pub(super) fn trials(&self, fingerprint: Fingerprint) -> u32 {
-        self.all.get(&fingerprint).map_or(0, |v| v.trials)
+        self.decisions.get(&fingerprint).map_or(0, |v| v.trials)
     }
 
     pub(super) fn closed_for(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
-        let until = self.all.get(&fingerprint)?.trial_due? + self.spread(fingerprint);
+        let until = self.decisions.get(&fingerprint)?.trial_due? + self.spread(fingerprint);
         (now < until).then(|| until - now)
     }
 
@@ -93,7 +96,7 @@
         if let Some(left) = self.closed_for(now, fingerprint) {
             return Gate::Closed(left);
         }
-        match self.all.get_mut(&fingerprint).filter(|v| v.trial_due.is_some()) {
+        match self.decisions.get_mut(&fingerprint).filter(|v| v.trial_due.is_some()) {
             None => Gate::Open,
             Some(verdict) => {
                 verdict.trials += 1;
@@ -113,17 +116,17 @@
     /// Quarantines a request; returns for how long.
     pub(super) fn hold(&mut self, now: Instant, fingerprint: Fingerprint) -> Duration {
         self.make_room(now);
-        let epoch = self.all.get(&fingerprint).map_or(0, |v| v.epoch) + 1;
+        let epoch = self.decisions.get(&fingerprint).map_or(0, |v| v.epoch) + 1;
         let until = Some(now + pause(0));
         let verdict =
             Decision { epoch, trials: 0, trial_due: until, updated_at: now, is_local: true };
-        self.all.insert(fingerprint, verdict);
+        self.decisions.insert(fingerprint, verdict);
         pause(0)
     }
 
     /// Ends a quarantine; tells whether there was one.
     pub(super) fn release(&mut self, now: Instant, fingerprint: Fingerprint) -> bool {
-        let held = self.all.get_mut(&fingerprint).filter(|v| v.trial_due.is_some());
+        let held = self.decisions.get_mut(&fingerprint).filter(|v| v.trial_due.is_some());
         let Some(verdict) = held else { return false };
         (verdict.trial_due, verdict.updated_at, verdict.is_local) = (None, now, true);
         true
@@ -131,7 +134,7 @@
 
     /// Takes in what another instance or the store tells; returns what it says if that is news.
     pub(super) fn hear(&mut self, now: Instant, told: &DecisionRecord) -> Option<DecisionOutcome> {
-        let known = self.all.get(&told.fingerprint);
+        let known = self.decisions.get(&told.fingerprint);
         let order = |epoch, is_over, trials| (epoch, is_over, trials);
         let theirs = order(told.epoch, told.remaining_ms.is_none(), told.trials);
         let is_old =
@@ -150,7 +153,7 @@
             updated_at: now,
             is_local: false,
         };
-        self.all.insert(told.fingerprint, verdict);
+        self.decisions.insert(told.fingerprint, verdict);
         Some(left.map_or(DecisionOutcome::Released, DecisionOutcome::Quarantined))
     }
 
@@ -159,14 +162,17 @@
             let over = v.trial_due.unwrap_or(v.updated_at).max(v.updated_at);
             now.saturating_duration_since(over) < DECISION_RETENTION
         };
-        if self.all.len() < MAX_DECISIONS {
+        if self.decisions.len() < MAX_DECISIONS {
             return;
         }
-        self.all.retain(|_, v| is_kept(v));
-        let first =
-            self.all.iter().min_by_key(|(_, v)| v.trial_due).map(|(fingerprint, _)| *fingerprint);
-        if self.all.len() >= MAX_DECISIONS {
-            first.map(|fingerprint| self.all.remove(&fingerprint));
+        self.decisions.retain(|_, v| is_kept(v));
+        let first = self
+            .decisions
+            .iter()
+            .min_by_key(|(_, v)| v.trial_due)
+            .map(|(fingerprint, _)| *fingerprint);
+        if self.decisions.len() >= MAX_DECISIONS {
+            first.map(|fingerprint| self.decisions.remove(&fingerprint));
         }
     }
 
@@ -177,11 +183,11 @@
         in_full: bool,
     ) -> Vec<DecisionRecord> {
         let is_late = |v: &Decision| now.saturating_duration_since(v.updated_at) < lately;
-        let late = self.all.iter().filter(|(_, v)| is_late(v)).take(MAX_RECORDS_PER_UPDATE);
+        let late = self.decisions.iter().filter(|(_, v)| is_late(v)).take(MAX_RECORDS_PER_UPDATE);
         let mut told: Vec<_> = late.map(|(f, v)| v.told(now, *f)).collect();
         if in_full {
             let rest = self
-                .all
+                .decisions
                 .range(self.next..)
                 .filter(|(_, v)| !is_late(v))
                 .take(MAX_RECORDS_PER_UPDATE);
@@ -194,7 +200,7 @@
 
     pub(super) fn notes(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
         let is_noted = |v: &Decision| v.trial_due.is_some() && (all || v.is_local);
-        let mut noted: Vec<_> = self.all.iter().filter(|(_, v)| is_noted(v)).collect();
+        let mut noted: Vec<_> = self.decisions.iter().filter(|(_, v)| is_noted(v)).collect();
         noted.sort_by_key(|(_, v)| std::cmp::Reverse(v.updated_at));
         let noted = noted.into_iter().take(MAX_RECORDS_PER_UPDATE);
         // Whoever reads it does not know how old it is: its time begins anew, and the note stays as it is.
