--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -61,14 +61,18 @@
 #[derive(Debug)]
 pub(super) struct Decisions {
     decisions: BTreeMap<Fingerprint, Decision>,
-    seed: u64,
+    jitter_seed: u64,
     /// Where the next full report goes on.
     next: Fingerprint,
 }
 
 impl Decisions {
     pub(super) fn new(me: &InstanceId) -> Decisions {
-        Decisions { decisions: BTreeMap::new(), seed: xxh3_64_with_seed(me.as_bytes(), 0), next: 0 }
+        Decisions {
+            decisions: BTreeMap::new(),
+            jitter_seed: xxh3_64_with_seed(me.as_bytes(), 0),
+            next: 0,
+        }
     }
 
     fn is_held(&self, fingerprint: Fingerprint) -> bool {
@@ -109,7 +113,7 @@
 
     /// By how much this instance's trial is later than the first one might be.
     fn spread(&self, fingerprint: Fingerprint) -> Duration {
-        let hash = xxh3_64_with_seed(&fingerprint.to_be_bytes(), self.seed);
+        let hash = xxh3_64_with_seed(&fingerprint.to_be_bytes(), self.jitter_seed);
         MAX_TRIAL_JITTER.mul_f64((hash >> 32) as f64 / f64::from(u32::MAX))
     }
 
