--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -63,7 +63,7 @@
     decisions: BTreeMap<Fingerprint, Decision>,
     jitter_seed: u64,
     /// Where the next full report goes on.
-    next: Fingerprint,
+    sync_cursor: Fingerprint,
 }
 
 impl Decisions {
@@ -71,7 +71,7 @@
         Decisions {
             decisions: BTreeMap::new(),
             jitter_seed: xxh3_64_with_seed(me.as_bytes(), 0),
-            next: 0,
+            sync_cursor: 0,
         }
     }
 
@@ -192,11 +192,11 @@
         if in_full {
             let rest = self
                 .decisions
-                .range(self.next..)
+                .range(self.sync_cursor..)
                 .filter(|(_, v)| !is_late(v))
                 .take(MAX_RECORDS_PER_UPDATE);
             let rest: Vec<_> = rest.map(|(f, v)| v.told(now, *f)).collect();
-            self.next = rest.last().map_or(0, |last| last.fingerprint.wrapping_add(1));
+            self.sync_cursor = rest.last().map_or(0, |last| last.fingerprint.wrapping_add(1));
             told.extend(rest);
         }
         told
