--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    fn is_held(&self, fingerprint: Fingerprint) -> bool {
+    fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
         self.decisions.get(&fingerprint).is_some_and(|v| v.trial_due.is_some())
     }
 
@@ -248,7 +248,7 @@
 pub(super) fn judge(ends: &Crashes, verdicts: &Decisions) -> Judgement {
     let mut known: HashMap<Fingerprint, u32> = HashMap::new();
     ends.settled().flat_map(Crash::fingerprints).for_each(|f| *known.entry(f).or_default() += 1);
-    let held: Vec<_> = known.keys().copied().filter(|f| verdicts.is_held(*f)).collect();
+    let held: Vec<_> = known.keys().copied().filter(|f| verdicts.is_quarantined(*f)).collect();
     // Of these not enough is known here to judge anew.
     let mut found: HashSet<_> =
         held.iter().copied().filter(|f| known[f] < CRASH_THRESHOLD as u32).collect();
@@ -266,7 +266,7 @@
         !found.contains(f) && mine.all(|end| end.fingerprints().any(|run| found.contains(&run)))
     };
     let cleared = held.into_iter().filter(is_explained).collect();
-    culprits.retain(|culprit| !verdicts.is_held(culprit.fingerprint));
+    culprits.retain(|culprit| !verdicts.is_quarantined(culprit.fingerprint));
     Judgement { culprits, cleared }
 }
 
