--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -281,7 +281,7 @@
 
     /// Requests in quarantine.
     pub fn held(&self) -> usize {
-        self.verdicts.all_held().count()
+        self.verdicts.quarantined().count()
     }
 
     /// What has newly been believed since the last call.
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -80,7 +80,7 @@
     }
 
     /// Requests in quarantine.
-    pub(super) fn all_held(&self) -> impl Iterator<Item = Fingerprint> + '_ {
+    pub(super) fn quarantined(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.decisions
             .iter()
             .filter(|(_, v)| v.trial_due.is_some())
