--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -158,7 +158,7 @@
 
     /// For how long a request is not to be sent, if so.
     pub fn closed_for(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
-        self.verdicts.closed_for(now, fingerprint)
+        self.verdicts.blocked_for(now, fingerprint)
     }
 
     /// Notes a run that broke off at an endpoint that was in service and may have ended.
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -91,13 +91,13 @@
         self.decisions.get(&fingerprint).map_or(0, |v| v.trials)
     }
 
-    pub(super) fn closed_for(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
+    pub(super) fn blocked_for(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
         let until = self.decisions.get(&fingerprint)?.trial_due? + self.spread(fingerprint);
         (now < until).then(|| until - now)
     }
 
     pub(super) fn gate(&mut self, now: Instant, fingerprint: Fingerprint) -> Gate {
-        if let Some(left) = self.closed_for(now, fingerprint) {
+        if let Some(left) = self.blocked_for(now, fingerprint) {
             return Gate::Closed(left);
         }
         match self.decisions.get_mut(&fingerprint).filter(|v| v.trial_due.is_some()) {
