--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -114,12 +114,12 @@
 ///
 /// let (mut quarantine, now) = (Quarantine::new(&"i-1".into()), Instant::now());
 /// for endpoint in 0..3 {
-///     assert_eq!(quarantine.gate(now, 7), Gate::Open);
+///     assert_eq!(quarantine.check_send(now, 7), Gate::Open);
 ///     quarantine.broke_off(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, awaiting_response: true });
 ///     quarantine.ended(now, endpoint);
 /// }
 /// quarantine.mark_settled(now + SETTLE);
-/// assert!(matches!(quarantine.gate(now, 7), Gate::Closed(_)));
+/// assert!(matches!(quarantine.check_send(now, 7), Gate::Closed(_)));
 /// ```
 #[derive(Debug)]
 pub struct Quarantine {
@@ -148,7 +148,7 @@
     /// Whether a request may be sent to an endpoint now. To be asked right before that, since a trial counts as
     /// begun with it.
     pub fn gate(&mut self, now: Instant, fingerprint: Fingerprint) -> Gate {
-        let gate = self.verdicts.gate(now, fingerprint);
+        let gate = self.verdicts.check_send(now, fingerprint);
         if gate == Gate::Trial {
             let trials = self.verdicts.trials(fingerprint);
             self.changes.push(Change::Trial { fingerprint, trials });
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -96,7 +96,7 @@
         (now < until).then(|| until - now)
     }
 
-    pub(super) fn gate(&mut self, now: Instant, fingerprint: Fingerprint) -> Gate {
+    pub(super) fn check_send(&mut self, now: Instant, fingerprint: Fingerprint) -> Gate {
         if let Some(left) = self.blocked_for(now, fingerprint) {
             return Gate::Closed(left);
         }
