--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -92,7 +92,7 @@
     }
 
     pub(super) fn blocked_for(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
-        let until = self.decisions.get(&fingerprint)?.trial_due? + self.spread(fingerprint);
+        let until = self.decisions.get(&fingerprint)?.trial_due? + self.trial_jitter(fingerprint);
         (now < until).then(|| until - now)
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// By how much this instance's trial is later than the first one might be.
-    fn spread(&self, fingerprint: Fingerprint) -> Duration {
+    fn trial_jitter(&self, fingerprint: Fingerprint) -> Duration {
         let hash = xxh3_64_with_seed(&fingerprint.to_be_bytes(), self.jitter_seed);
         MAX_TRIAL_JITTER.mul_f64((hash >> 32) as f64 / f64::from(u32::MAX))
     }
