--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -323,7 +323,7 @@
     fn decide(&mut self, now: Instant) {
         let Judgement { culprits, cleared } = verdict::judge(&self.ends, &self.verdicts);
         for CrashCause { fingerprint, crashes: ends } in culprits {
-            let pause = self.verdicts.hold(now, fingerprint);
+            let pause = self.verdicts.quarantine(now, fingerprint);
             self.changes.push(Change::Quarantined { fingerprint, ends, pause });
         }
         for fingerprint in cleared {
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -118,7 +118,7 @@
     }
 
     /// Quarantines a request; returns for how long.
-    pub(super) fn hold(&mut self, now: Instant, fingerprint: Fingerprint) -> Duration {
+    pub(super) fn quarantine(&mut self, now: Instant, fingerprint: Fingerprint) -> Duration {
         self.make_room(now);
         let epoch = self.decisions.get(&fingerprint).map_or(0, |v| v.epoch) + 1;
         let until = Some(now + pause(0));
