--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -257,7 +257,7 @@
     /// Takes in decisions of other instances, or that the store holds.
     pub fn hear_verdicts(&mut self, now: Instant, verdicts: &[DecisionRecord]) {
         for told in verdicts {
-            match self.verdicts.hear(now, told) {
+            match self.verdicts.apply_record(now, told) {
                 Some(DecisionOutcome::Released) => {
                     self.changes.push(Change::Released { fingerprint: told.fingerprint });
                 }
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -137,7 +137,11 @@
     }
 
     /// Takes in what another instance or the store tells; returns what it says if that is news.
-    pub(super) fn hear(&mut self, now: Instant, told: &DecisionRecord) -> Option<DecisionOutcome> {
+    pub(super) fn apply_record(
+        &mut self,
+        now: Instant,
+        told: &DecisionRecord,
+    ) -> Option<DecisionOutcome> {
         let known = self.decisions.get(&told.fingerprint);
         let order = |epoch, is_over, trials| (epoch, is_over, trials);
         let theirs = order(told.epoch, told.remaining_ms.is_none(), told.trials);
