--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -119,7 +119,7 @@
 
     /// Quarantines a request; returns for how long.
     pub(super) fn quarantine(&mut self, now: Instant, fingerprint: Fingerprint) -> Duration {
-        self.make_room(now);
+        self.evict_if_full(now);
         let epoch = self.decisions.get(&fingerprint).map_or(0, |v| v.epoch) + 1;
         let until = Some(now + pause(0));
         let verdict =
@@ -150,7 +150,7 @@
         if is_old || (known.is_none() && told.remaining_ms.is_none()) {
             return None;
         }
-        self.make_room(now);
+        self.evict_if_full(now);
         let left = told
             .remaining_ms
             .map(|ms| Duration::from_millis(u64::from(ms)).min(TRIAL_DELAY_RANGE.1));
@@ -165,7 +165,7 @@
         Some(left.map_or(DecisionOutcome::Released, DecisionOutcome::Quarantined))
     }
 
-    fn make_room(&mut self, now: Instant) {
+    fn evict_if_full(&mut self, now: Instant) {
         let is_kept = |v: &Decision| {
             let over = v.trial_due.unwrap_or(v.updated_at).max(v.updated_at);
             now.saturating_duration_since(over) < DECISION_RETENTION
