--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -228,7 +228,7 @@
         };
         QuarantineUpdate {
             crashes: self.ends.collect_records(now, ends_for, passes_on, in_full),
-            decisions: self.verdicts.tell(now, rest_for, in_full),
+            decisions: self.verdicts.collect_records(now, rest_for, in_full),
             successes: self.answered.collect_records(now, rest_for),
         }
     }
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -184,7 +184,7 @@
         }
     }
 
-    pub(super) fn tell(
+    pub(super) fn collect_records(
         &mut self,
         now: Instant,
         lately: Duration,
