--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -276,7 +276,7 @@
 
     /// Decisions to note in the store: all, or those that this instance came to.
     pub fn notes(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
-        self.verdicts.notes(now, all)
+        self.verdicts.records_to_store(now, all)
     }
 
     /// Requests in quarantine.
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -206,7 +206,7 @@
         told
     }
 
-    pub(super) fn notes(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
+    pub(super) fn records_to_store(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
         let is_noted = |v: &Decision| v.trial_due.is_some() && (all || v.is_local);
         let mut noted: Vec<_> = self.decisions.iter().filter(|(_, v)| is_noted(v)).collect();
         noted.sort_by_key(|(_, v)| std::cmp::Reverse(v.updated_at));
