--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -192,14 +192,14 @@
     ) -> Vec<DecisionRecord> {
         let is_late = |v: &Decision| now.saturating_duration_since(v.updated_at) < lately;
         let late = self.decisions.iter().filter(|(_, v)| is_late(v)).take(MAX_RECORDS_PER_UPDATE);
-        let mut told: Vec<_> = late.map(|(f, v)| v.told(now, *f)).collect();
+        let mut told: Vec<_> = late.map(|(f, v)| v.to_record(now, *f)).collect();
         if in_full {
             let rest = self
                 .decisions
                 .range(self.sync_cursor..)
                 .filter(|(_, v)| !is_late(v))
                 .take(MAX_RECORDS_PER_UPDATE);
-            let rest: Vec<_> = rest.map(|(f, v)| v.told(now, *f)).collect();
+            let rest: Vec<_> = rest.map(|(f, v)| v.to_record(now, *f)).collect();
             self.sync_cursor = rest.last().map_or(0, |last| last.fingerprint.wrapping_add(1));
             told.extend(rest);
         }
@@ -214,14 +214,14 @@
         // Whoever reads it does not know how old it is: its time begins anew, and the note stays as it is.
         let note = |f: Fingerprint, v: &Decision| DecisionRecord {
             remaining_ms: Some(pause(v.trials).as_millis() as u32),
-            ..v.told(now, f)
+            ..v.to_record(now, f)
         };
         noted.map(|(f, v)| note(*f, v)).collect()
     }
 }
 
 impl Decision {
-    fn told(&self, now: Instant, fingerprint: Fingerprint) -> DecisionRecord {
+    fn to_record(&self, now: Instant, fingerprint: Fingerprint) -> DecisionRecord {
         let left_ms = self.trial_due.map(|until| age_ms(until, now));
         DecisionRecord {
             fingerprint,
