--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -104,7 +104,7 @@
             None => Gate::Open,
             Some(verdict) => {
                 verdict.trials += 1;
-                verdict.trial_due = Some(now + pause(verdict.trials));
+                verdict.trial_due = Some(now + trial_delay(verdict.trials));
                 (verdict.updated_at, verdict.is_local) = (now, true);
                 Gate::Trial
             }
@@ -121,11 +121,11 @@
     pub(super) fn quarantine(&mut self, now: Instant, fingerprint: Fingerprint) -> Duration {
         self.evict_if_full(now);
         let epoch = self.decisions.get(&fingerprint).map_or(0, |v| v.epoch) + 1;
-        let until = Some(now + pause(0));
+        let until = Some(now + trial_delay(0));
         let verdict =
             Decision { epoch, trials: 0, trial_due: until, updated_at: now, is_local: true };
         self.decisions.insert(fingerprint, verdict);
-        pause(0)
+        trial_delay(0)
     }
 
     /// Ends a quarantine; tells whether there was one.
@@ -213,7 +213,7 @@
         let noted = noted.into_iter().take(MAX_RECORDS_PER_UPDATE);
         // Whoever reads it does not know how old it is: its time begins anew, and the note stays as it is.
         let note = |f: Fingerprint, v: &Decision| DecisionRecord {
-            remaining_ms: Some(pause(v.trials).as_millis() as u32),
+            remaining_ms: Some(trial_delay(v.trials).as_millis() as u32),
             ..v.to_record(now, f)
         };
         noted.map(|(f, v)| note(*f, v)).collect()
@@ -233,7 +233,7 @@
 }
 
 /// Time until the next trial after so many.
-fn pause(trials: u32) -> Duration {
+fn trial_delay(trials: u32) -> Duration {
     (TRIAL_DELAY_RANGE.0 * (1 << trials.min(6))).min(TRIAL_DELAY_RANGE.1)
 }
 
