--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -28,7 +28,7 @@
 use crate::ids::{EndpointId, EndpointKey, InstanceId};
 use crashes::Crashes;
 use successes::RecentSuccesses;
-use verdict::{CrashCause, DecisionOutcome, Decisions, Judgement};
+use verdict::{CrashAnalysis, CrashCause, DecisionOutcome, Decisions};
 
 /// Time before an end in which a good answer to the same request speaks for it: it is then served several times
 /// in the time in which three endpoints can end under it.
@@ -321,7 +321,7 @@
     }
 
     fn decide(&mut self, now: Instant) {
-        let Judgement { culprits, cleared } = verdict::judge(&self.ends, &self.verdicts);
+        let CrashAnalysis { culprits, cleared } = verdict::judge(&self.ends, &self.verdicts);
         for CrashCause { fingerprint, crashes: ends } in culprits {
             let pause = self.verdicts.quarantine(now, fingerprint);
             self.changes.push(Change::Quarantined { fingerprint, ends, pause });
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -239,7 +239,7 @@
 
 /// What the ends that are known come to.
 #[derive(Debug)]
-pub(super) struct Judgement {
+pub(super) struct CrashAnalysis {
     /// Requests to be held.
     pub(super) culprits: Vec<CrashCause>,
     /// Requests that are held, and of whose ends each has another culprit.
@@ -249,7 +249,7 @@
 /// Judges anew by all ends that are known. The request that was at most of them explains these, then the one
 /// that was at most of the rest, and so on: one that was taken for a culprit since it ran beside several of them is
 /// cleared when they are found.
-pub(super) fn judge(ends: &Crashes, verdicts: &Decisions) -> Judgement {
+pub(super) fn judge(ends: &Crashes, verdicts: &Decisions) -> CrashAnalysis {
     let mut known: HashMap<Fingerprint, u32> = HashMap::new();
     ends.settled().flat_map(Crash::fingerprints).for_each(|f| *known.entry(f).or_default() += 1);
     let held: Vec<_> = known.keys().copied().filter(|f| verdicts.is_quarantined(*f)).collect();
@@ -271,7 +271,7 @@
     };
     let cleared = held.into_iter().filter(is_explained).collect();
     culprits.retain(|culprit| !verdicts.is_quarantined(culprit.fingerprint));
-    Judgement { culprits, cleared }
+    CrashAnalysis { culprits, cleared }
 }
 
 /// The request that must have ended most endpoints at whose end none of those found was.
