--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -321,7 +321,8 @@
     }
 
     fn decide(&mut self, now: Instant) {
-        let CrashAnalysis { culprits, cleared } = verdict::judge(&self.ends, &self.verdicts);
+        let CrashAnalysis { causes: culprits, cleared } =
+            verdict::judge(&self.ends, &self.verdicts);
         for CrashCause { fingerprint, crashes: ends } in culprits {
             let pause = self.verdicts.quarantine(now, fingerprint);
             self.changes.push(Change::Quarantined { fingerprint, ends, pause });
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -241,7 +241,7 @@
 #[derive(Debug)]
 pub(super) struct CrashAnalysis {
     /// Requests to be held.
-    pub(super) culprits: Vec<CrashCause>,
+    pub(super) causes: Vec<CrashCause>,
     /// Requests that are held, and of whose ends each has another culprit.
     pub(super) cleared: Vec<Fingerprint>,
 }
@@ -271,7 +271,7 @@
     };
     let cleared = held.into_iter().filter(is_explained).collect();
     culprits.retain(|culprit| !verdicts.is_quarantined(culprit.fingerprint));
-    CrashAnalysis { culprits, cleared }
+    CrashAnalysis { causes: culprits, cleared }
 }
 
 /// The request that must have ended most endpoints at whose end none of those found was.
