--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -322,7 +322,7 @@
 
     fn decide(&mut self, now: Instant) {
         let CrashAnalysis { causes: culprits, cleared } =
-            verdict::judge(&self.ends, &self.verdicts);
+            verdict::analyze_crashes(&self.ends, &self.verdicts);
         for CrashCause { fingerprint, crashes: ends } in culprits {
             let pause = self.verdicts.quarantine(now, fingerprint);
             self.changes.push(Change::Quarantined { fingerprint, ends, pause });
--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -249,7 +249,7 @@
 /// Judges anew by all ends that are known. The request that was at most of them explains these, then the one
 /// that was at most of the rest, and so on: one that was taken for a culprit since it ran beside several of them is
 /// cleared when they are found.
-pub(super) fn judge(ends: &Crashes, verdicts: &Decisions) -> CrashAnalysis {
+pub(super) fn analyze_crashes(ends: &Crashes, verdicts: &Decisions) -> CrashAnalysis {
     let mut known: HashMap<Fingerprint, u32> = HashMap::new();
     ends.settled().flat_map(Crash::fingerprints).for_each(|f| *known.entry(f).or_default() += 1);
     let held: Vec<_> = known.keys().copied().filter(|f| verdicts.is_quarantined(*f)).collect();
