--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -258,7 +258,7 @@
         held.iter().copied().filter(|f| known[f] < CRASH_THRESHOLD as u32).collect();
     let mut culprits = Vec::new();
     loop {
-        let next = most_likely(ends, &found);
+        let next = most_likely_causes(ends, &found);
         if next.is_empty() {
             break;
         }
@@ -279,7 +279,7 @@
 /// It must be suspected of [`CRASH_THRESHOLD`] ends, and no other one may be suspected of all of them too: the two
 /// could not be told apart, and one more end tells. If it does not, both are held. Against requests that end
 /// endpoints late, when something has come of their answers, being at [`PRESENCE_THRESHOLD`] ends is enough.
-fn most_likely(ends: &Crashes, found: &HashSet<Fingerprint>) -> Vec<CrashCause> {
+fn most_likely_causes(ends: &Crashes, found: &HashSet<Fingerprint>) -> Vec<CrashCause> {
     let open = ends.settled().filter(|end| !end.fingerprints().any(|f| found.contains(&f)));
     let (mut suspected, mut beside) = (Tally::default(), Tally::default());
     for end in open {
