--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -281,7 +281,7 @@
 /// endpoints late, when something has come of their answers, being at [`PRESENCE_THRESHOLD`] ends is enough.
 fn most_likely_causes(ends: &Crashes, found: &HashSet<Fingerprint>) -> Vec<CrashCause> {
     let open = ends.settled().filter(|end| !end.fingerprints().any(|f| found.contains(&f)));
-    let (mut suspected, mut beside) = (Tally::default(), Tally::default());
+    let (mut suspected, mut beside) = (CrashesByRequest::default(), CrashesByRequest::default());
     for end in open {
         end.suspects().for_each(|f| suspected.add(f, end.endpoint));
         end.fingerprints().for_each(|f| beside.add(f, end.endpoint));
@@ -299,11 +299,11 @@
 
 /// Ends by request.
 #[derive(Default)]
-struct Tally {
+struct CrashesByRequest {
     ends: HashMap<Fingerprint, Vec<EndpointKey>>,
 }
 
-impl Tally {
+impl CrashesByRequest {
     fn add(&mut self, fingerprint: Fingerprint, endpoint: EndpointKey) {
         self.ends.entry(fingerprint).or_default().push(endpoint);
     }
