--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -300,22 +300,22 @@
 /// Ends by request.
 #[derive(Default)]
 struct CrashesByRequest {
-    ends: HashMap<Fingerprint, Vec<EndpointKey>>,
+    crashes: HashMap<Fingerprint, Vec<EndpointKey>>,
 }
 
 impl CrashesByRequest {
     fn add(&mut self, fingerprint: Fingerprint, endpoint: EndpointKey) {
-        self.ends.entry(fingerprint).or_default().push(endpoint);
+        self.crashes.entry(fingerprint).or_default().push(endpoint);
     }
 
     /// The request with most ends, with those that were at all of them too. Of several such groups it is a smallest
     /// one: whoever is alone can be told from the others.
     fn most(&self) -> Vec<CrashCause> {
-        let most = self.ends.values().map(Vec::len).max().unwrap_or(0);
+        let most = self.crashes.values().map(Vec::len).max().unwrap_or(0);
         if most < CRASH_THRESHOLD {
             return Vec::new();
         }
-        let groups = self.ends.values().filter(|ends| ends.len() == most);
+        let groups = self.crashes.values().filter(|ends| ends.len() == most);
         let groups = groups.map(|ends| self.alike(ends));
         groups.min_by_key(|group| (group.len(), group[0].fingerprint)).unwrap_or_default()
     }
@@ -323,7 +323,7 @@
     /// Requests that were at all of these ends, in order.
     fn alike(&self, ends: &[EndpointKey]) -> Vec<CrashCause> {
         let is_like = |theirs: &&Vec<EndpointKey>| ends.iter().all(|end| theirs.contains(end));
-        let alike = self.ends.iter().filter(|(_, theirs)| is_like(theirs));
+        let alike = self.crashes.iter().filter(|(_, theirs)| is_like(theirs));
         let alike = alike.map(|(f, ends)| CrashCause { fingerprint: *f, crashes: ends.clone() });
         let mut alike: Vec<_> = alike.collect();
         alike.sort_by_key(|culprit| culprit.fingerprint);
