--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -286,7 +286,7 @@
         end.suspects().for_each(|f| suspected.add(f, end.endpoint));
         end.fingerprints().for_each(|f| beside.add(f, end.endpoint));
     }
-    let suspects = suspected.most();
+    let suspects = suspected.top_causes();
     let is_certain = suspects.len() == 1;
     if suspects.first().is_some_and(|s| {
         s.crashes.len() >= if is_certain { CRASH_THRESHOLD } else { CRASH_THRESHOLD + 1 }
@@ -294,7 +294,7 @@
         return suspects;
     }
     let is_enough = |culprit: &CrashCause| culprit.crashes.len() >= PRESENCE_THRESHOLD;
-    beside.most().into_iter().filter(is_enough).collect()
+    beside.top_causes().into_iter().filter(is_enough).collect()
 }
 
 /// Ends by request.
@@ -310,7 +310,7 @@
 
     /// The request with most ends, with those that were at all of them too. Of several such groups it is a smallest
     /// one: whoever is alone can be told from the others.
-    fn most(&self) -> Vec<CrashCause> {
+    fn top_causes(&self) -> Vec<CrashCause> {
         let most = self.crashes.values().map(Vec::len).max().unwrap_or(0);
         if most < CRASH_THRESHOLD {
             return Vec::new();
