--- a/oxbowbend-core/src/quarantine/verdict.rs
+++ b/oxbowbend-core/src/quarantine/verdict.rs
@@ -316,12 +316,12 @@
             return Vec::new();
         }
         let groups = self.crashes.values().filter(|ends| ends.len() == most);
-        let groups = groups.map(|ends| self.alike(ends));
+        let groups = groups.map(|ends| self.indistinguishable_from(ends));
         groups.min_by_key(|group| (group.len(), group[0].fingerprint)).unwrap_or_default()
     }
 
     /// Requests that were at all of these ends, in order.
-    fn alike(&self, ends: &[EndpointKey]) -> Vec<CrashCause> {
+    fn indistinguishable_from(&self, ends: &[EndpointKey]) -> Vec<CrashCause> {
         let is_like = |theirs: &&Vec<EndpointKey>| ends.iter().all(|end| theirs.contains(end));
         let alike = self.crashes.iter().filter(|(_, theirs)| is_like(theirs));
         let alike = alike.map(|(f, ends)| CrashCause { fingerprint: *f, crashes: ends.clone() });
