--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -13,22 +13,22 @@
 //! What was traded: the first three endpoints are lost, and whoever was wrongly quarantined waits for a minute.
 
 mod crashes;
+mod decisions;
 mod records;
 mod successes;
-mod verdict;
 
 use std::time::{Duration, Instant};
 
 pub use crashes::InterruptedAttempt;
+pub use decisions::CRASH_THRESHOLD;
 pub use records::{CrashRecord, DecisionRecord, QuarantineUpdate, SuccessRecord};
-pub use verdict::CRASH_THRESHOLD;
 
 use crate::cell::Extent;
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointId, EndpointKey, InstanceId};
 use crashes::Crashes;
+use decisions::{CrashAnalysis, CrashCause, DecisionOutcome, Decisions};
 use successes::RecentSuccesses;
-use verdict::{CrashAnalysis, CrashCause, DecisionOutcome, Decisions};
 
 /// Time before an end in which a good answer to the same request speaks for it: it is then served several times
 /// in the time in which three endpoints can end under it.
@@ -322,7 +322,7 @@
 
     fn decide(&mut self, now: Instant) {
         let CrashAnalysis { causes: culprits, cleared } =
-            verdict::analyze_crashes(&self.ends, &self.verdicts);
+            decisions::analyze_crashes(&self.ends, &self.verdicts);
         for CrashCause { fingerprint, crashes: ends } in culprits {
             let pause = self.verdicts.quarantine(now, fingerprint);
             self.changes.push(Change::Quarantined { fingerprint, ends, pause });
