--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -32,7 +32,7 @@
 
 /// Time before an end in which a good answer to the same request speaks for it: it is then served several times
 /// in the time in which three endpoints can end under it.
-const ANSWERED_BEFORE: Duration = Duration::from_secs(3);
+const SUCCESS_LOOKBACK: Duration = Duration::from_secs(3);
 /// Time for which decisions and answers are told: some twenty beats within a cell and ten beyond it.
 const TOLD_FOR: Duration = Duration::from_secs(3);
 /// The same for ends, which are longer: eight beats. Endpoints that crash by dozens would else be most of what reports tell.
@@ -299,7 +299,7 @@
         is_own: bool,
     ) {
         let is_new_end = !self.ends.is_known(key);
-        let floor = at.checked_sub(ANSWERED_BEFORE).unwrap_or(at);
+        let floor = at.checked_sub(SUCCESS_LOOKBACK).unwrap_or(at);
         let was_answered =
             |run: &InterruptedAttempt| self.answered.succeeded_since(run.fingerprint, floor);
         let (cleared, runs): (Vec<_>, Vec<_>) = runs.into_iter().partition(was_answered);
@@ -335,7 +335,7 @@
 
     /// Takes a request off the evidence up to a while after a good answer to it.
     fn clear(&mut self, now: Instant, fingerprint: Fingerprint, at: Instant) {
-        if self.ends.remove_request(fingerprint, at + ANSWERED_BEFORE) {
+        if self.ends.remove_request(fingerprint, at + SUCCESS_LOOKBACK) {
             self.acquit(now, fingerprint);
         }
     }
