--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -34,7 +34,7 @@
 /// in the time in which three endpoints can end under it.
 const SUCCESS_LOOKBACK: Duration = Duration::from_secs(3);
 /// Time for which decisions and answers are told: some twenty beats within a cell and ten beyond it.
-const TOLD_FOR: Duration = Duration::from_secs(3);
+const GOSSIP_PERIOD: Duration = Duration::from_secs(3);
 /// The same for ends, which are longer: eight beats. Endpoints that crash by dozens would else be most of what reports tell.
 const ENDS_TOLD_FOR: Duration = Duration::from_secs(1);
 /// Time for which news also goes into reports between beats, of which there are up to 200 a second: one or two of them.
@@ -224,7 +224,7 @@
         let in_full = extent == Extent::Full;
         let (ends_for, rest_for) = match extent {
             Extent::Loads => (TOLD_AT_ONCE, TOLD_AT_ONCE),
-            Extent::Changes | Extent::Full => (ENDS_TOLD_FOR, TOLD_FOR),
+            Extent::Changes | Extent::Full => (ENDS_TOLD_FOR, GOSSIP_PERIOD),
         };
         QuarantineUpdate {
             crashes: self.ends.collect_records(now, ends_for, passes_on, in_full),
