--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -36,7 +36,7 @@
 /// Time for which decisions and answers are told: some twenty beats within a cell and ten beyond it.
 const GOSSIP_PERIOD: Duration = Duration::from_secs(3);
 /// The same for ends, which are longer: eight beats. Endpoints that crash by dozens would else be most of what reports tell.
-const ENDS_TOLD_FOR: Duration = Duration::from_secs(1);
+const CRASH_GOSSIP_PERIOD: Duration = Duration::from_secs(1);
 /// Time for which news also goes into reports between beats, of which there are up to 200 a second: one or two of them.
 const TOLD_AT_ONCE: Duration = Duration::from_millis(20);
 /// Time for which a run that broke off waits for word that its endpoint has ended. Entries of endpoints that end go
@@ -224,7 +224,7 @@
         let in_full = extent == Extent::Full;
         let (ends_for, rest_for) = match extent {
             Extent::Loads => (TOLD_AT_ONCE, TOLD_AT_ONCE),
-            Extent::Changes | Extent::Full => (ENDS_TOLD_FOR, GOSSIP_PERIOD),
+            Extent::Changes | Extent::Full => (CRASH_GOSSIP_PERIOD, GOSSIP_PERIOD),
         };
         QuarantineUpdate {
             crashes: self.ends.collect_records(now, ends_for, passes_on, in_full),
