--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -38,7 +38,7 @@
 /// The same for ends, which are longer: eight beats. Endpoints that crash by dozens would else be most of what reports tell.
 const CRASH_GOSSIP_PERIOD: Duration = Duration::from_secs(1);
 /// Time for which news also goes into reports between beats, of which there are up to 200 a second: one or two of them.
-const TOLD_AT_ONCE: Duration = Duration::from_millis(20);
+const IMMEDIATE_GOSSIP_PERIOD: Duration = Duration::from_millis(20);
 /// Time for which a run that broke off waits for word that its endpoint has ended. Entries of endpoints that end go
 /// after three of their heartbeats, of some 0.4 s.
 const PENDING: Duration = Duration::from_secs(5);
@@ -223,7 +223,7 @@
     pub fn tell(&mut self, now: Instant, extent: Extent, passes_on: bool) -> QuarantineUpdate {
         let in_full = extent == Extent::Full;
         let (ends_for, rest_for) = match extent {
-            Extent::Loads => (TOLD_AT_ONCE, TOLD_AT_ONCE),
+            Extent::Loads => (IMMEDIATE_GOSSIP_PERIOD, IMMEDIATE_GOSSIP_PERIOD),
             Extent::Changes | Extent::Full => (CRASH_GOSSIP_PERIOD, GOSSIP_PERIOD),
         };
         QuarantineUpdate {
