--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -41,7 +41,7 @@
 const IMMEDIATE_GOSSIP_PERIOD: Duration = Duration::from_millis(20);
 /// Time for which a run that broke off waits for word that its endpoint has ended. Entries of endpoints that end go
 /// after three of their heartbeats, of some 0.4 s.
-const PENDING: Duration = Duration::from_secs(5);
+const CRASH_CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time from learning of an end until it is judged by, in which other instances tell what ran there for them: that
 /// takes some 20 ms. Judged at once, whoever was beside the culprit of another instance looked like the only suspect.
 pub const SETTLE: Duration = Duration::from_millis(150);
@@ -173,7 +173,7 @@
             self.suspect(now, now, key, vec![run], true);
             return;
         }
-        self.pending.retain(|p| now.saturating_duration_since(p.at) < PENDING);
+        self.pending.retain(|p| now.saturating_duration_since(p.at) < CRASH_CONFIRMATION_TIMEOUT);
         if self.pending.len() >= MAX_PENDING {
             self.pending.remove(0);
         }
@@ -190,7 +190,8 @@
         let (ended, rest) =
             std::mem::take(&mut self.pending).into_iter().partition(|p| p.key == key);
         self.pending = rest;
-        let is_fresh = |p: &Pending| now.saturating_duration_since(p.at) < PENDING;
+        let is_fresh =
+            |p: &Pending| now.saturating_duration_since(p.at) < CRASH_CONFIRMATION_TIMEOUT;
         let runs: Vec<InterruptedAttempt> =
             Vec::into_iter(ended).filter(is_fresh).map(|p| p.run).collect();
         if !runs.is_empty() {
