--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -44,7 +44,7 @@
 const CRASH_CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time from learning of an end until it is judged by, in which other instances tell what ran there for them: that
 /// takes some 20 ms. Judged at once, whoever was beside the culprit of another instance looked like the only suspect.
-pub const SETTLE: Duration = Duration::from_millis(150);
+pub const CRASH_SETTLING_TIME: Duration = Duration::from_millis(150);
 /// Runs that wait for such word at most.
 const MAX_PENDING: usize = 512;
 
@@ -110,7 +110,7 @@
 /// ```
 /// use std::time::Instant;
 ///
-/// use oxbowbend_core::quarantine::{Gate, Quarantine, InterruptedAttempt, SETTLE};
+/// use oxbowbend_core::quarantine::{Gate, Quarantine, InterruptedAttempt, CRASH_SETTLING_TIME};
 ///
 /// let (mut quarantine, now) = (Quarantine::new(&"i-1".into()), Instant::now());
 /// for endpoint in 0..3 {
@@ -118,7 +118,7 @@
 ///     quarantine.broke_off(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, awaiting_response: true });
 ///     quarantine.ended(now, endpoint);
 /// }
-/// quarantine.mark_settled(now + SETTLE);
+/// quarantine.mark_settled(now + CRASH_SETTLING_TIME);
 /// assert!(matches!(quarantine.check_send(now, 7), Gate::Closed(_)));
 /// ```
 #[derive(Debug)]
@@ -313,9 +313,9 @@
         self.is_changed |= is_news;
     }
 
-    /// Judges by what is known of ends for [`SETTLE`]. To be called often, a few times in that.
+    /// Judges by what is known of ends for [`CRASH_SETTLING_TIME`]. To be called often, a few times in that.
     pub fn settle(&mut self, now: Instant) {
-        let is_settled = self.ends.mark_settled(now, SETTLE);
+        let is_settled = self.ends.mark_settled(now, CRASH_SETTLING_TIME);
         if is_settled || std::mem::take(&mut self.is_changed) {
             self.decide(now);
         }
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -5,7 +5,8 @@
 use oxbowbend_core::cell::Extent;
 use oxbowbend_core::ids::EndpointKey;
 use oxbowbend_core::quarantine::{
-    Change, DecisionRecord, Gate, InterruptedAttempt, Quarantine, CRASH_THRESHOLD, SETTLE,
+    Change, DecisionRecord, Gate, InterruptedAttempt, Quarantine, CRASH_SETTLING_TIME,
+    CRASH_THRESHOLD,
 };
 
 /// A request that ends endpoints, and others.
@@ -31,7 +32,7 @@
         begun.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: false });
     quiet.chain(begun).for_each(|run| q.broke_off(now, &"e".into(), key, run));
     q.ended(now, key);
-    q.settle(now + SETTLE);
+    q.settle(now + CRASH_SETTLING_TIME);
 }
 
 fn is_closed(q: &Quarantine, now: Instant, fingerprint: u64) -> bool {
@@ -44,8 +45,8 @@
     b.hear(now, &told);
     let told = b.tell(now, Extent::Full, true);
     a.hear(now, &told);
-    a.settle(now + SETTLE);
-    b.settle(now + SETTLE);
+    a.settle(now + CRASH_SETTLING_TIME);
+    b.settle(now + CRASH_SETTLING_TIME);
 }
 
 #[test]
@@ -131,7 +132,7 @@
         );
         q.entry_changed(after(now, 1500), &endpoint);
     }
-    q.settle(after(now, 1500) + SETTLE);
+    q.settle(after(now, 1500) + CRASH_SETTLING_TIME);
     assert!(is_closed(&q, after(now, 1500), BAD));
 }
 
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -7,7 +7,7 @@
 
 use oxbowbend_core::cell::Extent;
 use oxbowbend_core::quarantine::{
-    DecisionRecord, InterruptedAttempt, Quarantine, CRASH_THRESHOLD, SETTLE,
+    DecisionRecord, InterruptedAttempt, Quarantine, CRASH_SETTLING_TIME, CRASH_THRESHOLD,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -122,7 +122,7 @@
                 }
             }
         }
-        self.instances.iter_mut().for_each(|q| q.settle(self.now + SETTLE));
+        self.instances.iter_mut().for_each(|q| q.settle(self.now + CRASH_SETTLING_TIME));
         let noted = self.instances.iter().flat_map(|q| q.notes(self.now, true));
         self.noted = noted.collect();
         self.is_noted = self.noted.iter().any(|v| v.fingerprint == BAD);
