--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -46,7 +46,7 @@
 /// takes some 20 ms. Judged at once, whoever was beside the culprit of another instance looked like the only suspect.
 pub const CRASH_SETTLING_TIME: Duration = Duration::from_millis(150);
 /// Runs that wait for such word at most.
-const MAX_PENDING: usize = 512;
+const MAX_PENDING_ATTEMPTS: usize = 512;
 
 /// Whether a request may be sent to an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -174,7 +174,7 @@
             return;
         }
         self.pending.retain(|p| now.saturating_duration_since(p.at) < CRASH_CONFIRMATION_TIMEOUT);
-        if self.pending.len() >= MAX_PENDING {
+        if self.pending.len() >= MAX_PENDING_ATTEMPTS {
             self.pending.remove(0);
         }
         self.pending.push(Pending { endpoint: endpoint.clone(), key, at: now, run });
