--- a/oxbowbend-core/src/quarantine/decisions.rs
+++ b/oxbowbend-core/src/quarantine/decisions.rs
@@ -7,7 +7,7 @@
 
 use super::crashes::{Crash, Crashes};
 use super::records::DecisionRecord;
-use super::{age_ms, Gate};
+use super::{age_ms, SendPermission};
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointKey, InstanceId};
 
@@ -96,17 +96,17 @@
         (now < until).then(|| until - now)
     }
 
-    pub(super) fn check_send(&mut self, now: Instant, fingerprint: Fingerprint) -> Gate {
+    pub(super) fn check_send(&mut self, now: Instant, fingerprint: Fingerprint) -> SendPermission {
         if let Some(left) = self.blocked_for(now, fingerprint) {
-            return Gate::Closed(left);
+            return SendPermission::Closed(left);
         }
         match self.decisions.get_mut(&fingerprint).filter(|v| v.trial_due.is_some()) {
-            None => Gate::Open,
+            None => SendPermission::Open,
             Some(verdict) => {
                 verdict.trials += 1;
                 verdict.trial_due = Some(now + trial_delay(verdict.trials));
                 (verdict.updated_at, verdict.is_local) = (now, true);
-                Gate::Trial
+                SendPermission::Trial
             }
         }
     }
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -50,7 +50,7 @@
 
 /// Whether a request may be sent to an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Gate {
+pub enum SendPermission {
     /// It may.
     Open,
     /// It may, as the one trial of its quarantine.
@@ -110,16 +110,16 @@
 /// ```
 /// use std::time::Instant;
 ///
-/// use oxbowbend_core::quarantine::{Gate, Quarantine, InterruptedAttempt, CRASH_SETTLING_TIME};
+/// use oxbowbend_core::quarantine::{SendPermission, Quarantine, InterruptedAttempt, CRASH_SETTLING_TIME};
 ///
 /// let (mut quarantine, now) = (Quarantine::new(&"i-1".into()), Instant::now());
 /// for endpoint in 0..3 {
-///     assert_eq!(quarantine.check_send(now, 7), Gate::Open);
+///     assert_eq!(quarantine.check_send(now, 7), SendPermission::Open);
 ///     quarantine.broke_off(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, awaiting_response: true });
 ///     quarantine.ended(now, endpoint);
 /// }
 /// quarantine.mark_settled(now + CRASH_SETTLING_TIME);
-/// assert!(matches!(quarantine.check_send(now, 7), Gate::Closed(_)));
+/// assert!(matches!(quarantine.check_send(now, 7), SendPermission::Closed(_)));
 /// ```
 #[derive(Debug)]
 pub struct Quarantine {
@@ -147,9 +147,9 @@
 
     /// Whether a request may be sent to an endpoint now. To be asked right before that, since a trial counts as
     /// begun with it.
-    pub fn gate(&mut self, now: Instant, fingerprint: Fingerprint) -> Gate {
+    pub fn gate(&mut self, now: Instant, fingerprint: Fingerprint) -> SendPermission {
         let gate = self.verdicts.check_send(now, fingerprint);
-        if gate == Gate::Trial {
+        if gate == SendPermission::Trial {
             let trials = self.verdicts.trials(fingerprint);
             self.changes.push(Change::Trial { fingerprint, trials });
         }
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -6,7 +6,9 @@
 use oxbowbend_core::cell::Outcome;
 use oxbowbend_core::fingerprint::Fingerprint;
 use oxbowbend_core::ids::EndpointKey;
-use oxbowbend_core::quarantine::{Change, Gate, InterruptedAttempt, Quarantine, QuarantineUpdate};
+use oxbowbend_core::quarantine::{
+    Change, InterruptedAttempt, Quarantine, QuarantineUpdate, SendPermission,
+};
 use oxbowbend_core::routes::Endpoint;
 
 use crate::observe;
@@ -14,10 +16,10 @@
 
 impl Shared {
     /// Whether a request may be sent to an endpoint now.
-    pub(crate) fn gate(&self, fingerprint: Fingerprint) -> Gate {
+    pub(crate) fn gate(&self, fingerprint: Fingerprint) -> SendPermission {
         let mut state = self.lock();
         let gate = state.quarantine.gate(clock::now(), fingerprint);
-        if gate == Gate::Trial {
+        if gate == SendPermission::Trial {
             log_changes(&mut state.quarantine);
             drop(state);
             self.tell_others();
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -4,7 +4,7 @@
 
 use async_std::{future, task};
 use oxbowbend_clock as clock;
-use oxbowbend_core::quarantine::{Gate, InterruptedAttempt};
+use oxbowbend_core::quarantine::{InterruptedAttempt, SendPermission};
 use oxbowbend_core::routes::Endpoint;
 use oxbowbend_http::h1;
 
@@ -26,7 +26,7 @@
             return Err(Failure::Timeout);
         }
         let gate = self.shared.gate(job.fingerprint);
-        if let Gate::Closed(left) = gate {
+        if let SendPermission::Closed(left) = gate {
             observe::send_held();
             log::info!(
                 "event=send_held id={} fingerprint={:016x} left_ms={}",
@@ -36,7 +36,7 @@
             );
             return Err(Failure::Quarantined(left));
         }
-        Ok(gate == Gate::Trial)
+        Ok(gate == SendPermission::Trial)
     }
 
     /// Notes that a request had a whole answer: it does not end endpoints.
