--- a/oxbowbend-core/src/quarantine/decisions.rs
+++ b/oxbowbend-core/src/quarantine/decisions.rs
@@ -101,7 +101,7 @@
             return SendPermission::Closed(left);
         }
         match self.decisions.get_mut(&fingerprint).filter(|v| v.trial_due.is_some()) {
-            None => SendPermission::Open,
+            None => SendPermission::Allowed,
             Some(verdict) => {
                 verdict.trials += 1;
                 verdict.trial_due = Some(now + trial_delay(verdict.trials));
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SendPermission {
     /// It may.
-    Open,
+    Allowed,
     /// It may, as the one trial of its quarantine.
     Trial,
     /// It may not, for this long.
@@ -114,7 +114,7 @@
 ///
 /// let (mut quarantine, now) = (Quarantine::new(&"i-1".into()), Instant::now());
 /// for endpoint in 0..3 {
-///     assert_eq!(quarantine.check_send(now, 7), SendPermission::Open);
+///     assert_eq!(quarantine.check_send(now, 7), SendPermission::Allowed);
 ///     quarantine.broke_off(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, awaiting_response: true });
 ///     quarantine.ended(now, endpoint);
 /// }
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -229,10 +229,10 @@
     assert_eq!(q.gate(now + TRIAL, GOOD), SendPermission::Trial);
     assert!(matches!(q.gate(now + TRIAL, GOOD), SendPermission::Closed(_)));
     q.answered(now + TRIAL, GOOD);
-    assert_eq!(q.gate(now + TRIAL, GOOD), SendPermission::Open);
+    assert_eq!(q.gate(now + TRIAL, GOOD), SendPermission::Allowed);
     // It takes as many ends again.
     end(&mut q, now + TRIAL + Duration::from_secs(9), 90, &[GOOD], &[]);
-    assert_eq!(q.gate(now + TRIAL + Duration::from_secs(9), GOOD), SendPermission::Open);
+    assert_eq!(q.gate(now + TRIAL + Duration::from_secs(9), GOOD), SendPermission::Allowed);
 }
 
 #[test]
