--- a/oxbowbend-core/src/quarantine/decisions.rs
+++ b/oxbowbend-core/src/quarantine/decisions.rs
@@ -98,7 +98,7 @@
 
     pub(super) fn check_send(&mut self, now: Instant, fingerprint: Fingerprint) -> SendPermission {
         if let Some(left) = self.blocked_for(now, fingerprint) {
-            return SendPermission::Closed(left);
+            return SendPermission::Blocked(left);
         }
         match self.decisions.get_mut(&fingerprint).filter(|v| v.trial_due.is_some()) {
             None => SendPermission::Allowed,
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -56,7 +56,7 @@
     /// It may, as the one trial of its quarantine.
     Trial,
     /// It may not, for this long.
-    Closed(Duration),
+    Blocked(Duration),
 }
 
 /// A change of what is believed of a request, for the log.
@@ -119,7 +119,7 @@
 ///     quarantine.ended(now, endpoint);
 /// }
 /// quarantine.mark_settled(now + CRASH_SETTLING_TIME);
-/// assert!(matches!(quarantine.check_send(now, 7), SendPermission::Closed(_)));
+/// assert!(matches!(quarantine.check_send(now, 7), SendPermission::Blocked(_)));
 /// ```
 #[derive(Debug)]
 pub struct Quarantine {
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -227,7 +227,7 @@
         end(&mut q, now, key, &[GOOD], &[]);
     }
     assert_eq!(q.gate(now + TRIAL, GOOD), SendPermission::Trial);
-    assert!(matches!(q.gate(now + TRIAL, GOOD), SendPermission::Closed(_)));
+    assert!(matches!(q.gate(now + TRIAL, GOOD), SendPermission::Blocked(_)));
     q.answered(now + TRIAL, GOOD);
     assert_eq!(q.gate(now + TRIAL, GOOD), SendPermission::Allowed);
     // It takes as many ends again.
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -26,7 +26,7 @@
             return Err(Failure::Timeout);
         }
         let gate = self.shared.gate(job.fingerprint);
-        if let SendPermission::Closed(left) = gate {
+        if let SendPermission::Blocked(left) = gate {
             observe::send_held();
             log::info!(
                 "event=send_held id={} fingerprint={:016x} left_ms={}",
