--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -61,7 +61,7 @@
 
 /// A change of what is believed of a request, for the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Change {
+pub enum QuarantineEvent {
     /// An endpoint ended, with these requests running there as far as is known here.
     Ended {
         /// The endpoint's start.
@@ -129,7 +129,7 @@
     verdicts: Decisions,
     /// Whether something was learned since it was last judged.
     is_changed: bool,
-    changes: Vec<Change>,
+    changes: Vec<QuarantineEvent>,
 }
 
 impl Quarantine {
@@ -151,7 +151,7 @@
         let gate = self.verdicts.check_send(now, fingerprint);
         if gate == SendPermission::Trial {
             let trials = self.verdicts.trials(fingerprint);
-            self.changes.push(Change::Trial { fingerprint, trials });
+            self.changes.push(QuarantineEvent::Trial { fingerprint, trials });
         }
         gate
     }
@@ -214,7 +214,7 @@
         self.clear(now, fingerprint, now);
         if self.verdicts.release(now, fingerprint) {
             self.answered.queue_for_gossip(now, fingerprint);
-            self.changes.push(Change::Released { fingerprint });
+            self.changes.push(QuarantineEvent::Released { fingerprint });
         }
     }
 
@@ -260,15 +260,15 @@
         for told in verdicts {
             match self.verdicts.apply_record(now, told) {
                 Some(DecisionOutcome::Released) => {
-                    self.changes.push(Change::Released { fingerprint: told.fingerprint });
+                    self.changes.push(QuarantineEvent::Released { fingerprint: told.fingerprint });
                 }
                 Some(DecisionOutcome::Quarantined(pause)) if told.trials == 0 => {
                     let (fingerprint, ends) = (told.fingerprint, Vec::new());
-                    self.changes.push(Change::Quarantined { fingerprint, ends, pause });
+                    self.changes.push(QuarantineEvent::Quarantined { fingerprint, ends, pause });
                 }
                 Some(DecisionOutcome::Quarantined(_)) => {
                     let (fingerprint, trials) = (told.fingerprint, told.trials);
-                    self.changes.push(Change::Trial { fingerprint, trials });
+                    self.changes.push(QuarantineEvent::Trial { fingerprint, trials });
                 }
                 None => {}
             }
@@ -286,7 +286,7 @@
     }
 
     /// What has newly been believed since the last call.
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<QuarantineEvent> {
         std::mem::take(&mut self.changes)
     }
 
@@ -308,7 +308,7 @@
         let is_news = self.ends.record(now, at, key, &runs, is_own);
         if is_new_end {
             let suspects = runs.iter().map(|run| run.fingerprint).collect();
-            self.changes.push(Change::Ended { endpoint: key, suspects, is_own });
+            self.changes.push(QuarantineEvent::Ended { endpoint: key, suspects, is_own });
         }
         self.is_changed |= is_news;
     }
@@ -326,11 +326,11 @@
             decisions::analyze_crashes(&self.ends, &self.verdicts);
         for CrashCause { fingerprint, crashes: ends } in culprits {
             let pause = self.verdicts.quarantine(now, fingerprint);
-            self.changes.push(Change::Quarantined { fingerprint, ends, pause });
+            self.changes.push(QuarantineEvent::Quarantined { fingerprint, ends, pause });
         }
         for fingerprint in cleared {
             self.verdicts.release(now, fingerprint);
-            self.changes.push(Change::Released { fingerprint });
+            self.changes.push(QuarantineEvent::Released { fingerprint });
         }
     }
 
@@ -345,7 +345,7 @@
     fn acquit(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.answered.queue_for_gossip(now, fingerprint);
         if !self.ends.involves(fingerprint) && self.verdicts.release(now, fingerprint) {
-            self.changes.push(Change::Released { fingerprint });
+            self.changes.push(QuarantineEvent::Released { fingerprint });
         }
     }
 }
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -5,8 +5,8 @@
 use oxbowbend_core::cell::Extent;
 use oxbowbend_core::ids::EndpointKey;
 use oxbowbend_core::quarantine::{
-    Change, DecisionRecord, InterruptedAttempt, Quarantine, SendPermission, CRASH_SETTLING_TIME,
-    CRASH_THRESHOLD,
+    DecisionRecord, InterruptedAttempt, Quarantine, QuarantineEvent, SendPermission,
+    CRASH_SETTLING_TIME, CRASH_THRESHOLD,
 };
 
 /// A request that ends endpoints, and others.
@@ -276,8 +276,8 @@
         end(&mut a, now, 10 + key, &[WORSE], &[]);
     }
     let changes = a.take_changes();
-    let held = |c: &&Change| matches!(c, Change::Quarantined { ends, .. } if ends.len() >= CRASH_THRESHOLD);
-    let ended = |c: &&Change| matches!(c, Change::Ended { is_own: true, .. });
+    let held = |c: &&QuarantineEvent| matches!(c, QuarantineEvent::Quarantined { ends, .. } if ends.len() >= CRASH_THRESHOLD);
+    let ended = |c: &&QuarantineEvent| matches!(c, QuarantineEvent::Ended { is_own: true, .. });
     assert_eq!(changes.iter().filter(held).count(), 1, "{changes:?}");
     assert_eq!(changes.iter().filter(ended).count(), 2 * CRASH_THRESHOLD, "{changes:?}");
     exchange(now, &mut a, &mut b);
@@ -333,6 +333,7 @@
     a.settle(after(now, 420));
     let held = [GOOD, BAD].map(|f| is_closed(&a, after(now, 420), f));
     assert_eq!(held, [false, true]);
-    let was_held = |c: &Change| matches!(c, Change::Quarantined { fingerprint: GOOD, .. });
+    let was_held =
+        |c: &QuarantineEvent| matches!(c, QuarantineEvent::Quarantined { fingerprint: GOOD, .. });
     assert!(!a.take_changes().iter().any(was_held), "it was held meanwhile");
 }
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -7,7 +7,7 @@
 use oxbowbend_core::fingerprint::Fingerprint;
 use oxbowbend_core::ids::EndpointKey;
 use oxbowbend_core::quarantine::{
-    Change, InterruptedAttempt, Quarantine, QuarantineUpdate, SendPermission,
+    InterruptedAttempt, Quarantine, QuarantineEvent, QuarantineUpdate, SendPermission,
 };
 use oxbowbend_core::routes::Endpoint;
 
@@ -106,15 +106,15 @@
     observe::quarantined(quarantine.held());
 }
 
-fn log_change(change: &Change) {
+fn log_change(change: &QuarantineEvent) {
     match change {
-        Change::Ended { endpoint, suspects, is_own } => {
+        QuarantineEvent::Ended { endpoint, suspects, is_own } => {
             observe::endpoint_ended();
             log::warn!(
                 "event=endpoint_ended start={endpoint:08x} own={is_own} suspects={suspects:016x?}"
             );
         }
-        Change::Quarantined { fingerprint, ends, pause } => {
+        QuarantineEvent::Quarantined { fingerprint, ends, pause } => {
             observe::quarantine_changed("quarantined");
             let from = if ends.is_empty() { "told" } else { "evidence" };
             log::warn!(
@@ -123,11 +123,11 @@
                 pause.as_millis()
             );
         }
-        Change::Trial { fingerprint, trials } => {
+        QuarantineEvent::Trial { fingerprint, trials } => {
             observe::quarantine_changed("trial");
             log::warn!("event=quarantine_trial fingerprint={fingerprint:016x} trials={trials}");
         }
-        Change::Released { fingerprint } => {
+        QuarantineEvent::Released { fingerprint } => {
             observe::quarantine_changed("released");
             log::warn!("event=request_released fingerprint={fingerprint:016x}");
         }
