--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum QuarantineEvent {
     /// An endpoint ended, with these requests running there as far as is known here.
-    Ended {
+    EndpointCrashed {
         /// The endpoint's start.
         endpoint: EndpointKey,
         /// What ran there.
@@ -308,7 +308,7 @@
         let is_news = self.ends.record(now, at, key, &runs, is_own);
         if is_new_end {
             let suspects = runs.iter().map(|run| run.fingerprint).collect();
-            self.changes.push(QuarantineEvent::Ended { endpoint: key, suspects, is_own });
+            self.changes.push(QuarantineEvent::EndpointCrashed { endpoint: key, suspects, is_own });
         }
         self.is_changed |= is_news;
     }
