--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -69,7 +69,7 @@
         /// What ran there.
         suspects: Vec<Fingerprint>,
         /// Whether this instance saw it, and was not told.
-        is_own: bool,
+        is_local: bool,
     },
     /// A request is quarantined.
     Quarantined {
@@ -308,7 +308,11 @@
         let is_news = self.ends.record(now, at, key, &runs, is_own);
         if is_new_end {
             let suspects = runs.iter().map(|run| run.fingerprint).collect();
-            self.changes.push(QuarantineEvent::EndpointCrashed { endpoint: key, suspects, is_own });
+            self.changes.push(QuarantineEvent::EndpointCrashed {
+                endpoint: key,
+                suspects,
+                is_local: is_own,
+            });
         }
         self.is_changed |= is_news;
     }
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -278,7 +278,7 @@
     let changes = a.take_changes();
     let held = |c: &&QuarantineEvent| matches!(c, QuarantineEvent::Quarantined { ends, .. } if ends.len() >= CRASH_THRESHOLD);
     let ended =
-        |c: &&QuarantineEvent| matches!(c, QuarantineEvent::EndpointCrashed { is_own: true, .. });
+        |c: &&QuarantineEvent| matches!(c, QuarantineEvent::EndpointCrashed { is_local: true, .. });
     assert_eq!(changes.iter().filter(held).count(), 1, "{changes:?}");
     assert_eq!(changes.iter().filter(ended).count(), 2 * CRASH_THRESHOLD, "{changes:?}");
     exchange(now, &mut a, &mut b);
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -108,7 +108,7 @@
 
 fn log_change(change: &QuarantineEvent) {
     match change {
-        QuarantineEvent::EndpointCrashed { endpoint, suspects, is_own } => {
+        QuarantineEvent::EndpointCrashed { endpoint, suspects, is_local: is_own } => {
             observe::endpoint_ended();
             log::warn!(
                 "event=endpoint_ended start={endpoint:08x} own={is_own} suspects={suspects:016x?}"
