--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -76,7 +76,7 @@
         /// The request.
         fingerprint: Fingerprint,
         /// The starts that it ended; none if this instance was only told.
-        ends: Vec<EndpointKey>,
+        crashes: Vec<EndpointKey>,
         /// Until its trial.
         pause: Duration,
     },
@@ -264,7 +264,11 @@
                 }
                 Some(DecisionOutcome::Quarantined(pause)) if told.trials == 0 => {
                     let (fingerprint, ends) = (told.fingerprint, Vec::new());
-                    self.changes.push(QuarantineEvent::Quarantined { fingerprint, ends, pause });
+                    self.changes.push(QuarantineEvent::Quarantined {
+                        fingerprint,
+                        crashes: ends,
+                        pause,
+                    });
                 }
                 Some(DecisionOutcome::Quarantined(_)) => {
                     let (fingerprint, trials) = (told.fingerprint, told.trials);
@@ -330,7 +334,7 @@
             decisions::analyze_crashes(&self.ends, &self.verdicts);
         for CrashCause { fingerprint, crashes: ends } in culprits {
             let pause = self.verdicts.quarantine(now, fingerprint);
-            self.changes.push(QuarantineEvent::Quarantined { fingerprint, ends, pause });
+            self.changes.push(QuarantineEvent::Quarantined { fingerprint, crashes: ends, pause });
         }
         for fingerprint in cleared {
             self.verdicts.release(now, fingerprint);
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -276,7 +276,7 @@
         end(&mut a, now, 10 + key, &[WORSE], &[]);
     }
     let changes = a.take_changes();
-    let held = |c: &&QuarantineEvent| matches!(c, QuarantineEvent::Quarantined { ends, .. } if ends.len() >= CRASH_THRESHOLD);
+    let held = |c: &&QuarantineEvent| matches!(c, QuarantineEvent::Quarantined { crashes: ends, .. } if ends.len() >= CRASH_THRESHOLD);
     let ended =
         |c: &&QuarantineEvent| matches!(c, QuarantineEvent::EndpointCrashed { is_local: true, .. });
     assert_eq!(changes.iter().filter(held).count(), 1, "{changes:?}");
