--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -78,7 +78,7 @@
         /// The starts that it ended; none if this instance was only told.
         crashes: Vec<EndpointKey>,
         /// Until its trial.
-        pause: Duration,
+        trial_delay: Duration,
     },
     /// A request's trial begins, here or elsewhere.
     Trial {
@@ -267,7 +267,7 @@
                     self.changes.push(QuarantineEvent::Quarantined {
                         fingerprint,
                         crashes: ends,
-                        pause,
+                        trial_delay: pause,
                     });
                 }
                 Some(DecisionOutcome::Quarantined(_)) => {
@@ -334,7 +334,11 @@
             decisions::analyze_crashes(&self.ends, &self.verdicts);
         for CrashCause { fingerprint, crashes: ends } in culprits {
             let pause = self.verdicts.quarantine(now, fingerprint);
-            self.changes.push(QuarantineEvent::Quarantined { fingerprint, crashes: ends, pause });
+            self.changes.push(QuarantineEvent::Quarantined {
+                fingerprint,
+                crashes: ends,
+                trial_delay: pause,
+            });
         }
         for fingerprint in cleared {
             self.verdicts.release(now, fingerprint);
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -114,7 +114,7 @@
                 "event=endpoint_ended start={endpoint:08x} own={is_own} suspects={suspects:016x?}"
             );
         }
-        QuarantineEvent::Quarantined { fingerprint, crashes: ends, pause } => {
+        QuarantineEvent::Quarantined { fingerprint, crashes: ends, trial_delay: pause } => {
             observe::quarantine_changed("quarantined");
             let from = if ends.is_empty() { "told" } else { "evidence" };
             log::warn!(
