--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -81,7 +81,7 @@
         trial_delay: Duration,
     },
     /// A request's trial begins, here or elsewhere.
-    Trial {
+    TrialStarted {
         /// The request.
         fingerprint: Fingerprint,
         /// Trials so far.
@@ -151,7 +151,7 @@
         let gate = self.verdicts.check_send(now, fingerprint);
         if gate == SendPermission::Trial {
             let trials = self.verdicts.trials(fingerprint);
-            self.changes.push(QuarantineEvent::Trial { fingerprint, trials });
+            self.changes.push(QuarantineEvent::TrialStarted { fingerprint, trials });
         }
         gate
     }
@@ -272,7 +272,7 @@
                 }
                 Some(DecisionOutcome::Quarantined(_)) => {
                     let (fingerprint, trials) = (told.fingerprint, told.trials);
-                    self.changes.push(QuarantineEvent::Trial { fingerprint, trials });
+                    self.changes.push(QuarantineEvent::TrialStarted { fingerprint, trials });
                 }
                 None => {}
             }
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -123,7 +123,7 @@
                 pause.as_millis()
             );
         }
-        QuarantineEvent::Trial { fingerprint, trials } => {
+        QuarantineEvent::TrialStarted { fingerprint, trials } => {
             observe::quarantine_changed("trial");
             log::warn!("event=quarantine_trial fingerprint={fingerprint:016x} trials={trials}");
         }
