--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -96,7 +96,7 @@
 
 /// A run that broke off at an endpoint that may have ended.
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingAttempt {
     endpoint: EndpointId,
     key: EndpointKey,
     at: Instant,
@@ -123,7 +123,7 @@
 /// ```
 #[derive(Debug)]
 pub struct Quarantine {
-    pending: Vec<Pending>,
+    pending: Vec<PendingAttempt>,
     ends: Crashes,
     answered: RecentSuccesses,
     verdicts: Decisions,
@@ -177,7 +177,7 @@
         if self.pending.len() >= MAX_PENDING_ATTEMPTS {
             self.pending.remove(0);
         }
-        self.pending.push(Pending { endpoint: endpoint.clone(), key, at: now, run });
+        self.pending.push(PendingAttempt { endpoint: endpoint.clone(), key, at: now, run });
     }
 
     /// Whether runs wait for word of an endpoint's start.
@@ -191,7 +191,7 @@
             std::mem::take(&mut self.pending).into_iter().partition(|p| p.key == key);
         self.pending = rest;
         let is_fresh =
-            |p: &Pending| now.saturating_duration_since(p.at) < CRASH_CONFIRMATION_TIMEOUT;
+            |p: &PendingAttempt| now.saturating_duration_since(p.at) < CRASH_CONFIRMATION_TIMEOUT;
         let runs: Vec<InterruptedAttempt> =
             Vec::into_iter(ended).filter(is_fresh).map(|p| p.run).collect();
         if !runs.is_empty() {
