--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -99,7 +99,7 @@
 struct PendingAttempt {
     endpoint: EndpointId,
     key: EndpointKey,
-    at: Instant,
+    interrupted_at: Instant,
     run: InterruptedAttempt,
 }
 
@@ -173,11 +173,18 @@
             self.suspect(now, now, key, vec![run], true);
             return;
         }
-        self.pending.retain(|p| now.saturating_duration_since(p.at) < CRASH_CONFIRMATION_TIMEOUT);
+        self.pending.retain(|p| {
+            now.saturating_duration_since(p.interrupted_at) < CRASH_CONFIRMATION_TIMEOUT
+        });
         if self.pending.len() >= MAX_PENDING_ATTEMPTS {
             self.pending.remove(0);
         }
-        self.pending.push(PendingAttempt { endpoint: endpoint.clone(), key, at: now, run });
+        self.pending.push(PendingAttempt {
+            endpoint: endpoint.clone(),
+            key,
+            interrupted_at: now,
+            run,
+        });
     }
 
     /// Whether runs wait for word of an endpoint's start.
@@ -190,8 +197,9 @@
         let (ended, rest) =
             std::mem::take(&mut self.pending).into_iter().partition(|p| p.key == key);
         self.pending = rest;
-        let is_fresh =
-            |p: &PendingAttempt| now.saturating_duration_since(p.at) < CRASH_CONFIRMATION_TIMEOUT;
+        let is_fresh = |p: &PendingAttempt| {
+            now.saturating_duration_since(p.interrupted_at) < CRASH_CONFIRMATION_TIMEOUT
+        };
         let runs: Vec<InterruptedAttempt> =
             Vec::into_iter(ended).filter(is_fresh).map(|p| p.run).collect();
         if !runs.is_empty() {
