--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -100,7 +100,7 @@
     endpoint: EndpointId,
     key: EndpointKey,
     interrupted_at: Instant,
-    run: InterruptedAttempt,
+    attempt: InterruptedAttempt,
 }
 
 /// What one instance knows of such requests.
@@ -183,7 +183,7 @@
             endpoint: endpoint.clone(),
             key,
             interrupted_at: now,
-            run,
+            attempt: run,
         });
     }
 
@@ -201,7 +201,7 @@
             now.saturating_duration_since(p.interrupted_at) < CRASH_CONFIRMATION_TIMEOUT
         };
         let runs: Vec<InterruptedAttempt> =
-            Vec::into_iter(ended).filter(is_fresh).map(|p| p.run).collect();
+            Vec::into_iter(ended).filter(is_fresh).map(|p| p.attempt).collect();
         if !runs.is_empty() {
             self.suspect(now, now, key, runs, true);
         }
