--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -124,7 +124,7 @@
 #[derive(Debug)]
 pub struct Quarantine {
     pending: Vec<PendingAttempt>,
-    ends: Crashes,
+    crashes: Crashes,
     answered: RecentSuccesses,
     verdicts: Decisions,
     /// Whether something was learned since it was last judged.
@@ -137,7 +137,7 @@
     pub fn new(me: &InstanceId) -> Quarantine {
         Quarantine {
             pending: Vec::new(),
-            ends: Crashes::default(),
+            crashes: Crashes::default(),
             answered: RecentSuccesses::default(),
             verdicts: Decisions::new(me),
             is_changed: false,
@@ -169,7 +169,7 @@
         key: EndpointKey,
         run: InterruptedAttempt,
     ) {
-        if self.ends.is_known(key) {
+        if self.crashes.is_known(key) {
             self.suspect(now, now, key, vec![run], true);
             return;
         }
@@ -236,7 +236,7 @@
             Extent::Changes | Extent::Full => (CRASH_GOSSIP_PERIOD, GOSSIP_PERIOD),
         };
         QuarantineUpdate {
-            crashes: self.ends.collect_records(now, ends_for, passes_on, in_full),
+            crashes: self.crashes.collect_records(now, ends_for, passes_on, in_full),
             decisions: self.verdicts.collect_records(now, rest_for, in_full),
             successes: self.answered.collect_records(now, rest_for),
         }
@@ -254,7 +254,7 @@
         self.hear_verdicts(now, &told.decisions);
         let mut ended = Vec::new();
         for end in &told.crashes {
-            if !self.ends.is_known(end.endpoint) {
+            if !self.crashes.is_known(end.endpoint) {
                 ended.push(end.endpoint);
             }
             let at = before(now, end.age_ms);
@@ -311,13 +311,13 @@
         runs: Vec<InterruptedAttempt>,
         is_own: bool,
     ) {
-        let is_new_end = !self.ends.is_known(key);
+        let is_new_end = !self.crashes.is_known(key);
         let floor = at.checked_sub(SUCCESS_LOOKBACK).unwrap_or(at);
         let was_answered =
             |run: &InterruptedAttempt| self.answered.succeeded_since(run.fingerprint, floor);
         let (cleared, runs): (Vec<_>, Vec<_>) = runs.into_iter().partition(was_answered);
         cleared.iter().for_each(|run| self.acquit(now, run.fingerprint));
-        let is_news = self.ends.record(now, at, key, &runs, is_own);
+        let is_news = self.crashes.record(now, at, key, &runs, is_own);
         if is_new_end {
             let suspects = runs.iter().map(|run| run.fingerprint).collect();
             self.changes.push(QuarantineEvent::EndpointCrashed {
@@ -331,7 +331,7 @@
 
     /// Judges by what is known of ends for [`CRASH_SETTLING_TIME`]. To be called often, a few times in that.
     pub fn settle(&mut self, now: Instant) {
-        let is_settled = self.ends.mark_settled(now, CRASH_SETTLING_TIME);
+        let is_settled = self.crashes.mark_settled(now, CRASH_SETTLING_TIME);
         if is_settled || std::mem::take(&mut self.is_changed) {
             self.decide(now);
         }
@@ -339,7 +339,7 @@
 
     fn decide(&mut self, now: Instant) {
         let CrashAnalysis { causes: culprits, cleared } =
-            decisions::analyze_crashes(&self.ends, &self.verdicts);
+            decisions::analyze_crashes(&self.crashes, &self.verdicts);
         for CrashCause { fingerprint, crashes: ends } in culprits {
             let pause = self.verdicts.quarantine(now, fingerprint);
             self.changes.push(QuarantineEvent::Quarantined {
@@ -356,7 +356,7 @@
 
     /// Takes a request off the evidence up to a while after a good answer to it.
     fn clear(&mut self, now: Instant, fingerprint: Fingerprint, at: Instant) {
-        if self.ends.remove_request(fingerprint, at + SUCCESS_LOOKBACK) {
+        if self.crashes.remove_request(fingerprint, at + SUCCESS_LOOKBACK) {
             self.acquit(now, fingerprint);
         }
     }
@@ -364,7 +364,7 @@
     /// Lets the others know that a request was answered, and ends its quarantine if nothing is left against it.
     fn acquit(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.answered.queue_for_gossip(now, fingerprint);
-        if !self.ends.involves(fingerprint) && self.verdicts.release(now, fingerprint) {
+        if !self.crashes.involves(fingerprint) && self.verdicts.release(now, fingerprint) {
             self.changes.push(QuarantineEvent::Released { fingerprint });
         }
     }
