--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -125,7 +125,7 @@
 pub struct Quarantine {
     pending: Vec<PendingAttempt>,
     crashes: Crashes,
-    answered: RecentSuccesses,
+    successes: RecentSuccesses,
     verdicts: Decisions,
     /// Whether something was learned since it was last judged.
     is_changed: bool,
@@ -138,7 +138,7 @@
         Quarantine {
             pending: Vec::new(),
             crashes: Crashes::default(),
-            answered: RecentSuccesses::default(),
+            successes: RecentSuccesses::default(),
             verdicts: Decisions::new(me),
             is_changed: false,
             changes: Vec::new(),
@@ -218,10 +218,10 @@
 
     /// Notes a good answer to a request.
     pub fn answered(&mut self, now: Instant, fingerprint: Fingerprint) {
-        self.answered.record(now, fingerprint);
+        self.successes.record(now, fingerprint);
         self.clear(now, fingerprint, now);
         if self.verdicts.release(now, fingerprint) {
-            self.answered.queue_for_gossip(now, fingerprint);
+            self.successes.queue_for_gossip(now, fingerprint);
             self.changes.push(QuarantineEvent::Released { fingerprint });
         }
     }
@@ -238,7 +238,7 @@
         QuarantineUpdate {
             crashes: self.crashes.collect_records(now, ends_for, passes_on, in_full),
             decisions: self.verdicts.collect_records(now, rest_for, in_full),
-            successes: self.answered.collect_records(now, rest_for),
+            successes: self.successes.collect_records(now, rest_for),
         }
     }
 
@@ -247,7 +247,7 @@
     pub fn hear(&mut self, now: Instant, told: &QuarantineUpdate) -> Vec<EndpointKey> {
         for answer in &told.successes {
             let at = before(now, answer.age_ms);
-            if self.answered.record_remote(now, answer.fingerprint, at) {
+            if self.successes.record_remote(now, answer.fingerprint, at) {
                 self.clear(now, answer.fingerprint, at);
             }
         }
@@ -314,7 +314,7 @@
         let is_new_end = !self.crashes.is_known(key);
         let floor = at.checked_sub(SUCCESS_LOOKBACK).unwrap_or(at);
         let was_answered =
-            |run: &InterruptedAttempt| self.answered.succeeded_since(run.fingerprint, floor);
+            |run: &InterruptedAttempt| self.successes.succeeded_since(run.fingerprint, floor);
         let (cleared, runs): (Vec<_>, Vec<_>) = runs.into_iter().partition(was_answered);
         cleared.iter().for_each(|run| self.acquit(now, run.fingerprint));
         let is_news = self.crashes.record(now, at, key, &runs, is_own);
@@ -363,7 +363,7 @@
 
     /// Lets the others know that a request was answered, and ends its quarantine if nothing is left against it.
     fn acquit(&mut self, now: Instant, fingerprint: Fingerprint) {
-        self.answered.queue_for_gossip(now, fingerprint);
+        self.successes.queue_for_gossip(now, fingerprint);
         if !self.crashes.involves(fingerprint) && self.verdicts.release(now, fingerprint) {
             self.changes.push(QuarantineEvent::Released { fingerprint });
         }
