--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -126,7 +126,7 @@
     pending: Vec<PendingAttempt>,
     crashes: Crashes,
     successes: RecentSuccesses,
-    verdicts: Decisions,
+    decisions: Decisions,
     /// Whether something was learned since it was last judged.
     is_changed: bool,
     changes: Vec<QuarantineEvent>,
@@ -139,7 +139,7 @@
             pending: Vec::new(),
             crashes: Crashes::default(),
             successes: RecentSuccesses::default(),
-            verdicts: Decisions::new(me),
+            decisions: Decisions::new(me),
             is_changed: false,
             changes: Vec::new(),
         }
@@ -148,9 +148,9 @@
     /// Whether a request may be sent to an endpoint now. To be asked right before that, since a trial counts as
     /// begun with it.
     pub fn gate(&mut self, now: Instant, fingerprint: Fingerprint) -> SendPermission {
-        let gate = self.verdicts.check_send(now, fingerprint);
+        let gate = self.decisions.check_send(now, fingerprint);
         if gate == SendPermission::Trial {
-            let trials = self.verdicts.trials(fingerprint);
+            let trials = self.decisions.trials(fingerprint);
             self.changes.push(QuarantineEvent::TrialStarted { fingerprint, trials });
         }
         gate
@@ -158,7 +158,7 @@
 
     /// For how long a request is not to be sent, if so.
     pub fn closed_for(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
-        self.verdicts.blocked_for(now, fingerprint)
+        self.decisions.blocked_for(now, fingerprint)
     }
 
     /// Notes a run that broke off at an endpoint that was in service and may have ended.
@@ -220,7 +220,7 @@
     pub fn answered(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.successes.record(now, fingerprint);
         self.clear(now, fingerprint, now);
-        if self.verdicts.release(now, fingerprint) {
+        if self.decisions.release(now, fingerprint) {
             self.successes.queue_for_gossip(now, fingerprint);
             self.changes.push(QuarantineEvent::Released { fingerprint });
         }
@@ -237,7 +237,7 @@
         };
         QuarantineUpdate {
             crashes: self.crashes.collect_records(now, ends_for, passes_on, in_full),
-            decisions: self.verdicts.collect_records(now, rest_for, in_full),
+            decisions: self.decisions.collect_records(now, rest_for, in_full),
             successes: self.successes.collect_records(now, rest_for),
         }
     }
@@ -266,7 +266,7 @@
     /// Takes in decisions of other instances, or that the store holds.
     pub fn hear_verdicts(&mut self, now: Instant, verdicts: &[DecisionRecord]) {
         for told in verdicts {
-            match self.verdicts.apply_record(now, told) {
+            match self.decisions.apply_record(now, told) {
                 Some(DecisionOutcome::Released) => {
                     self.changes.push(QuarantineEvent::Released { fingerprint: told.fingerprint });
                 }
@@ -289,12 +289,12 @@
 
     /// Decisions to note in the store: all, or those that this instance came to.
     pub fn notes(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
-        self.verdicts.records_to_store(now, all)
+        self.decisions.records_to_store(now, all)
     }
 
     /// Requests in quarantine.
     pub fn held(&self) -> usize {
-        self.verdicts.quarantined().count()
+        self.decisions.quarantined().count()
     }
 
     /// What has newly been believed since the last call.
@@ -339,9 +339,9 @@
 
     fn decide(&mut self, now: Instant) {
         let CrashAnalysis { causes: culprits, cleared } =
-            decisions::analyze_crashes(&self.crashes, &self.verdicts);
+            decisions::analyze_crashes(&self.crashes, &self.decisions);
         for CrashCause { fingerprint, crashes: ends } in culprits {
-            let pause = self.verdicts.quarantine(now, fingerprint);
+            let pause = self.decisions.quarantine(now, fingerprint);
             self.changes.push(QuarantineEvent::Quarantined {
                 fingerprint,
                 crashes: ends,
@@ -349,7 +349,7 @@
             });
         }
         for fingerprint in cleared {
-            self.verdicts.release(now, fingerprint);
+            self.decisions.release(now, fingerprint);
             self.changes.push(QuarantineEvent::Released { fingerprint });
         }
     }
@@ -364,7 +364,7 @@
     /// Lets the others know that a request was answered, and ends its quarantine if nothing is left against it.
     fn acquit(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.successes.queue_for_gossip(now, fingerprint);
-        if !self.crashes.involves(fingerprint) && self.verdicts.release(now, fingerprint) {
+        if !self.crashes.involves(fingerprint) && self.decisions.release(now, fingerprint) {
             self.changes.push(QuarantineEvent::Released { fingerprint });
         }
     }
