--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -128,7 +128,7 @@
     successes: RecentSuccesses,
     decisions: Decisions,
     /// Whether something was learned since it was last judged.
-    is_changed: bool,
+    needs_analysis: bool,
     changes: Vec<QuarantineEvent>,
 }
 
@@ -140,7 +140,7 @@
             crashes: Crashes::default(),
             successes: RecentSuccesses::default(),
             decisions: Decisions::new(me),
-            is_changed: false,
+            needs_analysis: false,
             changes: Vec::new(),
         }
     }
@@ -326,13 +326,13 @@
                 is_local: is_own,
             });
         }
-        self.is_changed |= is_news;
+        self.needs_analysis |= is_news;
     }
 
     /// Judges by what is known of ends for [`CRASH_SETTLING_TIME`]. To be called often, a few times in that.
     pub fn settle(&mut self, now: Instant) {
         let is_settled = self.crashes.mark_settled(now, CRASH_SETTLING_TIME);
-        if is_settled || std::mem::take(&mut self.is_changed) {
+        if is_settled || std::mem::take(&mut self.needs_analysis) {
             self.decide(now);
         }
     }
