--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -129,7 +129,7 @@
     decisions: Decisions,
     /// Whether something was learned since it was last judged.
     needs_analysis: bool,
-    changes: Vec<QuarantineEvent>,
+    events: Vec<QuarantineEvent>,
 }
 
 impl Quarantine {
@@ -141,7 +141,7 @@
             successes: RecentSuccesses::default(),
             decisions: Decisions::new(me),
             needs_analysis: false,
-            changes: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -151,7 +151,7 @@
         let gate = self.decisions.check_send(now, fingerprint);
         if gate == SendPermission::Trial {
             let trials = self.decisions.trials(fingerprint);
-            self.changes.push(QuarantineEvent::TrialStarted { fingerprint, trials });
+            self.events.push(QuarantineEvent::TrialStarted { fingerprint, trials });
         }
         gate
     }
@@ -222,7 +222,7 @@
         self.clear(now, fingerprint, now);
         if self.decisions.release(now, fingerprint) {
             self.successes.queue_for_gossip(now, fingerprint);
-            self.changes.push(QuarantineEvent::Released { fingerprint });
+            self.events.push(QuarantineEvent::Released { fingerprint });
         }
     }
 
@@ -268,11 +268,11 @@
         for told in verdicts {
             match self.decisions.apply_record(now, told) {
                 Some(DecisionOutcome::Released) => {
-                    self.changes.push(QuarantineEvent::Released { fingerprint: told.fingerprint });
+                    self.events.push(QuarantineEvent::Released { fingerprint: told.fingerprint });
                 }
                 Some(DecisionOutcome::Quarantined(pause)) if told.trials == 0 => {
                     let (fingerprint, ends) = (told.fingerprint, Vec::new());
-                    self.changes.push(QuarantineEvent::Quarantined {
+                    self.events.push(QuarantineEvent::Quarantined {
                         fingerprint,
                         crashes: ends,
                         trial_delay: pause,
@@ -280,7 +280,7 @@
                 }
                 Some(DecisionOutcome::Quarantined(_)) => {
                     let (fingerprint, trials) = (told.fingerprint, told.trials);
-                    self.changes.push(QuarantineEvent::TrialStarted { fingerprint, trials });
+                    self.events.push(QuarantineEvent::TrialStarted { fingerprint, trials });
                 }
                 None => {}
             }
@@ -299,7 +299,7 @@
 
     /// What has newly been believed since the last call.
     pub fn take_changes(&mut self) -> Vec<QuarantineEvent> {
-        std::mem::take(&mut self.changes)
+        std::mem::take(&mut self.events)
     }
 
     /// Takes runs that ended with an endpoint at `at` for evidence, and decides.
@@ -320,7 +320,7 @@
         let is_news = self.crashes.record(now, at, key, &runs, is_own);
         if is_new_end {
             let suspects = runs.iter().map(|run| run.fingerprint).collect();
-            self.changes.push(QuarantineEvent::EndpointCrashed {
+            self.events.push(QuarantineEvent::EndpointCrashed {
                 endpoint: key,
                 suspects,
                 is_local: is_own,
@@ -342,7 +342,7 @@
             decisions::analyze_crashes(&self.crashes, &self.decisions);
         for CrashCause { fingerprint, crashes: ends } in culprits {
             let pause = self.decisions.quarantine(now, fingerprint);
-            self.changes.push(QuarantineEvent::Quarantined {
+            self.events.push(QuarantineEvent::Quarantined {
                 fingerprint,
                 crashes: ends,
                 trial_delay: pause,
@@ -350,7 +350,7 @@
         }
         for fingerprint in cleared {
             self.decisions.release(now, fingerprint);
-            self.changes.push(QuarantineEvent::Released { fingerprint });
+            self.events.push(QuarantineEvent::Released { fingerprint });
         }
     }
 
@@ -365,7 +365,7 @@
     fn acquit(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.successes.queue_for_gossip(now, fingerprint);
         if !self.crashes.involves(fingerprint) && self.decisions.release(now, fingerprint) {
-            self.changes.push(QuarantineEvent::Released { fingerprint });
+            self.events.push(QuarantineEvent::Released { fingerprint });
         }
     }
 }
