--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -147,7 +147,7 @@
 
     /// Whether a request may be sent to an endpoint now. To be asked right before that, since a trial counts as
     /// begun with it.
-    pub fn gate(&mut self, now: Instant, fingerprint: Fingerprint) -> SendPermission {
+    pub fn check_send(&mut self, now: Instant, fingerprint: Fingerprint) -> SendPermission {
         let gate = self.decisions.check_send(now, fingerprint);
         if gate == SendPermission::Trial {
             let trials = self.decisions.trials(fingerprint);
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -204,7 +204,7 @@
     let mut trials = Vec::new();
     while now < start + Duration::from_secs(500) {
         for q in [&mut a, &mut b] {
-            if q.gate(now, BAD) == SendPermission::Trial {
+            if q.check_send(now, BAD) == SendPermission::Trial {
                 trials.push(now - start);
                 end(q, now, 100 + trials.len() as u32, &[BAD], &[]);
             }
@@ -226,13 +226,13 @@
     for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut q, now, key, &[GOOD], &[]);
     }
-    assert_eq!(q.gate(now + TRIAL, GOOD), SendPermission::Trial);
-    assert!(matches!(q.gate(now + TRIAL, GOOD), SendPermission::Blocked(_)));
+    assert_eq!(q.check_send(now + TRIAL, GOOD), SendPermission::Trial);
+    assert!(matches!(q.check_send(now + TRIAL, GOOD), SendPermission::Blocked(_)));
     q.answered(now + TRIAL, GOOD);
-    assert_eq!(q.gate(now + TRIAL, GOOD), SendPermission::Allowed);
+    assert_eq!(q.check_send(now + TRIAL, GOOD), SendPermission::Allowed);
     // It takes as many ends again.
     end(&mut q, now + TRIAL + Duration::from_secs(9), 90, &[GOOD], &[]);
-    assert_eq!(q.gate(now + TRIAL + Duration::from_secs(9), GOOD), SendPermission::Allowed);
+    assert_eq!(q.check_send(now + TRIAL + Duration::from_secs(9), GOOD), SendPermission::Allowed);
 }
 
 #[test]
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -18,7 +18,7 @@
     /// Whether a request may be sent to an endpoint now.
     pub(crate) fn gate(&self, fingerprint: Fingerprint) -> SendPermission {
         let mut state = self.lock();
-        let gate = state.quarantine.gate(clock::now(), fingerprint);
+        let gate = state.quarantine.check_send(clock::now(), fingerprint);
         if gate == SendPermission::Trial {
             log_changes(&mut state.quarantine);
             drop(state);
