--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -157,7 +157,7 @@
     }
 
     /// For how long a request is not to be sent, if so.
-    pub fn closed_for(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
+    pub fn blocked_for(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
         self.decisions.blocked_for(now, fingerprint)
     }
 
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -36,7 +36,7 @@
 }
 
 fn is_closed(q: &Quarantine, now: Instant, fingerprint: u64) -> bool {
-    q.closed_for(now, fingerprint).is_some()
+    q.blocked_for(now, fingerprint).is_some()
 }
 
 /// Everything is told both ways.
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -99,7 +99,7 @@
 
     fn end(&mut self, at: usize, is_beside: bool) {
         // It is sent only where the gate is open.
-        if self.instances[at].closed_for(self.now, BAD).is_some() {
+        if self.instances[at].blocked_for(self.now, BAD).is_some() {
             return;
         }
         self.next += 1;
@@ -140,7 +140,7 @@
             let alone = heard.iter().filter(|(_, is_beside)| !is_beside).count();
             let is_told =
                 heard.len() > CRASH_THRESHOLD || (heard.len() == CRASH_THRESHOLD && alone > 0);
-            let is_closed = |f| self.instances[at].closed_for(self.now, f).is_some();
+            let is_closed = |f| self.instances[at].blocked_for(self.now, f).is_some();
             if (is_told || (was_noted && self.seen.is_empty())) && !is_closed(BAD) {
                 broken.push(format!("{at} lets it pass, having heard of {heard:?}"));
             }
@@ -158,7 +158,7 @@
         self.talk();
         self.talk();
         for at in (0..INSTANCES).filter(|at| !side_of(self.is_cut, *at)) {
-            if self.instances[at].closed_for(self.now, GOOD).is_some() {
+            if self.instances[at].blocked_for(self.now, GOOD).is_some() {
                 broken.push(format!("{at} holds the other one after an answer"));
             }
         }
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -98,7 +98,7 @@
         let units = account.map_or(0, |a| units(a, &ask));
         let fingerprint = identify(account, &head, &body);
         let mut state = self.shared.lock();
-        if let Some(left) = state.quarantine.closed_for(arrived, fingerprint) {
+        if let Some(left) = state.quarantine.blocked_for(arrived, fingerprint) {
             return Err(Refusal::Quarantined { fingerprint, retry_after: left });
         }
         let admitted = match account {
