--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -115,7 +115,7 @@
 /// let (mut quarantine, now) = (Quarantine::new(&"i-1".into()), Instant::now());
 /// for endpoint in 0..3 {
 ///     assert_eq!(quarantine.check_send(now, 7), SendPermission::Allowed);
-///     quarantine.broke_off(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, awaiting_response: true });
+///     quarantine.attempt_interrupted(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, awaiting_response: true });
 ///     quarantine.ended(now, endpoint);
 /// }
 /// quarantine.mark_settled(now + CRASH_SETTLING_TIME);
@@ -162,7 +162,7 @@
     }
 
     /// Notes a run that broke off at an endpoint that was in service and may have ended.
-    pub fn broke_off(
+    pub fn attempt_interrupted(
         &mut self,
         now: Instant,
         endpoint: &EndpointId,
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -30,7 +30,7 @@
         quiet.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: true });
     let begun =
         begun.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: false });
-    quiet.chain(begun).for_each(|run| q.broke_off(now, &"e".into(), key, run));
+    quiet.chain(begun).for_each(|run| q.attempt_interrupted(now, &"e".into(), key, run));
     q.ended(now, key);
     q.settle(now + CRASH_SETTLING_TIME);
 }
@@ -111,7 +111,7 @@
     let (mut q, now) = (instance("a"), Instant::now());
     let run = InterruptedAttempt { fingerprint: BAD, awaiting_response: true };
     for key in 0..10 {
-        q.broke_off(now, &"e".into(), key, run);
+        q.attempt_interrupted(now, &"e".into(), key, run);
     }
     assert!(!is_closed(&q, now, BAD));
     // Word that comes long after speaks of something else.
@@ -124,7 +124,7 @@
     let (mut q, now) = (instance("a"), Instant::now());
     for key in 0..CRASH_THRESHOLD as u32 {
         let endpoint = format!("e-{key}").as_str().into();
-        q.broke_off(
+        q.attempt_interrupted(
             now,
             &endpoint,
             key,
@@ -316,10 +316,10 @@
     for key in 0..CRASH_THRESHOLD as u32 {
         let at = after(now, u64::from(key) * 100);
         let good = InterruptedAttempt { fingerprint: GOOD, awaiting_response: true };
-        a.broke_off(at, &"e".into(), key, good);
+        a.attempt_interrupted(at, &"e".into(), key, good);
         a.ended(at, key);
         a.settle(at + Duration::from_millis(10));
-        b.broke_off(
+        b.attempt_interrupted(
             at,
             &"e".into(),
             key,
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -107,7 +107,7 @@
         let others = is_beside.then_some(GOOD);
         for fingerprint in [BAD].into_iter().chain(others) {
             let run = InterruptedAttempt { fingerprint, awaiting_response: true };
-            q.broke_off(self.now, &"e".into(), self.next, run);
+            q.attempt_interrupted(self.now, &"e".into(), self.next, run);
         }
         q.ended(self.now, self.next);
         self.seen.push((at, is_beside));
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -43,7 +43,7 @@
         let Some(newest) = world.endpoint(&endpoint.id).filter(|e| !e.leaving) else {
             return false;
         };
-        quarantine.broke_off(now, &endpoint.id, key, run);
+        quarantine.attempt_interrupted(now, &endpoint.id, key, run);
         if newest.key() != key {
             quarantine.ended(now, key);
         }
