--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -188,7 +188,7 @@
     }
 
     /// Whether runs wait for word of an endpoint's start.
-    pub fn is_pending(&self, key: EndpointKey) -> bool {
+    pub fn has_pending_attempts(&self, key: EndpointKey) -> bool {
         self.pending.iter().any(|p| p.key == key)
     }
 
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -48,7 +48,7 @@
             quarantine.ended(now, key);
         }
         log_changes(quarantine);
-        quarantine.is_pending(key)
+        quarantine.has_pending_attempts(key)
     }
 
     /// Notes that a start of an endpoint has ended.
