--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -116,7 +116,7 @@
 /// for endpoint in 0..3 {
 ///     assert_eq!(quarantine.check_send(now, 7), SendPermission::Allowed);
 ///     quarantine.attempt_interrupted(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, awaiting_response: true });
-///     quarantine.ended(now, endpoint);
+///     quarantine.endpoint_crashed(now, endpoint);
 /// }
 /// quarantine.mark_settled(now + CRASH_SETTLING_TIME);
 /// assert!(matches!(quarantine.check_send(now, 7), SendPermission::Blocked(_)));
@@ -193,7 +193,7 @@
     }
 
     /// Notes that a start of an endpoint has ended.
-    pub fn ended(&mut self, now: Instant, key: EndpointKey) {
+    pub fn endpoint_crashed(&mut self, now: Instant, key: EndpointKey) {
         let (ended, rest) =
             std::mem::take(&mut self.pending).into_iter().partition(|p| p.key == key);
         self.pending = rest;
@@ -213,7 +213,7 @@
         let keys = self.pending.iter().filter(|p| p.endpoint == *endpoint).map(|p| p.key);
         let mut keys: Vec<_> = keys.collect();
         keys.dedup();
-        keys.into_iter().for_each(|key| self.ended(now, key));
+        keys.into_iter().for_each(|key| self.endpoint_crashed(now, key));
     }
 
     /// Notes a good answer to a request.
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -31,7 +31,7 @@
     let begun =
         begun.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: false });
     quiet.chain(begun).for_each(|run| q.attempt_interrupted(now, &"e".into(), key, run));
-    q.ended(now, key);
+    q.endpoint_crashed(now, key);
     q.settle(now + CRASH_SETTLING_TIME);
 }
 
@@ -115,7 +115,7 @@
     }
     assert!(!is_closed(&q, now, BAD));
     // Word that comes long after speaks of something else.
-    (0..10).for_each(|key| q.ended(after(now, 6000), key));
+    (0..10).for_each(|key| q.endpoint_crashed(after(now, 6000), key));
     assert!(!is_closed(&q, after(now, 6000), BAD));
 }
 
@@ -317,7 +317,7 @@
         let at = after(now, u64::from(key) * 100);
         let good = InterruptedAttempt { fingerprint: GOOD, awaiting_response: true };
         a.attempt_interrupted(at, &"e".into(), key, good);
-        a.ended(at, key);
+        a.endpoint_crashed(at, key);
         a.settle(at + Duration::from_millis(10));
         b.attempt_interrupted(
             at,
@@ -325,7 +325,7 @@
             key,
             InterruptedAttempt { fingerprint: BAD, awaiting_response: true },
         );
-        b.ended(at, key);
+        b.endpoint_crashed(at, key);
     }
     // It is at one more end, without the other one.
     end(&mut b, after(now, 210), 9, &[BAD], &[]);
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -109,7 +109,7 @@
             let run = InterruptedAttempt { fingerprint, awaiting_response: true };
             q.attempt_interrupted(self.now, &"e".into(), self.next, run);
         }
-        q.ended(self.now, self.next);
+        q.endpoint_crashed(self.now, self.next);
         self.seen.push((at, is_beside));
     }
 
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -45,7 +45,7 @@
         };
         quarantine.attempt_interrupted(now, &endpoint.id, key, run);
         if newest.key() != key {
-            quarantine.ended(now, key);
+            quarantine.endpoint_crashed(now, key);
         }
         log_changes(quarantine);
         quarantine.has_pending_attempts(key)
@@ -55,7 +55,7 @@
     pub(crate) fn endpoint_ended(&self, endpoint: &Endpoint) {
         let now = clock::now();
         let mut state = self.lock();
-        state.quarantine.ended(now, endpoint.key());
+        state.quarantine.endpoint_crashed(now, endpoint.key());
         state.set_ended_aside(now, [endpoint.key()]);
         log_changes(&mut state.quarantine);
         drop(state);
