--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -209,7 +209,7 @@
 
     /// Notes that an endpoint's entry has gone, or tells of a later start: the starts at which runs broke off have
     /// ended.
-    pub fn entry_changed(&mut self, now: Instant, endpoint: &EndpointId) {
+    pub fn endpoint_entry_changed(&mut self, now: Instant, endpoint: &EndpointId) {
         let keys = self.pending.iter().filter(|p| p.endpoint == *endpoint).map(|p| p.key);
         let mut keys: Vec<_> = keys.collect();
         keys.dedup();
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -130,7 +130,7 @@
             key,
             InterruptedAttempt { fingerprint: BAD, awaiting_response: true },
         );
-        q.entry_changed(after(now, 1500), &endpoint);
+        q.endpoint_entry_changed(after(now, 1500), &endpoint);
     }
     q.settle(after(now, 1500) + CRASH_SETTLING_TIME);
     assert!(is_closed(&q, after(now, 1500), BAD));
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -314,7 +314,7 @@
         for item in news {
             match item {
                 News::Restarted(Endpoint { id, .. }) | News::EndpointGone(id) => {
-                    quarantine.entry_changed(now, id);
+                    quarantine.endpoint_entry_changed(now, id);
                 }
                 News::Endpoint(endpoint) if endpoint.leaving => {
                     cell.leaves_by_entry(now, endpoint.key());
