--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -217,7 +217,7 @@
     }
 
     /// Notes a good answer to a request.
-    pub fn answered(&mut self, now: Instant, fingerprint: Fingerprint) {
+    pub fn request_succeeded(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.successes.record(now, fingerprint);
         self.clear(now, fingerprint, now);
         if self.decisions.release(now, fingerprint) {
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -142,13 +142,13 @@
     for (answered, is_held) in [(0, true), (2000, false), (4900, false), (5500, false)] {
         let (mut a, mut b) = (instance("a"), instance("b"));
         if answered <= 5000 {
-            b.answered(after(now, answered), BAD);
+            b.request_succeeded(after(now, answered), BAD);
         }
         for key in 0..CRASH_THRESHOLD as u32 {
             end(&mut a, after(now, 5000), key, &[BAD], &[]);
         }
         if answered > 5000 {
-            b.answered(after(now, answered), BAD);
+            b.request_succeeded(after(now, answered), BAD);
         }
         exchange(after(now, 5600), &mut a, &mut b);
         exchange(after(now, 5700), &mut a, &mut b);
@@ -160,7 +160,7 @@
 #[test]
 fn word_of_a_good_answer_takes_ends_off_where_nothing_is_decided_yet() {
     let (mut a, mut b, now) = (instance("a"), instance("b"), Instant::now());
-    b.answered(now, GOOD);
+    b.request_succeeded(now, GOOD);
     end(&mut a, after(now, 100), 0, &[GOOD], &[]);
     end(&mut a, after(now, 200), 1, &[GOOD], &[]);
     let told = a.tell(after(now, 210), Extent::Changes, true);
@@ -183,7 +183,7 @@
     let old = c.tell(now, Extent::Full, true);
     let noted = c.notes(now, true);
     let now = after(now, 200);
-    b.answered(now, GOOD);
+    b.request_succeeded(now, GOOD);
     exchange(now, &mut a, &mut b);
     // What was said before comes late.
     a.hear(now, &old);
@@ -228,7 +228,7 @@
     }
     assert_eq!(q.check_send(now + TRIAL, GOOD), SendPermission::Trial);
     assert!(matches!(q.check_send(now + TRIAL, GOOD), SendPermission::Blocked(_)));
-    q.answered(now + TRIAL, GOOD);
+    q.request_succeeded(now + TRIAL, GOOD);
     assert_eq!(q.check_send(now + TRIAL, GOOD), SendPermission::Allowed);
     // It takes as many ends again.
     end(&mut q, now + TRIAL + Duration::from_secs(9), 90, &[GOOD], &[]);
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -84,7 +84,7 @@
         match step {
             Step::End(at) => self.end(at, false),
             Step::EndBeside(at) => self.end(at, true),
-            Step::Answer(at) => self.instances[at].answered(self.now, GOOD),
+            Step::Answer(at) => self.instances[at].request_succeeded(self.now, GOOD),
             Step::Talk => self.talk(),
             Step::Cut => self.is_cut = !self.is_cut,
             Step::Die => {
@@ -154,7 +154,7 @@
         }
         // One answer, and the other request is served wherever that is heard.
         self.now += Duration::from_millis(10);
-        self.instances[0].answered(self.now, GOOD);
+        self.instances[0].request_succeeded(self.now, GOOD);
         self.talk();
         self.talk();
         for at in (0..INSTANCES).filter(|at| !side_of(self.is_cut, *at)) {
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -30,7 +30,7 @@
     /// Notes that a request had a whole answer.
     pub(crate) fn request_answered(&self, fingerprint: Fingerprint) {
         let mut state = self.lock();
-        state.quarantine.answered(clock::now(), fingerprint);
+        state.quarantine.request_succeeded(clock::now(), fingerprint);
         log_changes(&mut state.quarantine);
     }
 
