--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -229,7 +229,12 @@
     /// What to tell other instances in a report of an extent: what is new, and in full ones also older decisions in
     /// turn. What others have seen is told on by those who pass it on: in a fleet of several cells, their
     /// representatives.
-    pub fn tell(&mut self, now: Instant, extent: Extent, passes_on: bool) -> QuarantineUpdate {
+    pub fn make_update(
+        &mut self,
+        now: Instant,
+        extent: Extent,
+        passes_on: bool,
+    ) -> QuarantineUpdate {
         let in_full = extent == Extent::Full;
         let (ends_for, rest_for) = match extent {
             Extent::Loads => (IMMEDIATE_GOSSIP_PERIOD, IMMEDIATE_GOSSIP_PERIOD),
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -41,9 +41,9 @@
 
 /// Everything is told both ways.
 fn exchange(now: Instant, a: &mut Quarantine, b: &mut Quarantine) {
-    let told = a.tell(now, Extent::Full, true);
+    let told = a.make_update(now, Extent::Full, true);
     b.hear(now, &told);
-    let told = b.tell(now, Extent::Full, true);
+    let told = b.make_update(now, Extent::Full, true);
     a.hear(now, &told);
     a.settle(now + CRASH_SETTLING_TIME);
     b.settle(now + CRASH_SETTLING_TIME);
@@ -163,9 +163,9 @@
     b.request_succeeded(now, GOOD);
     end(&mut a, after(now, 100), 0, &[GOOD], &[]);
     end(&mut a, after(now, 200), 1, &[GOOD], &[]);
-    let told = a.tell(after(now, 210), Extent::Changes, true);
+    let told = a.make_update(after(now, 210), Extent::Changes, true);
     b.hear(after(now, 210), &told);
-    let told = b.tell(after(now, 220), Extent::Changes, true);
+    let told = b.make_update(after(now, 220), Extent::Changes, true);
     a.hear(after(now, 220), &told);
     end(&mut a, after(now, 9000), 2, &[GOOD], &[]);
     assert!(!is_closed(&a, after(now, 9200), GOOD));
@@ -180,7 +180,7 @@
     exchange(now, &mut a, &mut b);
     exchange(now, &mut b, &mut c);
     assert!(is_closed(&c, now, GOOD));
-    let old = c.tell(now, Extent::Full, true);
+    let old = c.make_update(now, Extent::Full, true);
     let noted = c.notes(now, true);
     let now = after(now, 200);
     b.request_succeeded(now, GOOD);
@@ -265,7 +265,7 @@
     q.hear_verdicts(after(now, 3_000), &told);
     assert!(is_closed(&q, after(now, 3_000), BAD), "it is held longer than those");
     assert!(q.held() <= 4096, "{}", q.held());
-    assert!(q.tell(after(now, 3_000), Extent::Full, true).decisions.len() <= 32);
+    assert!(q.make_update(after(now, 3_000), Extent::Full, true).decisions.len() <= 32);
 }
 
 #[test]
@@ -294,7 +294,8 @@
     for key in 0..20 {
         end(&mut q, now, key, &[1000 + u64::from(key)], &[]);
     }
-    let told = |q: &mut Quarantine, ms, extent| q.tell(after(now, ms), extent, false).crashes.len();
+    let told =
+        |q: &mut Quarantine, ms, extent| q.make_update(after(now, ms), extent, false).crashes.len();
     assert_eq!(told(&mut q, 10, Extent::Loads), 8);
     assert_eq!(told(&mut q, 30, Extent::Loads), 0);
     assert_eq!(told(&mut q, 900, Extent::Changes), 8);
@@ -304,10 +305,10 @@
     assert_eq!(told(&mut q, 9000, Extent::Full), 2);
     assert_eq!(told(&mut q, 9000, Extent::Changes), 0);
     // Those of others are told on by some.
-    let (mut other, told) = (instance("b"), q.tell(now, Extent::Changes, false));
+    let (mut other, told) = (instance("b"), q.make_update(now, Extent::Changes, false));
     other.hear(now, &told);
-    assert!(other.tell(now, Extent::Full, false).is_empty());
-    assert_eq!(other.tell(now, Extent::Full, true).crashes.len(), told.crashes.len());
+    assert!(other.make_update(now, Extent::Full, false).is_empty());
+    assert_eq!(other.make_update(now, Extent::Full, true).crashes.len(), told.crashes.len());
 }
 
 #[test]
@@ -329,7 +330,7 @@
     }
     // It is at one more end, without the other one.
     end(&mut b, after(now, 210), 9, &[BAD], &[]);
-    let told = b.tell(after(now, 230), Extent::Changes, true);
+    let told = b.make_update(after(now, 230), Extent::Changes, true);
     a.hear(after(now, 230), &told);
     a.settle(after(now, 420));
     let held = [GOOD, BAD].map(|f| is_closed(&a, after(now, 420), f));
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -115,7 +115,7 @@
 
     fn talk(&mut self) {
         for from in 0..INSTANCES {
-            let told = self.instances[from].tell(self.now, Extent::Full, true);
+            let told = self.instances[from].make_update(self.now, Extent::Full, true);
             for to in (0..INSTANCES).filter(|to| *to != from) {
                 if !(self.is_cut && (from == LONER || to == LONER)) {
                     self.instances[to].hear(self.now, &told);
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -163,7 +163,7 @@
             report.windows = state.admission.quotas.windows(now);
         }
         let passes_on = state.group.cells <= 1 || report.is_representative;
-        report.quarantine = state.quarantine.tell(now, reach.extent(), passes_on);
+        report.quarantine = state.quarantine.make_update(now, reach.extent(), passes_on);
         if reach.is_full() {
             let others = state.cell.other_reports(now).filter(|r| r.is_representative);
             report.peers = others.filter_map(|r| r.address).collect();
