--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -249,7 +249,7 @@
 
     /// Takes in what another instance tells; whatever it tells twice changes nothing. Returns the starts of endpoints
     /// that are newly known to have ended.
-    pub fn hear(&mut self, now: Instant, told: &QuarantineUpdate) -> Vec<EndpointKey> {
+    pub fn apply_update(&mut self, now: Instant, told: &QuarantineUpdate) -> Vec<EndpointKey> {
         for answer in &told.successes {
             let at = before(now, answer.age_ms);
             if self.successes.record_remote(now, answer.fingerprint, at) {
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -42,9 +42,9 @@
 /// Everything is told both ways.
 fn exchange(now: Instant, a: &mut Quarantine, b: &mut Quarantine) {
     let told = a.make_update(now, Extent::Full, true);
-    b.hear(now, &told);
+    b.apply_update(now, &told);
     let told = b.make_update(now, Extent::Full, true);
-    a.hear(now, &told);
+    a.apply_update(now, &told);
     a.settle(now + CRASH_SETTLING_TIME);
     b.settle(now + CRASH_SETTLING_TIME);
 }
@@ -164,9 +164,9 @@
     end(&mut a, after(now, 100), 0, &[GOOD], &[]);
     end(&mut a, after(now, 200), 1, &[GOOD], &[]);
     let told = a.make_update(after(now, 210), Extent::Changes, true);
-    b.hear(after(now, 210), &told);
+    b.apply_update(after(now, 210), &told);
     let told = b.make_update(after(now, 220), Extent::Changes, true);
-    a.hear(after(now, 220), &told);
+    a.apply_update(after(now, 220), &told);
     end(&mut a, after(now, 9000), 2, &[GOOD], &[]);
     assert!(!is_closed(&a, after(now, 9200), GOOD));
 }
@@ -186,7 +186,7 @@
     b.request_succeeded(now, GOOD);
     exchange(now, &mut a, &mut b);
     // What was said before comes late.
-    a.hear(now, &old);
+    a.apply_update(now, &old);
     a.hear_verdicts(now, &noted);
     assert!(!is_closed(&a, now, GOOD) && !is_closed(&b, now, GOOD));
     exchange(now, &mut a, &mut c);
@@ -306,7 +306,7 @@
     assert_eq!(told(&mut q, 9000, Extent::Changes), 0);
     // Those of others are told on by some.
     let (mut other, told) = (instance("b"), q.make_update(now, Extent::Changes, false));
-    other.hear(now, &told);
+    other.apply_update(now, &told);
     assert!(other.make_update(now, Extent::Full, false).is_empty());
     assert_eq!(other.make_update(now, Extent::Full, true).crashes.len(), told.crashes.len());
 }
@@ -331,7 +331,7 @@
     // It is at one more end, without the other one.
     end(&mut b, after(now, 210), 9, &[BAD], &[]);
     let told = b.make_update(after(now, 230), Extent::Changes, true);
-    a.hear(after(now, 230), &told);
+    a.apply_update(after(now, 230), &told);
     a.settle(after(now, 420));
     let held = [GOOD, BAD].map(|f| is_closed(&a, after(now, 420), f));
     assert_eq!(held, [false, true]);
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -118,7 +118,7 @@
             let told = self.instances[from].make_update(self.now, Extent::Full, true);
             for to in (0..INSTANCES).filter(|to| *to != from) {
                 if !(self.is_cut && (from == LONER || to == LONER)) {
-                    self.instances[to].hear(self.now, &told);
+                    self.instances[to].apply_update(self.now, &told);
                 }
             }
         }
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -79,7 +79,7 @@
         if told.is_empty() {
             return;
         }
-        let ended = self.quarantine.hear(now, told);
+        let ended = self.quarantine.apply_update(now, told);
         self.set_ended_aside(now, ended);
         log_changes(&mut self.quarantine);
     }
