--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -256,7 +256,7 @@
                 self.clear(now, answer.fingerprint, at);
             }
         }
-        self.hear_verdicts(now, &told.decisions);
+        self.apply_decisions(now, &told.decisions);
         let mut ended = Vec::new();
         for end in &told.crashes {
             if !self.crashes.is_known(end.endpoint) {
@@ -269,7 +269,7 @@
     }
 
     /// Takes in decisions of other instances, or that the store holds.
-    pub fn hear_verdicts(&mut self, now: Instant, verdicts: &[DecisionRecord]) {
+    pub fn apply_decisions(&mut self, now: Instant, verdicts: &[DecisionRecord]) {
         for told in verdicts {
             match self.decisions.apply_record(now, told) {
                 Some(DecisionOutcome::Released) => {
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -187,7 +187,7 @@
     exchange(now, &mut a, &mut b);
     // What was said before comes late.
     a.apply_update(now, &old);
-    a.hear_verdicts(now, &noted);
+    a.apply_decisions(now, &noted);
     assert!(!is_closed(&a, now, GOOD) && !is_closed(&b, now, GOOD));
     exchange(now, &mut a, &mut c);
     assert!(!is_closed(&c, now, GOOD));
@@ -244,7 +244,7 @@
     let noted = a.notes(now, false);
     assert_eq!(noted, a.notes(after(now, 5000), false), "a note is written once");
     let mut next = instance("a");
-    next.hear_verdicts(now, &noted);
+    next.apply_decisions(now, &noted);
     assert!(is_closed(&next, now, BAD));
     assert!(next.notes(now, false).is_empty(), "whoever was told notes only for all");
     assert_eq!(next.notes(now, true), noted);
@@ -262,7 +262,7 @@
     let verdict =
         |fingerprint| DecisionRecord { fingerprint, epoch: 1, trials: 0, remaining_ms: Some(9000) };
     let told: Vec<_> = (300_000..310_000).map(verdict).collect();
-    q.hear_verdicts(after(now, 3_000), &told);
+    q.apply_decisions(after(now, 3_000), &told);
     assert!(is_closed(&q, after(now, 3_000), BAD), "it is held longer than those");
     assert!(q.held() <= 4096, "{}", q.held());
     assert!(q.make_update(after(now, 3_000), Extent::Full, true).decisions.len() <= 32);
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -91,7 +91,7 @@
                 self.instances = instances();
                 self.seen.clear();
                 for q in &mut self.instances {
-                    q.hear_verdicts(self.now, &self.noted);
+                    q.apply_decisions(self.now, &self.noted);
                 }
             }
         }
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -67,7 +67,7 @@
         let mut state = self.lock();
         let State { world, quarantine, .. } = &mut *state;
         for entry in world.instances().values() {
-            quarantine.hear_verdicts(now, &entry.quarantined);
+            quarantine.apply_decisions(now, &entry.quarantined);
         }
         log_changes(quarantine);
     }
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -299,7 +299,7 @@
             *is_restored = true;
             *loaded_at = Some(now);
             let noted = world.instances().values().flat_map(|e| &e.quarantined).cloned();
-            quarantine.hear_verdicts(now, &noted.collect::<Vec<_>>());
+            quarantine.apply_decisions(now, &noted.collect::<Vec<_>>());
             self.loaded.1.close();
             for entry in world.instances().values() {
                 let note = if entry.epoch < world.epoch() { Note::Old } else { Note::Fresh };
