--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -293,7 +293,7 @@
     }
 
     /// Decisions to note in the store: all, or those that this instance came to.
-    pub fn notes(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
+    pub fn decisions_to_store(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
         self.decisions.records_to_store(now, all)
     }
 
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -181,7 +181,7 @@
     exchange(now, &mut b, &mut c);
     assert!(is_closed(&c, now, GOOD));
     let old = c.make_update(now, Extent::Full, true);
-    let noted = c.notes(now, true);
+    let noted = c.decisions_to_store(now, true);
     let now = after(now, 200);
     b.request_succeeded(now, GOOD);
     exchange(now, &mut a, &mut b);
@@ -241,13 +241,13 @@
     for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut a, now, key, &[BAD], &[]);
     }
-    let noted = a.notes(now, false);
-    assert_eq!(noted, a.notes(after(now, 5000), false), "a note is written once");
+    let noted = a.decisions_to_store(now, false);
+    assert_eq!(noted, a.decisions_to_store(after(now, 5000), false), "a note is written once");
     let mut next = instance("a");
     next.apply_decisions(now, &noted);
     assert!(is_closed(&next, now, BAD));
-    assert!(next.notes(now, false).is_empty(), "whoever was told notes only for all");
-    assert_eq!(next.notes(now, true), noted);
+    assert!(next.decisions_to_store(now, false).is_empty(), "whoever was told notes only for all");
+    assert_eq!(next.decisions_to_store(now, true), noted);
 }
 
 #[test]
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -123,7 +123,7 @@
             }
         }
         self.instances.iter_mut().for_each(|q| q.settle(self.now + CRASH_SETTLING_TIME));
-        let noted = self.instances.iter().flat_map(|q| q.notes(self.now, true));
+        let noted = self.instances.iter().flat_map(|q| q.decisions_to_store(self.now, true));
         self.noted = noted.collect();
         self.is_noted = self.noted.iter().any(|v| v.fingerprint == BAD);
     }
--- a/oxbowbend-gateway/src/follow.rs
+++ b/oxbowbend-gateway/src/follow.rs
@@ -346,7 +346,7 @@
         used = state.admission.quotas.windows(now);
         paces = state.cell.known_paces(now);
     }
-    let quarantined = state.quarantine.notes(now, is_first);
+    let quarantined = state.quarantine.decisions_to_store(now, is_first);
     let epoch = state.world.epoch();
     let rollouts = if is_first { state.rollout_notes(now) } else { Vec::new() };
     Entry { zone: zone.clone(), address, paces, used, epoch, quarantined, rollouts }
--- a/oxbowbend-gateway/src/knowledge.rs
+++ b/oxbowbend-gateway/src/knowledge.rs
@@ -83,7 +83,7 @@
         let State { world, quarantine, .. } = &*state;
         let others = world.instances().iter().filter(|(name, _)| *name != me);
         let mut instances: Vec<_> = others.map(|(n, e)| (n.clone(), e.clone())).collect();
-        let quarantined = quarantine.notes(clock::now(), true);
+        let quarantined = quarantine.decisions_to_store(clock::now(), true);
         let position = if world.is_loaded() { world.position() } else { Position::default() };
         let Position { epoch, revision } = position;
         let rollouts = state.rollout_notes(clock::now());
