--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -298,7 +298,7 @@
     }
 
     /// Requests in quarantine.
-    pub fn held(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         self.decisions.quarantined().count()
     }
 
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -264,7 +264,7 @@
     let told: Vec<_> = (300_000..310_000).map(verdict).collect();
     q.apply_decisions(after(now, 3_000), &told);
     assert!(is_closed(&q, after(now, 3_000), BAD), "it is held longer than those");
-    assert!(q.held() <= 4096, "{}", q.held());
+    assert!(q.quarantined_count() <= 4096, "{}", q.quarantined_count());
     assert!(q.make_update(after(now, 3_000), Extent::Full, true).decisions.len() <= 32);
 }
 
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -103,7 +103,7 @@
         return;
     }
     changes.iter().for_each(log_change);
-    observe::quarantined(quarantine.held());
+    observe::quarantined(quarantine.quarantined_count());
 }
 
 fn log_change(change: &QuarantineEvent) {
