--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -303,7 +303,7 @@
     }
 
     /// What has newly been believed since the last call.
-    pub fn take_changes(&mut self) -> Vec<QuarantineEvent> {
+    pub fn take_events(&mut self) -> Vec<QuarantineEvent> {
         std::mem::take(&mut self.events)
     }
 
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -275,7 +275,7 @@
         end(&mut a, now, key, &[BAD, WORSE], &[GOOD]);
         end(&mut a, now, 10 + key, &[WORSE], &[]);
     }
-    let changes = a.take_changes();
+    let changes = a.take_events();
     let held = |c: &&QuarantineEvent| matches!(c, QuarantineEvent::Quarantined { crashes: ends, .. } if ends.len() >= CRASH_THRESHOLD);
     let ended =
         |c: &&QuarantineEvent| matches!(c, QuarantineEvent::EndpointCrashed { is_local: true, .. });
@@ -283,9 +283,9 @@
     assert_eq!(changes.iter().filter(ended).count(), 2 * CRASH_THRESHOLD, "{changes:?}");
     exchange(now, &mut a, &mut b);
     exchange(now, &mut a, &mut b);
-    let told = b.take_changes();
+    let told = b.take_events();
     assert_eq!(told.len(), 1 + 2 * CRASH_THRESHOLD, "{told:?}");
-    assert_eq!(a.take_changes(), []);
+    assert_eq!(a.take_events(), []);
 }
 
 #[test]
@@ -337,5 +337,5 @@
     assert_eq!(held, [false, true]);
     let was_held =
         |c: &QuarantineEvent| matches!(c, QuarantineEvent::Quarantined { fingerprint: GOOD, .. });
-    assert!(!a.take_changes().iter().any(was_held), "it was held meanwhile");
+    assert!(!a.take_events().iter().any(was_held), "it was held meanwhile");
 }
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -98,7 +98,7 @@
 
 /// Writes and counts what has newly been believed.
 pub(crate) fn log_changes(quarantine: &mut Quarantine) {
-    let changes = quarantine.take_changes();
+    let changes = quarantine.take_events();
     if changes.is_empty() {
         return;
     }
