--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -170,7 +170,7 @@
         run: InterruptedAttempt,
     ) {
         if self.crashes.is_known(key) {
-            self.suspect(now, now, key, vec![run], true);
+            self.add_crash(now, now, key, vec![run], true);
             return;
         }
         self.pending.retain(|p| {
@@ -203,7 +203,7 @@
         let runs: Vec<InterruptedAttempt> =
             Vec::into_iter(ended).filter(is_fresh).map(|p| p.attempt).collect();
         if !runs.is_empty() {
-            self.suspect(now, now, key, runs, true);
+            self.add_crash(now, now, key, runs, true);
         }
     }
 
@@ -263,7 +263,7 @@
                 ended.push(end.endpoint);
             }
             let at = before(now, end.age_ms);
-            self.suspect(now, at, end.endpoint, end.attempts.clone(), false);
+            self.add_crash(now, at, end.endpoint, end.attempts.clone(), false);
         }
         ended
     }
@@ -308,7 +308,7 @@
     }
 
     /// Takes runs that ended with an endpoint at `at` for evidence, and decides.
-    fn suspect(
+    fn add_crash(
         &mut self,
         now: Instant,
         at: Instant,
