--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -335,7 +335,7 @@
     }
 
     /// Judges by what is known of ends for [`CRASH_SETTLING_TIME`]. To be called often, a few times in that.
-    pub fn settle(&mut self, now: Instant) {
+    pub fn evaluate(&mut self, now: Instant) {
         let is_settled = self.crashes.mark_settled(now, CRASH_SETTLING_TIME);
         if is_settled || std::mem::take(&mut self.needs_analysis) {
             self.decide(now);
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -32,7 +32,7 @@
         begun.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: false });
     quiet.chain(begun).for_each(|run| q.attempt_interrupted(now, &"e".into(), key, run));
     q.endpoint_crashed(now, key);
-    q.settle(now + CRASH_SETTLING_TIME);
+    q.evaluate(now + CRASH_SETTLING_TIME);
 }
 
 fn is_closed(q: &Quarantine, now: Instant, fingerprint: u64) -> bool {
@@ -45,8 +45,8 @@
     b.apply_update(now, &told);
     let told = b.make_update(now, Extent::Full, true);
     a.apply_update(now, &told);
-    a.settle(now + CRASH_SETTLING_TIME);
-    b.settle(now + CRASH_SETTLING_TIME);
+    a.evaluate(now + CRASH_SETTLING_TIME);
+    b.evaluate(now + CRASH_SETTLING_TIME);
 }
 
 #[test]
@@ -132,7 +132,7 @@
         );
         q.endpoint_entry_changed(after(now, 1500), &endpoint);
     }
-    q.settle(after(now, 1500) + CRASH_SETTLING_TIME);
+    q.evaluate(after(now, 1500) + CRASH_SETTLING_TIME);
     assert!(is_closed(&q, after(now, 1500), BAD));
 }
 
@@ -319,7 +319,7 @@
         let good = InterruptedAttempt { fingerprint: GOOD, awaiting_response: true };
         a.attempt_interrupted(at, &"e".into(), key, good);
         a.endpoint_crashed(at, key);
-        a.settle(at + Duration::from_millis(10));
+        a.evaluate(at + Duration::from_millis(10));
         b.attempt_interrupted(
             at,
             &"e".into(),
@@ -332,7 +332,7 @@
     end(&mut b, after(now, 210), 9, &[BAD], &[]);
     let told = b.make_update(after(now, 230), Extent::Changes, true);
     a.apply_update(after(now, 230), &told);
-    a.settle(after(now, 420));
+    a.evaluate(after(now, 420));
     let held = [GOOD, BAD].map(|f| is_closed(&a, after(now, 420), f));
     assert_eq!(held, [false, true]);
     let was_held =
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -122,7 +122,7 @@
                 }
             }
         }
-        self.instances.iter_mut().for_each(|q| q.settle(self.now + CRASH_SETTLING_TIME));
+        self.instances.iter_mut().for_each(|q| q.evaluate(self.now + CRASH_SETTLING_TIME));
         let noted = self.instances.iter().flat_map(|q| q.decisions_to_store(self.now, true));
         self.noted = noted.collect();
         self.is_noted = self.noted.iter().any(|v| v.fingerprint == BAD);
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -86,7 +86,7 @@
 
     /// Judges requests by ends that are known long enough.
     pub(crate) fn judge_ends(&mut self, now: Instant) {
-        self.quarantine.settle(now);
+        self.quarantine.evaluate(now);
         log_changes(&mut self.quarantine);
     }
 
