--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -338,11 +338,11 @@
     pub fn evaluate(&mut self, now: Instant) {
         let is_settled = self.crashes.mark_settled(now, CRASH_SETTLING_TIME);
         if is_settled || std::mem::take(&mut self.needs_analysis) {
-            self.decide(now);
+            self.update_decisions(now);
         }
     }
 
-    fn decide(&mut self, now: Instant) {
+    fn update_decisions(&mut self, now: Instant) {
         let CrashAnalysis { causes: culprits, cleared } =
             decisions::analyze_crashes(&self.crashes, &self.decisions);
         for CrashCause { fingerprint, crashes: ends } in culprits {
