--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -219,7 +219,7 @@
     /// Notes a good answer to a request.
     pub fn request_succeeded(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.successes.record(now, fingerprint);
-        self.clear(now, fingerprint, now);
+        self.clear_suspicion(now, fingerprint, now);
         if self.decisions.release(now, fingerprint) {
             self.successes.queue_for_gossip(now, fingerprint);
             self.events.push(QuarantineEvent::Released { fingerprint });
@@ -253,7 +253,7 @@
         for answer in &told.successes {
             let at = before(now, answer.age_ms);
             if self.successes.record_remote(now, answer.fingerprint, at) {
-                self.clear(now, answer.fingerprint, at);
+                self.clear_suspicion(now, answer.fingerprint, at);
             }
         }
         self.apply_decisions(now, &told.decisions);
@@ -360,7 +360,7 @@
     }
 
     /// Takes a request off the evidence up to a while after a good answer to it.
-    fn clear(&mut self, now: Instant, fingerprint: Fingerprint, at: Instant) {
+    fn clear_suspicion(&mut self, now: Instant, fingerprint: Fingerprint, at: Instant) {
         if self.crashes.remove_request(fingerprint, at + SUCCESS_LOOKBACK) {
             self.acquit(now, fingerprint);
         }
