--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -321,7 +321,7 @@
         let was_answered =
             |run: &InterruptedAttempt| self.successes.succeeded_since(run.fingerprint, floor);
         let (cleared, runs): (Vec<_>, Vec<_>) = runs.into_iter().partition(was_answered);
-        cleared.iter().for_each(|run| self.acquit(now, run.fingerprint));
+        cleared.iter().for_each(|run| self.publish_success(now, run.fingerprint));
         let is_news = self.crashes.record(now, at, key, &runs, is_own);
         if is_new_end {
             let suspects = runs.iter().map(|run| run.fingerprint).collect();
@@ -362,12 +362,12 @@
     /// Takes a request off the evidence up to a while after a good answer to it.
     fn clear_suspicion(&mut self, now: Instant, fingerprint: Fingerprint, at: Instant) {
         if self.crashes.remove_request(fingerprint, at + SUCCESS_LOOKBACK) {
-            self.acquit(now, fingerprint);
+            self.publish_success(now, fingerprint);
         }
     }
 
     /// Lets the others know that a request was answered, and ends its quarantine if nothing is left against it.
-    fn acquit(&mut self, now: Instant, fingerprint: Fingerprint) {
+    fn publish_success(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.successes.queue_for_gossip(now, fingerprint);
         if !self.crashes.involves(fingerprint) && self.decisions.release(now, fingerprint) {
             self.events.push(QuarantineEvent::Released { fingerprint });
