--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -251,7 +251,7 @@
     /// that are newly known to have ended.
     pub fn apply_update(&mut self, now: Instant, told: &QuarantineUpdate) -> Vec<EndpointKey> {
         for answer in &told.successes {
-            let at = before(now, answer.age_ms);
+            let at = instant_before(now, answer.age_ms);
             if self.successes.record_remote(now, answer.fingerprint, at) {
                 self.clear_suspicion(now, answer.fingerprint, at);
             }
@@ -262,7 +262,7 @@
             if !self.crashes.is_known(end.endpoint) {
                 ended.push(end.endpoint);
             }
-            let at = before(now, end.age_ms);
+            let at = instant_before(now, end.age_ms);
             self.add_crash(now, at, end.endpoint, end.attempts.clone(), false);
         }
         ended
@@ -376,7 +376,7 @@
 }
 
 /// An instant so many milliseconds ago.
-fn before(now: Instant, age_ms: u32) -> Instant {
+fn instant_before(now: Instant, age_ms: u32) -> Instant {
     now.checked_sub(Duration::from_millis(u64::from(age_ms))).unwrap_or(now)
 }
 
