--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Number of an order: a hash of what it asks for.
-pub type OrderId = u32;
+pub type RolloutId = u32;
 /// Number of a route: a hash of its name.
 pub type RouteKey = u16;
 
@@ -58,7 +58,7 @@
 pub struct EvidenceKey {
     /// The order.
     #[serde(rename = "o")]
-    pub order: OrderId,
+    pub order: RolloutId,
     /// The route.
     #[serde(rename = "r")]
     pub route: RouteKey,
@@ -72,7 +72,7 @@
 
 impl EvidenceKey {
     /// The counter for an answer.
-    pub fn new(order: OrderId, route: &str, side: Side, answer: Answer) -> EvidenceKey {
+    pub fn new(order: RolloutId, route: &str, side: Side, answer: Answer) -> EvidenceKey {
         let class = match answer {
             Answer::Failed => FAILED,
             Answer::Good { ns_per_unit } => time_class(ns_per_unit),
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -28,7 +28,7 @@
 use crate::ids::{EndpointId, ServiceId, VersionId};
 use crate::routes::Endpoint;
 use detector::Finding;
-use evidence::{Answer, EvidenceKey, OrderId, Side, SideCounts};
+use evidence::{Answer, EvidenceKey, RolloutId, Side, SideCounts};
 use state::Rollout;
 pub use told::{Phase, Teller, ToldRollout};
 
@@ -62,8 +62,8 @@
 
 impl Order {
     /// Its number. The same asked for again is the same order, and what was decided on it stands.
-    pub fn id(&self) -> OrderId {
-        xxh3_64(format!("{}{PART}{}", self.service, self.destination).as_bytes()) as OrderId
+    pub fn id(&self) -> RolloutId {
+        xxh3_64(format!("{}{PART}{}", self.service, self.destination).as_bytes()) as RolloutId
     }
 }
 
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::detector;
-use super::evidence::{Evidence, OrderId, Side};
+use super::evidence::{Evidence, RolloutId, Side};
 use super::{base, Change, Order, Part, Phase, Status, Teller, Why, PART};
 use crate::ids::{InstanceId, ServiceId};
 use crate::routes::Endpoint;
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub(super) struct Rollout {
     pub(super) order: Order,
-    pub(super) id: OrderId,
+    pub(super) id: RolloutId,
     pub(super) ordered: Instant,
     pub(super) deadline: Instant,
     /// Longest time that a request to the service may take.
