--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -16,9 +16,9 @@
 
 /// Classes of time, each up to twice that of the one before. Engines differ by 4.4, and answers of a bad version are
 /// several times slower.
-const TIMES: usize = 14;
+const LATENCY_BUCKETS: usize = 14;
 /// Class of failures.
-const FAILED: u8 = TIMES as u8;
+const FAILED: u8 = LATENCY_BUCKETS as u8;
 /// Nanoseconds for a unit of work up to which an answer is in the first class.
 const FASTEST_NS: f64 = 1_000.0;
 /// Time for which answers are added up.
@@ -83,14 +83,14 @@
 
 fn time_class(ns_per_unit: f64) -> u8 {
     let times = (ns_per_unit / FASTEST_NS).max(1.0).log2();
-    (times as usize).min(TIMES - 1) as u8
+    (times as usize).min(LATENCY_BUCKETS - 1) as u8
 }
 
 /// Answers of one version on one route.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
     /// Good answers by class of time.
-    times: [u32; TIMES],
+    times: [u32; LATENCY_BUCKETS],
     failed: u32,
 }
 
@@ -125,7 +125,7 @@
 
 /// Classes of time, slower ones later.
 pub(super) fn classes() -> std::ops::Range<usize> {
-    1..TIMES
+    1..LATENCY_BUCKETS
 }
 
 /// Answers of both versions.
@@ -146,7 +146,7 @@
     /// after the shift, nothing tells a slow version from slow machines.
     pub controlled: SideCounts,
     /// Of these, those of the new version in its two worst slots that failed or were of a class of time or a slower one.
-    worst: [(u32, u32); TIMES],
+    worst: [(u32, u32); LATENCY_BUCKETS],
 }
 
 impl Comparison {
