--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -18,7 +18,7 @@
 /// several times slower.
 const LATENCY_BUCKETS: usize = 14;
 /// Class of failures.
-const FAILED: u8 = LATENCY_BUCKETS as u8;
+const FAILURE_BUCKET: u8 = LATENCY_BUCKETS as u8;
 /// Nanoseconds for a unit of work up to which an answer is in the first class.
 const FASTEST_NS: f64 = 1_000.0;
 /// Time for which answers are added up.
@@ -74,7 +74,7 @@
     /// The counter for an answer.
     pub fn new(order: RolloutId, route: &str, side: Side, answer: Answer) -> EvidenceKey {
         let class = match answer {
-            Answer::Failed => FAILED,
+            Answer::Failed => FAILURE_BUCKET,
             Answer::Good { ns_per_unit } => time_class(ns_per_unit),
         };
         EvidenceKey { order, route: xxh3_64(route.as_bytes()) as RouteKey, side, class }
