--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -22,7 +22,7 @@
 /// Nanoseconds for a unit of work up to which an answer is in the first class.
 const FIRST_BUCKET_MAX_NS: f64 = 1_000.0;
 /// Time for which answers are added up.
-const SLOT: Duration = Duration::from_millis(500);
+const SLOT_DURATION: Duration = Duration::from_millis(500);
 /// Times that are kept: what is older says nothing of a version that has turned bad since.
 const MAX_SLOTS: usize = 240;
 
@@ -199,7 +199,7 @@
     /// Adds answers.
     pub fn add(&mut self, now: Instant, key: EvidenceKey, n: u64) {
         let n = n.min(u64::from(u32::MAX)) as u32;
-        let is_open = |slot: &Slot| now.saturating_duration_since(slot.at) < SLOT;
+        let is_open = |slot: &Slot| now.saturating_duration_since(slot.at) < SLOT_DURATION;
         if !self.slots.back().is_some_and(is_open) {
             self.slots.push_back(Slot { at: now, routes: BTreeMap::new() });
             if self.slots.len() > MAX_SLOTS {
