--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -30,7 +30,7 @@
 #[derive(
     Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
 )]
-pub enum Side {
+pub enum VersionGroup {
     /// Any version but the one that is ordered.
     #[serde(rename = "o")]
     Old,
@@ -64,7 +64,7 @@
     pub route: RouteKey,
     /// The version.
     #[serde(rename = "s")]
-    pub side: Side,
+    pub side: VersionGroup,
     /// Class of time, or failures.
     #[serde(rename = "c")]
     class: u8,
@@ -72,7 +72,7 @@
 
 impl EvidenceKey {
     /// The counter for an answer.
-    pub fn new(order: RolloutId, route: &str, side: Side, answer: Answer) -> EvidenceKey {
+    pub fn new(order: RolloutId, route: &str, side: VersionGroup, answer: Answer) -> EvidenceKey {
         let class = match answer {
             Answer::Failed => FAILURE_BUCKET,
             Answer::Good { ns_per_unit } => time_class(ns_per_unit),
@@ -170,10 +170,10 @@
 }
 
 impl SideCounts {
-    fn side(&mut self, side: Side) -> &mut Counts {
+    fn side(&mut self, side: VersionGroup) -> &mut Counts {
         match side {
-            Side::Old => &mut self.old,
-            Side::New => &mut self.new,
+            VersionGroup::Old => &mut self.old,
+            VersionGroup::New => &mut self.new,
         }
     }
 
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -28,7 +28,7 @@
 use crate::ids::{EndpointId, ServiceId, VersionId};
 use crate::routes::Endpoint;
 use detector::Finding;
-use evidence::{Answer, EvidenceKey, RolloutId, Side, SideCounts};
+use evidence::{Answer, EvidenceKey, RolloutId, SideCounts, VersionGroup};
 use state::Rollout;
 pub use told::{Phase, Teller, ToldRollout};
 
@@ -240,7 +240,9 @@
     fn canaries<'a>(&self, endpoints: &'a [Endpoint]) -> Vec<&'a EndpointId> {
         let mut canaries = Vec::new();
         for rollout in self.all.values().filter(|r| r.phase == Phase::Canary) {
-            let new = endpoints.iter().filter(|e| rollout.side(e) == Some(Side::New) && !e.leaving);
+            let new = endpoints
+                .iter()
+                .filter(|e| rollout.side(e) == Some(VersionGroup::New) && !e.leaving);
             let mut new: Vec<_> = new.map(|e| &e.id).collect();
             new.sort_by_key(|id| xxh3_64(id.as_bytes()));
             let part = rollout.sides.old.max(new.len()) as f64 * self.bounds.share * USED_SHARE;
@@ -257,8 +259,8 @@
         let share = self.bounds.share * USED_SHARE;
         let Some(rollout) = self.all.get_mut(service) else { return service.clone() };
         match rollout.deal(share, has_new, is_first) {
-            Side::Old => service.clone(),
-            Side::New => rollout.part_name(),
+            VersionGroup::Old => service.clone(),
+            VersionGroup::New => rollout.part_name(),
         }
     }
 
@@ -270,7 +272,7 @@
     /// Notes that a request began to run at an endpoint.
     pub fn began(&mut self, endpoint: &Endpoint) {
         if let Some(rollout) = self.all.get_mut(base(&endpoint.service)) {
-            if rollout.side(endpoint) == Some(Side::Old) {
+            if rollout.side(endpoint) == Some(VersionGroup::Old) {
                 rollout.running += 1;
             }
         }
@@ -286,7 +288,7 @@
     ) {
         let Some(rollout) = self.all.get_mut(base(&endpoint.service)) else { return };
         let Some(side) = rollout.side(endpoint) else { return };
-        if side == Side::Old {
+        if side == VersionGroup::Old {
             rollout.running = rollout.running.saturating_sub(1);
         }
         let Some(answer) = answer.filter(|_| rollout.phase < Phase::RolledBack) else { return };
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::detector;
-use super::evidence::{Evidence, RolloutId, Side};
+use super::evidence::{Evidence, RolloutId, VersionGroup};
 use super::{base, Change, Order, Part, Phase, Status, Teller, Why, PART};
 use crate::ids::{InstanceId, ServiceId};
 use crate::routes::Endpoint;
@@ -107,12 +107,12 @@
     }
 
     /// On which side an endpoint is, if it belongs to the service.
-    pub(super) fn side(&self, endpoint: &Endpoint) -> Option<Side> {
+    pub(super) fn side(&self, endpoint: &Endpoint) -> Option<VersionGroup> {
         if base(&endpoint.service) != &*self.order.service {
             return None;
         }
         let is_new = endpoint.version == self.order.destination;
-        Some(if is_new { Side::New } else { Side::Old })
+        Some(if is_new { VersionGroup::New } else { VersionGroup::Old })
     }
 
     pub(super) fn part_name(&self) -> ServiceId {
@@ -120,7 +120,7 @@
     }
 
     pub(super) fn part(&self, endpoint: &Endpoint, is_canary: bool) -> Part {
-        let is_new = self.side(endpoint) == Some(Side::New);
+        let is_new = self.side(endpoint) == Some(VersionGroup::New);
         match self.phase {
             Phase::Canary if is_new && !is_canary => Part::None,
             Phase::RolledBack if is_new => Part::None,
@@ -135,8 +135,8 @@
         let mut sides = Sides::default();
         for endpoint in endpoints.iter().filter(|e| !e.leaving) {
             match self.side(endpoint) {
-                Some(Side::Old) => sides.old += 1,
-                Some(Side::New) => sides.new += 1,
+                Some(VersionGroup::Old) => sides.old += 1,
+                Some(VersionGroup::New) => sides.new += 1,
                 None => {}
             }
         }
@@ -147,17 +147,17 @@
         };
     }
 
-    pub(super) fn deal(&mut self, share: f64, has_new: bool, is_first: bool) -> Side {
+    pub(super) fn deal(&mut self, share: f64, has_new: bool, is_first: bool) -> VersionGroup {
         self.sent += 1;
         let is_within = (self.sent_new + 1) as f64 <= share * self.sent as f64;
         let side = match self.phase {
             // There is nothing else to send it to.
-            Phase::Canary if has_new && self.sides.old == 0 => Side::New,
-            Phase::Canary if has_new && is_first && is_within => Side::New,
-            Phase::Shift | Phase::Complete if has_new => Side::New,
-            _ => Side::Old,
+            Phase::Canary if has_new && self.sides.old == 0 => VersionGroup::New,
+            Phase::Canary if has_new && is_first && is_within => VersionGroup::New,
+            Phase::Shift | Phase::Complete if has_new => VersionGroup::New,
+            _ => VersionGroup::Old,
         };
-        self.sent_new += u64::from(side == Side::New);
+        self.sent_new += u64::from(side == VersionGroup::New);
         side
     }
 
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::rollout::detector::find;
-use oxbowbend_core::rollout::evidence::{Answer, Evidence, EvidenceKey, Side};
+use oxbowbend_core::rollout::evidence::{Answer, Evidence, EvidenceKey, VersionGroup};
 use oxbowbend_core::rollout::{
     Order, Part, Phase, RolloutBounds, Rollouts, Status, Teller, ToldRollout, Why,
 };
@@ -100,10 +100,11 @@
         for n in 0..per_s / 4 {
             let is_shifted = matches!(around, Around::CrestAfterShift) && tick >= SHIFT;
             let is_new = is_shifted || (n + tick).is_multiple_of(13);
-            let side = if is_new { Side::New } else { Side::Old };
+            let side = if is_new { VersionGroup::New } else { VersionGroup::Old };
             let route = rng.random_range(0..6_u16);
-            let is_bad_here =
-                side == Side::New && u64::from(tick) >= version.from * 4 && route < version.routes;
+            let is_bad_here = side == VersionGroup::New
+                && u64::from(tick) >= version.from * 4
+                && route < version.routes;
             let answers = if is_bad_here { version } else { WELL };
             let is_trouble = (24..36).contains(&tick);
             let failing = match around {
@@ -111,9 +112,10 @@
                 _ => answers.failing,
             };
             // A third of the endpoints is 4.4 times slower, and prompts differ.
-            let is_slow_canary = side == Side::New && matches!(around, Around::SlowCanary);
+            let is_slow_canary = side == VersionGroup::New && matches!(around, Around::SlowCanary);
             let engine = if is_slow_canary || rng.random_bool(1.0 / 3.0) { 4.4 } else { 1.0 };
-            let stalled = if side == Side::New { stalls[0] } else { stalls[1 + n as usize % 10] };
+            let stalled =
+                if side == VersionGroup::New { stalls[0] } else { stalls[1 + n as usize % 10] };
             let stall = if stalled { 20.0 } else { 1.0 };
             let is_crest = match around {
                 Around::Crest => is_trouble,
