--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -33,7 +33,7 @@
 pub enum VersionGroup {
     /// Any version but the one that is ordered.
     #[serde(rename = "o")]
-    Old,
+    Baseline,
     /// The one that is ordered.
     #[serde(rename = "n")]
     New,
@@ -172,7 +172,7 @@
 impl SideCounts {
     fn side(&mut self, side: VersionGroup) -> &mut Counts {
         match side {
-            VersionGroup::Old => &mut self.old,
+            VersionGroup::Baseline => &mut self.old,
             VersionGroup::New => &mut self.new,
         }
     }
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -259,7 +259,7 @@
         let share = self.bounds.share * USED_SHARE;
         let Some(rollout) = self.all.get_mut(service) else { return service.clone() };
         match rollout.deal(share, has_new, is_first) {
-            VersionGroup::Old => service.clone(),
+            VersionGroup::Baseline => service.clone(),
             VersionGroup::New => rollout.part_name(),
         }
     }
@@ -272,7 +272,7 @@
     /// Notes that a request began to run at an endpoint.
     pub fn began(&mut self, endpoint: &Endpoint) {
         if let Some(rollout) = self.all.get_mut(base(&endpoint.service)) {
-            if rollout.side(endpoint) == Some(VersionGroup::Old) {
+            if rollout.side(endpoint) == Some(VersionGroup::Baseline) {
                 rollout.running += 1;
             }
         }
@@ -288,7 +288,7 @@
     ) {
         let Some(rollout) = self.all.get_mut(base(&endpoint.service)) else { return };
         let Some(side) = rollout.side(endpoint) else { return };
-        if side == VersionGroup::Old {
+        if side == VersionGroup::Baseline {
             rollout.running = rollout.running.saturating_sub(1);
         }
         let Some(answer) = answer.filter(|_| rollout.phase < Phase::RolledBack) else { return };
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -112,7 +112,7 @@
             return None;
         }
         let is_new = endpoint.version == self.order.destination;
-        Some(if is_new { VersionGroup::New } else { VersionGroup::Old })
+        Some(if is_new { VersionGroup::New } else { VersionGroup::Baseline })
     }
 
     pub(super) fn part_name(&self) -> ServiceId {
@@ -135,7 +135,7 @@
         let mut sides = Sides::default();
         for endpoint in endpoints.iter().filter(|e| !e.leaving) {
             match self.side(endpoint) {
-                Some(VersionGroup::Old) => sides.old += 1,
+                Some(VersionGroup::Baseline) => sides.old += 1,
                 Some(VersionGroup::New) => sides.new += 1,
                 None => {}
             }
@@ -155,7 +155,7 @@
             Phase::Canary if has_new && self.sides.old == 0 => VersionGroup::New,
             Phase::Canary if has_new && is_first && is_within => VersionGroup::New,
             Phase::Shift | Phase::Complete if has_new => VersionGroup::New,
-            _ => VersionGroup::Old,
+            _ => VersionGroup::Baseline,
         };
         self.sent_new += u64::from(side == VersionGroup::New);
         side
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -100,7 +100,7 @@
         for n in 0..per_s / 4 {
             let is_shifted = matches!(around, Around::CrestAfterShift) && tick >= SHIFT;
             let is_new = is_shifted || (n + tick).is_multiple_of(13);
-            let side = if is_new { VersionGroup::New } else { VersionGroup::Old };
+            let side = if is_new { VersionGroup::New } else { VersionGroup::Baseline };
             let route = rng.random_range(0..6_u16);
             let is_bad_here = side == VersionGroup::New
                 && u64::from(tick) >= version.from * 4
