--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -36,7 +36,7 @@
     Baseline,
     /// The one that is ordered.
     #[serde(rename = "n")]
-    New,
+    Candidate,
 }
 
 /// What an endpoint made of a request.
@@ -173,7 +173,7 @@
     fn side(&mut self, side: VersionGroup) -> &mut Counts {
         match side {
             VersionGroup::Baseline => &mut self.old,
-            VersionGroup::New => &mut self.new,
+            VersionGroup::Candidate => &mut self.new,
         }
     }
 
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -242,7 +242,7 @@
         for rollout in self.all.values().filter(|r| r.phase == Phase::Canary) {
             let new = endpoints
                 .iter()
-                .filter(|e| rollout.side(e) == Some(VersionGroup::New) && !e.leaving);
+                .filter(|e| rollout.side(e) == Some(VersionGroup::Candidate) && !e.leaving);
             let mut new: Vec<_> = new.map(|e| &e.id).collect();
             new.sort_by_key(|id| xxh3_64(id.as_bytes()));
             let part = rollout.sides.old.max(new.len()) as f64 * self.bounds.share * USED_SHARE;
@@ -260,7 +260,7 @@
         let Some(rollout) = self.all.get_mut(service) else { return service.clone() };
         match rollout.deal(share, has_new, is_first) {
             VersionGroup::Baseline => service.clone(),
-            VersionGroup::New => rollout.part_name(),
+            VersionGroup::Candidate => rollout.part_name(),
         }
     }
 
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -112,7 +112,7 @@
             return None;
         }
         let is_new = endpoint.version == self.order.destination;
-        Some(if is_new { VersionGroup::New } else { VersionGroup::Baseline })
+        Some(if is_new { VersionGroup::Candidate } else { VersionGroup::Baseline })
     }
 
     pub(super) fn part_name(&self) -> ServiceId {
@@ -120,7 +120,7 @@
     }
 
     pub(super) fn part(&self, endpoint: &Endpoint, is_canary: bool) -> Part {
-        let is_new = self.side(endpoint) == Some(VersionGroup::New);
+        let is_new = self.side(endpoint) == Some(VersionGroup::Candidate);
         match self.phase {
             Phase::Canary if is_new && !is_canary => Part::None,
             Phase::RolledBack if is_new => Part::None,
@@ -136,7 +136,7 @@
         for endpoint in endpoints.iter().filter(|e| !e.leaving) {
             match self.side(endpoint) {
                 Some(VersionGroup::Baseline) => sides.old += 1,
-                Some(VersionGroup::New) => sides.new += 1,
+                Some(VersionGroup::Candidate) => sides.new += 1,
                 None => {}
             }
         }
@@ -152,12 +152,12 @@
         let is_within = (self.sent_new + 1) as f64 <= share * self.sent as f64;
         let side = match self.phase {
             // There is nothing else to send it to.
-            Phase::Canary if has_new && self.sides.old == 0 => VersionGroup::New,
-            Phase::Canary if has_new && is_first && is_within => VersionGroup::New,
-            Phase::Shift | Phase::Complete if has_new => VersionGroup::New,
+            Phase::Canary if has_new && self.sides.old == 0 => VersionGroup::Candidate,
+            Phase::Canary if has_new && is_first && is_within => VersionGroup::Candidate,
+            Phase::Shift | Phase::Complete if has_new => VersionGroup::Candidate,
             _ => VersionGroup::Baseline,
         };
-        self.sent_new += u64::from(side == VersionGroup::New);
+        self.sent_new += u64::from(side == VersionGroup::Candidate);
         side
     }
 
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -100,9 +100,9 @@
         for n in 0..per_s / 4 {
             let is_shifted = matches!(around, Around::CrestAfterShift) && tick >= SHIFT;
             let is_new = is_shifted || (n + tick).is_multiple_of(13);
-            let side = if is_new { VersionGroup::New } else { VersionGroup::Baseline };
+            let side = if is_new { VersionGroup::Candidate } else { VersionGroup::Baseline };
             let route = rng.random_range(0..6_u16);
-            let is_bad_here = side == VersionGroup::New
+            let is_bad_here = side == VersionGroup::Candidate
                 && u64::from(tick) >= version.from * 4
                 && route < version.routes;
             let answers = if is_bad_here { version } else { WELL };
@@ -112,10 +112,14 @@
                 _ => answers.failing,
             };
             // A third of the endpoints is 4.4 times slower, and prompts differ.
-            let is_slow_canary = side == VersionGroup::New && matches!(around, Around::SlowCanary);
+            let is_slow_canary =
+                side == VersionGroup::Candidate && matches!(around, Around::SlowCanary);
             let engine = if is_slow_canary || rng.random_bool(1.0 / 3.0) { 4.4 } else { 1.0 };
-            let stalled =
-                if side == VersionGroup::New { stalls[0] } else { stalls[1 + n as usize % 10] };
+            let stalled = if side == VersionGroup::Candidate {
+                stalls[0]
+            } else {
+                stalls[1 + n as usize % 10]
+            };
             let stall = if stalled { 20.0 } else { 1.0 };
             let is_crest = match around {
                 Around::Crest => is_trouble,
