--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -41,7 +41,7 @@
 
 /// What an endpoint made of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum ResponseOutcome {
     /// A good answer that took so many nanoseconds for a unit of work.
     Good {
         /// Nanoseconds.
@@ -72,10 +72,15 @@
 
 impl EvidenceKey {
     /// The counter for an answer.
-    pub fn new(order: RolloutId, route: &str, side: VersionGroup, answer: Answer) -> EvidenceKey {
+    pub fn new(
+        order: RolloutId,
+        route: &str,
+        side: VersionGroup,
+        answer: ResponseOutcome,
+    ) -> EvidenceKey {
         let class = match answer {
-            Answer::Failed => FAILURE_BUCKET,
-            Answer::Good { ns_per_unit } => time_class(ns_per_unit),
+            ResponseOutcome::Failed => FAILURE_BUCKET,
+            ResponseOutcome::Good { ns_per_unit } => time_class(ns_per_unit),
         };
         EvidenceKey { order, route: xxh3_64(route.as_bytes()) as RouteKey, side, class }
     }
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -28,7 +28,7 @@
 use crate::ids::{EndpointId, ServiceId, VersionId};
 use crate::routes::Endpoint;
 use detector::Finding;
-use evidence::{Answer, EvidenceKey, RolloutId, SideCounts, VersionGroup};
+use evidence::{EvidenceKey, ResponseOutcome, RolloutId, SideCounts, VersionGroup};
 use state::Rollout;
 pub use told::{Phase, Teller, ToldRollout};
 
@@ -284,7 +284,7 @@
         now: Instant,
         endpoint: &Endpoint,
         route: &str,
-        answer: Option<Answer>,
+        answer: Option<ResponseOutcome>,
     ) {
         let Some(rollout) = self.all.get_mut(base(&endpoint.service)) else { return };
         let Some(side) = rollout.side(endpoint) else { return };
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::rollout::detector::find;
-use oxbowbend_core::rollout::evidence::{Answer, Evidence, EvidenceKey, VersionGroup};
+use oxbowbend_core::rollout::evidence::{Evidence, EvidenceKey, ResponseOutcome, VersionGroup};
 use oxbowbend_core::rollout::{
     Order, Part, Phase, RolloutBounds, Rollouts, Status, Teller, ToldRollout, Why,
 };
@@ -130,8 +130,8 @@
             let slow = if rng.random_bool(answers.slow) { answers.times } else { 1.0 };
             let ns_per_unit = 20_000.0 * engine * crest * slow * stall * rng.random_range(0.5..2.0);
             let answer = match rng.random_bool(failing) {
-                true => Answer::Failed,
-                false => Answer::Good { ns_per_unit },
+                true => ResponseOutcome::Failed,
+                false => ResponseOutcome::Good { ns_per_unit },
             };
             evidence.add(now, EvidenceKey::new(ORDER, &route.to_string(), side, answer), 1);
         }
@@ -261,10 +261,10 @@
     let mut rollouts = ordered(now);
     let (old, new) = (endpoint("e1-0", "1"), endpoint("e2-0", "2"));
     for n in 0..400 {
-        let answer = Answer::Good { ns_per_unit: 20_000.0 };
+        let answer = ResponseOutcome::Good { ns_per_unit: 20_000.0 };
         rollouts.ended(now, &old, "r", Some(answer));
         if n % 13 == 0 {
-            rollouts.ended(now, &new, "r", Some(Answer::Failed));
+            rollouts.ended(now, &new, "r", Some(ResponseOutcome::Failed));
         }
     }
     rollouts.settle(now);
@@ -361,9 +361,11 @@
             }
             Event::Bad(n) => {
                 let (old, new) = (endpoint("e1-0", "1"), endpoint("e2-0", "2"));
-                let good = Answer::Good { ns_per_unit: 20_000.0 };
+                let good = ResponseOutcome::Good { ns_per_unit: 20_000.0 };
                 (0..60).for_each(|_| self.instances[n].ended(now, &old, "r", Some(good)));
-                (0..9).for_each(|_| self.instances[n].ended(now, &new, "r", Some(Answer::Failed)));
+                (0..9).for_each(|_| {
+                    self.instances[n].ended(now, &new, "r", Some(ResponseOutcome::Failed))
+                });
                 self.instances[n].settle(now);
             }
             Event::Tell(from, to) => {
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use oxbowbend_clock as clock;
 use oxbowbend_core::cell::{Assignment, Outcome, FIXED_UNITS};
-use oxbowbend_core::rollout::evidence::Answer;
+use oxbowbend_core::rollout::evidence::ResponseOutcome;
 use oxbowbend_core::routes::{Endpoint, Route};
 use oxbowbend_core::silence::{self, Silence};
 use oxbowbend_http::h1;
@@ -165,7 +165,7 @@
         let unread = if self.first.is_zero() { self.prompt } else { 0 };
         let answer = match outcome {
             Outcome::Good => Some(self.took()),
-            Outcome::Bad => Some(Answer::Failed),
+            Outcome::Bad => Some(ResponseOutcome::Failed),
             Outcome::Neutral | Outcome::Absent => None,
         };
         self.shared.run_ended(&self.endpoint, &self.route.name, answer);
@@ -173,11 +173,11 @@
     }
 
     /// The time that it has taken, for each unit of work.
-    fn took(&self) -> Answer {
+    fn took(&self) -> ResponseOutcome {
         let units = self.prompt.saturating_add(self.backlog).saturating_add(FIXED_UNITS);
         let units = units.saturating_add(self.events.saturating_mul(EVENT_UNITS));
         let ns = clock::since(self.began).as_nanos() as f64;
-        Answer::Good { ns_per_unit: ns / f64::from(units) }
+        ResponseOutcome::Good { ns_per_unit: ns / f64::from(units) }
     }
 }
 
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -7,7 +7,7 @@
 use oxbowbend_clock as clock;
 use oxbowbend_core::cell::Report;
 use oxbowbend_core::ids::ServiceId;
-use oxbowbend_core::rollout::evidence::{Answer, SideCounts};
+use oxbowbend_core::rollout::evidence::{ResponseOutcome, SideCounts};
 use oxbowbend_core::rollout::{Change, Order, Part, Phase, Status, Teller, ToldRollout, Why};
 use oxbowbend_core::routes::{Endpoint, Table};
 
@@ -144,7 +144,12 @@
     }
 
     /// Notes that it ended.
-    pub(crate) fn run_ended(&self, endpoint: &Endpoint, route: &str, answer: Option<Answer>) {
+    pub(crate) fn run_ended(
+        &self,
+        endpoint: &Endpoint,
+        route: &str,
+        answer: Option<ResponseOutcome>,
+    ) {
         self.lock().rollouts.ended(clock::now(), endpoint, route, answer);
     }
 
