--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResponseOutcome {
     /// A good answer that took so many nanoseconds for a unit of work.
-    Good {
+    Success {
         /// Nanoseconds.
         ns_per_unit: f64,
     },
@@ -80,7 +80,7 @@
     ) -> EvidenceKey {
         let class = match answer {
             ResponseOutcome::Failed => FAILURE_BUCKET,
-            ResponseOutcome::Good { ns_per_unit } => time_class(ns_per_unit),
+            ResponseOutcome::Success { ns_per_unit } => time_class(ns_per_unit),
         };
         EvidenceKey { order, route: xxh3_64(route.as_bytes()) as RouteKey, side, class }
     }
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -131,7 +131,7 @@
             let ns_per_unit = 20_000.0 * engine * crest * slow * stall * rng.random_range(0.5..2.0);
             let answer = match rng.random_bool(failing) {
                 true => ResponseOutcome::Failed,
-                false => ResponseOutcome::Good { ns_per_unit },
+                false => ResponseOutcome::Success { ns_per_unit },
             };
             evidence.add(now, EvidenceKey::new(ORDER, &route.to_string(), side, answer), 1);
         }
@@ -261,7 +261,7 @@
     let mut rollouts = ordered(now);
     let (old, new) = (endpoint("e1-0", "1"), endpoint("e2-0", "2"));
     for n in 0..400 {
-        let answer = ResponseOutcome::Good { ns_per_unit: 20_000.0 };
+        let answer = ResponseOutcome::Success { ns_per_unit: 20_000.0 };
         rollouts.ended(now, &old, "r", Some(answer));
         if n % 13 == 0 {
             rollouts.ended(now, &new, "r", Some(ResponseOutcome::Failed));
@@ -361,7 +361,7 @@
             }
             Event::Bad(n) => {
                 let (old, new) = (endpoint("e1-0", "1"), endpoint("e2-0", "2"));
-                let good = ResponseOutcome::Good { ns_per_unit: 20_000.0 };
+                let good = ResponseOutcome::Success { ns_per_unit: 20_000.0 };
                 (0..60).for_each(|_| self.instances[n].ended(now, &old, "r", Some(good)));
                 (0..9).for_each(|_| {
                     self.instances[n].ended(now, &new, "r", Some(ResponseOutcome::Failed))
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -177,7 +177,7 @@
         let units = self.prompt.saturating_add(self.backlog).saturating_add(FIXED_UNITS);
         let units = units.saturating_add(self.events.saturating_mul(EVENT_UNITS));
         let ns = clock::since(self.began).as_nanos() as f64;
-        ResponseOutcome::Good { ns_per_unit: ns / f64::from(units) }
+        ResponseOutcome::Success { ns_per_unit: ns / f64::from(units) }
     }
 }
 
