--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -48,7 +48,7 @@
         ns_per_unit: f64,
     },
     /// An error of its own, a broken answer, or none.
-    Failed,
+    Failure,
 }
 
 /// What a counter counts.
@@ -79,7 +79,7 @@
         answer: ResponseOutcome,
     ) -> EvidenceKey {
         let class = match answer {
-            ResponseOutcome::Failed => FAILURE_BUCKET,
+            ResponseOutcome::Failure => FAILURE_BUCKET,
             ResponseOutcome::Success { ns_per_unit } => time_class(ns_per_unit),
         };
         EvidenceKey { order, route: xxh3_64(route.as_bytes()) as RouteKey, side, class }
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -130,7 +130,7 @@
             let slow = if rng.random_bool(answers.slow) { answers.times } else { 1.0 };
             let ns_per_unit = 20_000.0 * engine * crest * slow * stall * rng.random_range(0.5..2.0);
             let answer = match rng.random_bool(failing) {
-                true => ResponseOutcome::Failed,
+                true => ResponseOutcome::Failure,
                 false => ResponseOutcome::Success { ns_per_unit },
             };
             evidence.add(now, EvidenceKey::new(ORDER, &route.to_string(), side, answer), 1);
@@ -264,7 +264,7 @@
         let answer = ResponseOutcome::Success { ns_per_unit: 20_000.0 };
         rollouts.ended(now, &old, "r", Some(answer));
         if n % 13 == 0 {
-            rollouts.ended(now, &new, "r", Some(ResponseOutcome::Failed));
+            rollouts.ended(now, &new, "r", Some(ResponseOutcome::Failure));
         }
     }
     rollouts.settle(now);
@@ -364,7 +364,7 @@
                 let good = ResponseOutcome::Success { ns_per_unit: 20_000.0 };
                 (0..60).for_each(|_| self.instances[n].ended(now, &old, "r", Some(good)));
                 (0..9).for_each(|_| {
-                    self.instances[n].ended(now, &new, "r", Some(ResponseOutcome::Failed))
+                    self.instances[n].ended(now, &new, "r", Some(ResponseOutcome::Failure))
                 });
                 self.instances[n].settle(now);
             }
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -165,7 +165,7 @@
         let unread = if self.first.is_zero() { self.prompt } else { 0 };
         let answer = match outcome {
             Outcome::Good => Some(self.took()),
-            Outcome::Bad => Some(ResponseOutcome::Failed),
+            Outcome::Bad => Some(ResponseOutcome::Failure),
             Outcome::Neutral | Outcome::Absent => None,
         };
         self.shared.run_ended(&self.endpoint, &self.route.name, answer);
