--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -20,7 +20,7 @@
 use super::{Cell, LOAD_TTL};
 use crate::ids::AccountId;
 use crate::quota::Lately;
-use crate::rollout::evidence::EvidenceKey;
+use crate::rollout::evidence::ResponseCounterKey;
 
 /// What a representative tells its cell of the other cells.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
@@ -36,7 +36,7 @@
     pub lately: Vec<(AccountId, Lately)>,
     /// Answers of versions that are rolled out, likewise.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
-    pub evidence: Vec<(EvidenceKey, u64)>,
+    pub evidence: Vec<(ResponseCounterKey, u64)>,
     /// Whether all counters of which there are any are among these.
     #[serde(rename = "f", default)]
     pub is_full: bool,
--- a/oxbowbend-core/src/cell/hear.rs
+++ b/oxbowbend-core/src/cell/hear.rs
@@ -9,7 +9,7 @@
 use super::{pace, Cell, LOAD_TTL};
 use crate::ids::{AccountId, InstanceId};
 use crate::quota::{admitted_within, Lately};
-use crate::rollout::evidence::EvidenceKey;
+use crate::rollout::evidence::ResponseCounterKey;
 
 /// Silence after which an instance of this cell is forgotten.
 const FORGET: Duration = Duration::from_secs(30);
@@ -42,7 +42,7 @@
     /// Units of client accounts that were admitted.
     pub spent: Growth<AccountId>,
     /// Answers of versions that are rolled out.
-    pub evidence: Growth<EvidenceKey>,
+    pub evidence: Growth<ResponseCounterKey>,
 }
 
 /// What of a report's counters is counted here.
--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -8,7 +8,7 @@
 use super::pace;
 use super::report::Report;
 use crate::ids::{AccountId, EndpointKey};
-use crate::rollout::evidence::EvidenceKey;
+use crate::rollout::evidence::ResponseCounterKey;
 
 /// Counters that an instance has told so far, which only grow in its life. Frequent reports leave them out.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     /// Units admitted, by account.
     pub(super) spent: Counted<AccountId>,
     /// Answers of versions that are rolled out.
-    pub(super) evidence: Counted<EvidenceKey>,
+    pub(super) evidence: Counted<ResponseCounterKey>,
     /// Whether a report with all of its own counters was heard, of those of its cell, of those of the others.
     pub(super) knows_own: bool,
     pub(super) knows_cell: bool,
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -8,7 +8,7 @@
 use crate::ids::{AccountId, EndpointKey, InstanceId, ServiceId, ZoneId};
 use crate::quarantine::QuarantineUpdate;
 use crate::quota::{Lately, Window};
-use crate::rollout::evidence::EvidenceKey;
+use crate::rollout::evidence::ResponseCounterKey;
 use crate::rollout::ToldRollout;
 
 /// State of one instance.
@@ -113,10 +113,10 @@
     pub rollouts: Vec<ToldRollout>,
     /// Answers of versions that are rolled out, in this life.
     #[serde(rename = "V", default, skip_serializing_if = "Vec::is_empty")]
-    pub evidence: Vec<(EvidenceKey, u64)>,
+    pub evidence: Vec<(ResponseCounterKey, u64)>,
     /// Those of all of its cell, as far as it has heard. Told to other cells.
     #[serde(rename = "C", default, skip_serializing_if = "Vec::is_empty")]
-    pub cell_evidence: Vec<(EvidenceKey, u64)>,
+    pub cell_evidence: Vec<(ResponseCounterKey, u64)>,
     /// What accounts have used in each of the last seconds, the newest first. Told while an instance of its cell has
     /// just started.
     #[serde(rename = "W", default, skip_serializing_if = "Vec::is_empty")]
--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -55,7 +55,7 @@
 #[derive(
     Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
 )]
-pub struct EvidenceKey {
+pub struct ResponseCounterKey {
     /// The order.
     #[serde(rename = "o")]
     pub order: RolloutId,
@@ -70,19 +70,19 @@
     class: u8,
 }
 
-impl EvidenceKey {
+impl ResponseCounterKey {
     /// The counter for an answer.
     pub fn new(
         order: RolloutId,
         route: &str,
         side: VersionGroup,
         answer: ResponseOutcome,
-    ) -> EvidenceKey {
+    ) -> ResponseCounterKey {
         let class = match answer {
             ResponseOutcome::Failure => FAILURE_BUCKET,
             ResponseOutcome::Success { ns_per_unit } => time_class(ns_per_unit),
         };
-        EvidenceKey { order, route: xxh3_64(route.as_bytes()) as RouteKey, side, class }
+        ResponseCounterKey { order, route: xxh3_64(route.as_bytes()) as RouteKey, side, class }
     }
 }
 
@@ -202,7 +202,7 @@
 
 impl Evidence {
     /// Adds answers.
-    pub fn add(&mut self, now: Instant, key: EvidenceKey, n: u64) {
+    pub fn add(&mut self, now: Instant, key: ResponseCounterKey, n: u64) {
         let n = n.min(u64::from(u32::MAX)) as u32;
         let is_open = |slot: &Slot| now.saturating_duration_since(slot.at) < SLOT_DURATION;
         if !self.slots.back().is_some_and(is_open) {
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -28,7 +28,7 @@
 use crate::ids::{EndpointId, ServiceId, VersionId};
 use crate::routes::Endpoint;
 use detector::Finding;
-use evidence::{EvidenceKey, ResponseOutcome, RolloutId, SideCounts, VersionGroup};
+use evidence::{ResponseCounterKey, ResponseOutcome, RolloutId, SideCounts, VersionGroup};
 use state::Rollout;
 pub use told::{Phase, Teller, ToldRollout};
 
@@ -131,9 +131,9 @@
     bounds: RolloutBounds,
     all: BTreeMap<ServiceId, Rollout>,
     /// Answers that this instance saw, those that its cell told of, and those of other cells.
-    own: BTreeMap<EvidenceKey, u64>,
-    near: BTreeMap<EvidenceKey, u64>,
-    far: BTreeMap<EvidenceKey, u64>,
+    own: BTreeMap<ResponseCounterKey, u64>,
+    near: BTreeMap<ResponseCounterKey, u64>,
+    far: BTreeMap<ResponseCounterKey, u64>,
     changes: Vec<Change>,
 }
 
@@ -292,13 +292,13 @@
             rollout.running = rollout.running.saturating_sub(1);
         }
         let Some(answer) = answer.filter(|_| rollout.phase < Phase::RolledBack) else { return };
-        let key = EvidenceKey::new(rollout.id, route, side, answer);
+        let key = ResponseCounterKey::new(rollout.id, route, side, answer);
         rollout.evidence.add(now, key, 1);
         *self.own.entry(key).or_default() += 1;
     }
 
     /// Adds answers that another instance told of, or another cell.
-    pub fn draw(&mut self, now: Instant, key: EvidenceKey, n: u64, is_near: bool) {
+    pub fn draw(&mut self, now: Instant, key: ResponseCounterKey, n: u64, is_near: bool) {
         let Some(rollout) = self.all.values_mut().find(|r| r.id == key.order) else { return };
         rollout.evidence.add(now, key, n);
         let counters = if is_near { &mut self.near } else { &mut self.far };
@@ -306,19 +306,19 @@
     }
 
     /// Answers that this instance saw.
-    pub fn counters(&self) -> impl Iterator<Item = (&EvidenceKey, u64)> {
+    pub fn counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
         self.own.iter().map(|(key, n)| (key, *n))
     }
 
     /// Answers that this cell saw, as far as it has heard.
-    pub fn cell_counters(&self) -> impl Iterator<Item = (&EvidenceKey, u64)> {
+    pub fn cell_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
         let keys = self.own.keys().chain(self.near.keys().filter(|k| !self.own.contains_key(k)));
-        let n = |counters: &BTreeMap<EvidenceKey, u64>, key| counters.get(key).copied();
+        let n = |counters: &BTreeMap<ResponseCounterKey, u64>, key| counters.get(key).copied();
         keys.map(move |key| (key, n(&self.own, key).unwrap_or(0) + n(&self.near, key).unwrap_or(0)))
     }
 
     /// Answers that other cells saw, likewise.
-    pub fn far_counters(&self) -> impl Iterator<Item = (&EvidenceKey, u64)> {
+    pub fn far_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
         self.far.iter().map(|(key, n)| (key, *n))
     }
 
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -3,7 +3,9 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::rollout::detector::find;
-use oxbowbend_core::rollout::evidence::{Evidence, EvidenceKey, ResponseOutcome, VersionGroup};
+use oxbowbend_core::rollout::evidence::{
+    Evidence, ResponseCounterKey, ResponseOutcome, VersionGroup,
+};
 use oxbowbend_core::rollout::{
     Order, Part, Phase, RolloutBounds, Rollouts, Status, Teller, ToldRollout, Why,
 };
@@ -133,7 +135,7 @@
                 true => ResponseOutcome::Failure,
                 false => ResponseOutcome::Success { ns_per_unit },
             };
-            evidence.add(now, EvidenceKey::new(ORDER, &route.to_string(), side, answer), 1);
+            evidence.add(now, ResponseCounterKey::new(ORDER, &route.to_string(), side, answer), 1);
         }
         if find(&evidence).is_some() {
             return Some(now - start);
--- a/oxbowbend-gateway/src/audience.rs
+++ b/oxbowbend-gateway/src/audience.rs
@@ -8,7 +8,7 @@
 
 use oxbowbend_core::cell::Extent;
 use oxbowbend_core::ids::{AccountId, InstanceId};
-use oxbowbend_core::rollout::evidence::EvidenceKey;
+use oxbowbend_core::rollout::evidence::ResponseCounterKey;
 
 use crate::shared::State;
 
@@ -109,7 +109,7 @@
     /// Units of accounts.
     pub(crate) spent: Told<AccountId>,
     /// Answers of versions that are rolled out.
-    pub(crate) evidence: Told<EvidenceKey>,
+    pub(crate) evidence: Told<ResponseCounterKey>,
 }
 
 impl ToldAll {
