--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -58,7 +58,7 @@
 pub struct ResponseCounterKey {
     /// The order.
     #[serde(rename = "o")]
-    pub order: RolloutId,
+    pub rollout: RolloutId,
     /// The route.
     #[serde(rename = "r")]
     pub route: RouteKey,
@@ -82,7 +82,12 @@
             ResponseOutcome::Failure => FAILURE_BUCKET,
             ResponseOutcome::Success { ns_per_unit } => time_class(ns_per_unit),
         };
-        ResponseCounterKey { order, route: xxh3_64(route.as_bytes()) as RouteKey, side, class }
+        ResponseCounterKey {
+            rollout: order,
+            route: xxh3_64(route.as_bytes()) as RouteKey,
+            side,
+            class,
+        }
     }
 }
 
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -172,7 +172,7 @@
         let service = order.service.clone();
         let rollout = Rollout::new(now, order, deadline, longest, phase);
         for counters in [&mut self.own, &mut self.near, &mut self.far] {
-            counters.retain(|key, _| key.order == rollout.id);
+            counters.retain(|key, _| key.rollout == rollout.id);
         }
         self.changes.push(rollout.change(now, why));
         self.all.insert(service, rollout);
@@ -299,7 +299,7 @@
 
     /// Adds answers that another instance told of, or another cell.
     pub fn draw(&mut self, now: Instant, key: ResponseCounterKey, n: u64, is_near: bool) {
-        let Some(rollout) = self.all.values_mut().find(|r| r.id == key.order) else { return };
+        let Some(rollout) = self.all.values_mut().find(|r| r.id == key.rollout) else { return };
         rollout.evidence.add(now, key, n);
         let counters = if is_near { &mut self.near } else { &mut self.far };
         *counters.entry(key).or_default() += n;
