--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -64,7 +64,7 @@
     pub route: RouteKey,
     /// The version.
     #[serde(rename = "s")]
-    pub side: VersionGroup,
+    pub group: VersionGroup,
     /// Class of time, or failures.
     #[serde(rename = "c")]
     class: u8,
@@ -85,7 +85,7 @@
         ResponseCounterKey {
             rollout: order,
             route: xxh3_64(route.as_bytes()) as RouteKey,
-            side,
+            group: side,
             class,
         }
     }
@@ -217,7 +217,7 @@
             }
         }
         if let Some(slot) = self.slots.back_mut() {
-            slot.routes.entry(key.route).or_default().side(key.side).add(key.class, n);
+            slot.routes.entry(key.route).or_default().side(key.group).add(key.class, n);
         }
     }
 
