--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -67,7 +67,7 @@
     pub group: VersionGroup,
     /// Class of time, or failures.
     #[serde(rename = "c")]
-    class: u8,
+    bucket: u8,
 }
 
 impl ResponseCounterKey {
@@ -86,7 +86,7 @@
             rollout: order,
             route: xxh3_64(route.as_bytes()) as RouteKey,
             group: side,
-            class,
+            bucket: class,
         }
     }
 }
@@ -217,7 +217,7 @@
             }
         }
         if let Some(slot) = self.slots.back_mut() {
-            slot.routes.entry(key.route).or_default().side(key.group).add(key.class, n);
+            slot.routes.entry(key.route).or_default().side(key.group).add(key.bucket, n);
         }
     }
 
