--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -80,7 +80,7 @@
     ) -> ResponseCounterKey {
         let class = match answer {
             ResponseOutcome::Failure => FAILURE_BUCKET,
-            ResponseOutcome::Success { ns_per_unit } => time_class(ns_per_unit),
+            ResponseOutcome::Success { ns_per_unit } => latency_bucket(ns_per_unit),
         };
         ResponseCounterKey {
             rollout: order,
@@ -91,7 +91,7 @@
     }
 }
 
-fn time_class(ns_per_unit: f64) -> u8 {
+fn latency_bucket(ns_per_unit: f64) -> u8 {
     let times = (ns_per_unit / FIRST_BUCKET_MAX_NS).max(1.0).log2();
     (times as usize).min(LATENCY_BUCKETS - 1) as u8
 }
