--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -7,7 +7,7 @@
 //!
 //! The test is looked at again and again, so the bound on the ratio is high.
 
-use super::evidence::{classes, Comparison, Counts, Evidence, SideCounts};
+use super::evidence::{classes, Comparison, Evidence, ResponseCounts, SideCounts};
 
 /// Logarithm of the likelihood ratio from which a version is bad: by its failures, and by its slow answers, of which what
 /// slows one endpoint down for a moment makes several at once.
@@ -73,7 +73,7 @@
     if new.all() < MIN_BAD {
         return None;
     }
-    let failures = |counts: &Counts| Sample { all: counts.all(), bad: counts.failed() };
+    let failures = |counts: &ResponseCounts| Sample { all: counts.all(), bad: counts.failed() };
     judge(failures(new), failures(old), FAILURES_BEFORE, None).or_else(|| find_slow(comparison))
 }
 
@@ -83,8 +83,10 @@
     let SideCounts { old, new } = &comparison.controlled;
     let mut bounds = classes().filter(|_| old.all() >= MIN_CONTROL);
     bounds.find_map(|class| {
-        let slow =
-            |counts: &Counts| Sample { all: counts.all(), bad: counts.failed_or_slow(class) };
+        let slow = |counts: &ResponseCounts| Sample {
+            all: counts.all(),
+            bad: counts.failed_or_slow(class),
+        };
         let lasting = slow(new).without(comparison.worst_failed_or_slow(class));
         judge(lasting, slow(old), SLOW_BEFORE, Some(class))
     })
--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -98,13 +98,13 @@
 
 /// Answers of one version on one route.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Counts {
+pub struct ResponseCounts {
     /// Good answers by class of time.
     times: [u32; LATENCY_BUCKETS],
     failed: u32,
 }
 
-impl Counts {
+impl ResponseCounts {
     /// All answers.
     pub fn all(&self) -> u32 {
         self.times.iter().sum::<u32>() + self.failed
@@ -127,7 +127,7 @@
         }
     }
 
-    fn merge(&mut self, other: &Counts) {
+    fn merge(&mut self, other: &ResponseCounts) {
         self.times.iter_mut().zip(other.times).for_each(|(sum, n)| *sum += n);
         self.failed += other.failed;
     }
@@ -142,9 +142,9 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct SideCounts {
     /// Of the versions that run.
-    pub old: Counts,
+    pub old: ResponseCounts,
     /// Of the one that is ordered.
-    pub new: Counts,
+    pub new: ResponseCounts,
 }
 
 /// Answers of both versions in a span.
@@ -180,7 +180,7 @@
 }
 
 impl SideCounts {
-    fn side(&mut self, side: VersionGroup) -> &mut Counts {
+    fn side(&mut self, side: VersionGroup) -> &mut ResponseCounts {
         match side {
             VersionGroup::Baseline => &mut self.old,
             VersionGroup::Candidate => &mut self.new,
