--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -100,14 +100,14 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ResponseCounts {
     /// Good answers by class of time.
-    times: [u32; LATENCY_BUCKETS],
+    by_latency: [u32; LATENCY_BUCKETS],
     failed: u32,
 }
 
 impl ResponseCounts {
     /// All answers.
     pub fn all(&self) -> u32 {
-        self.times.iter().sum::<u32>() + self.failed
+        self.by_latency.iter().sum::<u32>() + self.failed
     }
 
     /// Failures.
@@ -117,18 +117,18 @@
 
     /// Failures, and good answers of a class of time or a slower one.
     pub fn failed_or_slow(&self, class: usize) -> u32 {
-        self.failed + self.times.iter().skip(class).sum::<u32>()
+        self.failed + self.by_latency.iter().skip(class).sum::<u32>()
     }
 
     fn add(&mut self, class: u8, n: u32) {
-        match self.times.get_mut(usize::from(class)) {
+        match self.by_latency.get_mut(usize::from(class)) {
             Some(count) => *count += n,
             None => self.failed += n,
         }
     }
 
     fn merge(&mut self, other: &ResponseCounts) {
-        self.times.iter_mut().zip(other.times).for_each(|(sum, n)| *sum += n);
+        self.by_latency.iter_mut().zip(other.by_latency).for_each(|(sum, n)| *sum += n);
         self.failed += other.failed;
     }
 }
