--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -70,10 +70,10 @@
 
 fn compare(comparison: &Comparison) -> Option<Finding> {
     let SideCounts { old, new } = &comparison.all;
-    if new.all() < MIN_BAD {
+    if new.total() < MIN_BAD {
         return None;
     }
-    let failures = |counts: &ResponseCounts| Sample { all: counts.all(), bad: counts.failed() };
+    let failures = |counts: &ResponseCounts| Sample { all: counts.total(), bad: counts.failed() };
     judge(failures(new), failures(old), FAILURES_BEFORE, None).or_else(|| find_slow(comparison))
 }
 
@@ -81,10 +81,10 @@
 /// would look like a slow version.
 fn find_slow(comparison: &Comparison) -> Option<Finding> {
     let SideCounts { old, new } = &comparison.controlled;
-    let mut bounds = classes().filter(|_| old.all() >= MIN_CONTROL);
+    let mut bounds = classes().filter(|_| old.total() >= MIN_CONTROL);
     bounds.find_map(|class| {
         let slow = |counts: &ResponseCounts| Sample {
-            all: counts.all(),
+            all: counts.total(),
             bad: counts.failed_or_slow(class),
         };
         let lasting = slow(new).without(comparison.worst_failed_or_slow(class));
--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -106,7 +106,7 @@
 
 impl ResponseCounts {
     /// All answers.
-    pub fn all(&self) -> u32 {
+    pub fn total(&self) -> u32 {
         self.by_latency.iter().sum::<u32>() + self.failed
     }
 
@@ -162,7 +162,7 @@
 impl Comparison {
     fn add(&mut self, slot: &SideCounts) {
         self.all.merge(slot);
-        if slot.old.all() < slot.new.all() {
+        if slot.old.total() < slot.new.total() {
             return;
         }
         self.controlled.merge(slot);
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -229,9 +229,9 @@
         "event=rollout service={service} destination={destination} phase={phase:?} age_ms={} new={} \
          new_failed={} old={} old_failed={} why=\"{why}\"",
         age.as_millis(),
-        new.all(),
+        new.total(),
         new.failed(),
-        old.all(),
+        old.total(),
         old.failed()
     );
 }
