--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -7,7 +7,7 @@
 //!
 //! The test is looked at again and again, so the bound on the ratio is high.
 
-use super::evidence::{classes, Comparison, Evidence, ResponseCounts, SideCounts};
+use super::evidence::{slow_buckets, Comparison, Evidence, ResponseCounts, SideCounts};
 
 /// Logarithm of the likelihood ratio from which a version is bad: by its failures, and by its slow answers, of which what
 /// slows one endpoint down for a moment makes several at once.
@@ -81,7 +81,7 @@
 /// would look like a slow version.
 fn find_slow(comparison: &Comparison) -> Option<Finding> {
     let SideCounts { old, new } = &comparison.controlled;
-    let mut bounds = classes().filter(|_| old.total() >= MIN_CONTROL);
+    let mut bounds = slow_buckets().filter(|_| old.total() >= MIN_CONTROL);
     bounds.find_map(|class| {
         let slow = |counts: &ResponseCounts| Sample {
             all: counts.total(),
--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -134,7 +134,7 @@
 }
 
 /// Classes of time, slower ones later.
-pub(super) fn classes() -> std::ops::Range<usize> {
+pub(super) fn slow_buckets() -> std::ops::Range<usize> {
     1..LATENCY_BUCKETS
 }
 
@@ -166,7 +166,7 @@
             return;
         }
         self.controlled.merge(slot);
-        for class in classes() {
+        for class in slow_buckets() {
             let (first, second) = self.worst[class];
             let bad = slot.new.failed_or_slow(class);
             self.worst[class] = (first.max(bad), second.max(first.min(bad)));
