--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -140,7 +140,7 @@
 
 /// Answers of both versions.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct SideCounts {
+pub struct GroupCounts {
     /// Of the versions that run.
     pub old: ResponseCounts,
     /// Of the one that is ordered.
@@ -151,16 +151,16 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Comparison {
     /// All of them.
-    pub all: SideCounts,
+    pub all: GroupCounts,
     /// Those of moments in which the versions that run have answered at least as often. At other moments, as
     /// after the shift, nothing tells a slow version from slow machines.
-    pub controlled: SideCounts,
+    pub controlled: GroupCounts,
     /// Of these, those of the new version in its two worst slots that failed or were of a class of time or a slower one.
     worst: [(u32, u32); LATENCY_BUCKETS],
 }
 
 impl Comparison {
-    fn add(&mut self, slot: &SideCounts) {
+    fn add(&mut self, slot: &GroupCounts) {
         self.all.merge(slot);
         if slot.old.total() < slot.new.total() {
             return;
@@ -179,7 +179,7 @@
     }
 }
 
-impl SideCounts {
+impl GroupCounts {
     fn side(&mut self, side: VersionGroup) -> &mut ResponseCounts {
         match side {
             VersionGroup::Baseline => &mut self.old,
@@ -187,7 +187,7 @@
         }
     }
 
-    fn merge(&mut self, other: &SideCounts) {
+    fn merge(&mut self, other: &GroupCounts) {
         self.old.merge(&other.old);
         self.new.merge(&other.new);
     }
@@ -196,7 +196,7 @@
 #[derive(Debug)]
 struct Slot {
     at: Instant,
-    routes: BTreeMap<RouteKey, SideCounts>,
+    routes: BTreeMap<RouteKey, GroupCounts>,
 }
 
 /// Answers of all instances, by time.
@@ -234,7 +234,7 @@
         let mut routes: BTreeMap<RouteKey, Comparison> = BTreeMap::new();
         let mut whole = Comparison::default();
         for slot in self.slots.iter().rev().take(slots) {
-            let mut together = SideCounts::default();
+            let mut together = GroupCounts::default();
             for (route, sides) in &slot.routes {
                 routes.entry(*route).or_default().add(sides);
                 together.merge(sides);
@@ -245,7 +245,7 @@
     }
 
     /// All answers so far, of all routes.
-    pub fn whole(&self) -> SideCounts {
+    pub fn whole(&self) -> GroupCounts {
         self.span(self.slots.len()).pop().unwrap_or_default().all
     }
 }
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -28,7 +28,7 @@
 use crate::ids::{EndpointId, ServiceId, VersionId};
 use crate::routes::Endpoint;
 use detector::Finding;
-use evidence::{ResponseCounterKey, ResponseOutcome, RolloutId, SideCounts, VersionGroup};
+use evidence::{GroupCounts, ResponseCounterKey, ResponseOutcome, RolloutId, VersionGroup};
 use state::Rollout;
 pub use told::{Phase, Teller, ToldRollout};
 
@@ -111,7 +111,7 @@
     /// Since the order.
     pub age: Duration,
     /// What is known of both versions' answers.
-    pub answers: SideCounts,
+    pub answers: GroupCounts,
 }
 
 /// Where an endpoint of a service stands in its roll-out.
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -7,7 +7,7 @@
 use oxbowbend_clock as clock;
 use oxbowbend_core::cell::Report;
 use oxbowbend_core::ids::ServiceId;
-use oxbowbend_core::rollout::evidence::{ResponseOutcome, SideCounts};
+use oxbowbend_core::rollout::evidence::{GroupCounts, ResponseOutcome};
 use oxbowbend_core::rollout::{Change, Order, Part, Phase, Status, Teller, ToldRollout, Why};
 use oxbowbend_core::routes::{Endpoint, Table};
 
@@ -217,7 +217,7 @@
 
 fn log_change(change: &Change) {
     let Change { service, destination, phase, why, age, answers } = change;
-    let SideCounts { old, new } = answers;
+    let GroupCounts { old, new } = answers;
     let why = match why {
         Why::Worse(f) => format!(
             "worse bad={} of={} old_bad={} old_of={} ratio={:.1} slow_from={:?}",
