--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -142,7 +142,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct GroupCounts {
     /// Of the versions that run.
-    pub old: ResponseCounts,
+    pub baseline: ResponseCounts,
     /// Of the one that is ordered.
     pub new: ResponseCounts,
 }
@@ -162,7 +162,7 @@
 impl Comparison {
     fn add(&mut self, slot: &GroupCounts) {
         self.all.merge(slot);
-        if slot.old.total() < slot.new.total() {
+        if slot.baseline.total() < slot.new.total() {
             return;
         }
         self.controlled.merge(slot);
@@ -182,13 +182,13 @@
 impl GroupCounts {
     fn side(&mut self, side: VersionGroup) -> &mut ResponseCounts {
         match side {
-            VersionGroup::Baseline => &mut self.old,
+            VersionGroup::Baseline => &mut self.baseline,
             VersionGroup::Candidate => &mut self.new,
         }
     }
 
     fn merge(&mut self, other: &GroupCounts) {
-        self.old.merge(&other.old);
+        self.baseline.merge(&other.baseline);
         self.new.merge(&other.new);
     }
 }
