--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -112,7 +112,7 @@
 ///
 /// use oxbowbend_core::quarantine::{SendPermission, Quarantine, InterruptedAttempt, CRASH_SETTLING_TIME};
 ///
-/// let (mut quarantine, now) = (Quarantine::new(&"i-1".into()), Instant::now());
+/// let (mut quarantine, now) = (Quarantine::candidate(&"i-1".into()), Instant::now());
 /// for endpoint in 0..3 {
 ///     assert_eq!(quarantine.check_send(now, 7), SendPermission::Allowed);
 ///     quarantine.attempt_interrupted(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, awaiting_response: true });
--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -69,7 +69,7 @@
 }
 
 fn compare(comparison: &Comparison) -> Option<Finding> {
-    let GroupCounts { baseline: old, new } = &comparison.all;
+    let GroupCounts { baseline: old, candidate: new } = &comparison.all;
     if new.total() < MIN_BAD {
         return None;
     }
@@ -80,7 +80,7 @@
 /// Without a control in the same moments a version is judged by its failures alone: what slows all machines down after the shift
 /// would look like a slow version.
 fn find_slow(comparison: &Comparison) -> Option<Finding> {
-    let GroupCounts { baseline: old, new } = &comparison.controlled;
+    let GroupCounts { baseline: old, candidate: new } = &comparison.controlled;
     let mut bounds = slow_buckets().filter(|_| old.total() >= MIN_CONTROL);
     bounds.find_map(|class| {
         let slow = |counts: &ResponseCounts| Sample {
--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -144,7 +144,7 @@
     /// Of the versions that run.
     pub baseline: ResponseCounts,
     /// Of the one that is ordered.
-    pub new: ResponseCounts,
+    pub candidate: ResponseCounts,
 }
 
 /// Answers of both versions in a span.
@@ -162,13 +162,13 @@
 impl Comparison {
     fn add(&mut self, slot: &GroupCounts) {
         self.all.merge(slot);
-        if slot.baseline.total() < slot.new.total() {
+        if slot.baseline.total() < slot.candidate.total() {
             return;
         }
         self.controlled.merge(slot);
         for class in slow_buckets() {
             let (first, second) = self.worst[class];
-            let bad = slot.new.failed_or_slow(class);
+            let bad = slot.candidate.failed_or_slow(class);
             self.worst[class] = (first.max(bad), second.max(first.min(bad)));
         }
     }
@@ -183,13 +183,13 @@
     fn side(&mut self, side: VersionGroup) -> &mut ResponseCounts {
         match side {
             VersionGroup::Baseline => &mut self.baseline,
-            VersionGroup::Candidate => &mut self.new,
+            VersionGroup::Candidate => &mut self.candidate,
         }
     }
 
     fn merge(&mut self, other: &GroupCounts) {
         self.baseline.merge(&other.baseline);
-        self.new.merge(&other.new);
+        self.candidate.merge(&other.candidate);
     }
 }
 
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -217,7 +217,7 @@
 
 fn log_change(change: &Change) {
     let Change { service, destination, phase, why, age, answers } = change;
-    let GroupCounts { baseline: old, new } = answers;
+    let GroupCounts { baseline: old, candidate: new } = answers;
     let why = match why {
         Why::Worse(f) => format!(
             "worse bad={} of={} old_bad={} old_of={} ratio={:.1} slow_from={:?}",
