--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -180,7 +180,7 @@
 }
 
 impl GroupCounts {
-    fn side(&mut self, side: VersionGroup) -> &mut ResponseCounts {
+    fn group_mut(&mut self, side: VersionGroup) -> &mut ResponseCounts {
         match side {
             VersionGroup::Baseline => &mut self.baseline,
             VersionGroup::Candidate => &mut self.candidate,
@@ -217,7 +217,7 @@
             }
         }
         if let Some(slot) = self.slots.back_mut() {
-            slot.routes.entry(key.route).or_default().side(key.group).add(key.bucket, n);
+            slot.routes.entry(key.route).or_default().group_mut(key.group).add(key.bucket, n);
         }
     }
 
