--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -69,7 +69,7 @@
 }
 
 fn compare(comparison: &Comparison) -> Option<Finding> {
-    let GroupCounts { baseline: old, candidate: new } = &comparison.all;
+    let GroupCounts { baseline: old, candidate: new } = &comparison.total;
     if new.total() < MIN_BAD {
         return None;
     }
--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -151,7 +151,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Comparison {
     /// All of them.
-    pub all: GroupCounts,
+    pub total: GroupCounts,
     /// Those of moments in which the versions that run have answered at least as often. At other moments, as
     /// after the shift, nothing tells a slow version from slow machines.
     pub controlled: GroupCounts,
@@ -161,7 +161,7 @@
 
 impl Comparison {
     fn add(&mut self, slot: &GroupCounts) {
-        self.all.merge(slot);
+        self.total.merge(slot);
         if slot.baseline.total() < slot.candidate.total() {
             return;
         }
@@ -246,6 +246,6 @@
 
     /// All answers so far, of all routes.
     pub fn whole(&self) -> GroupCounts {
-        self.span(self.slots.len()).pop().unwrap_or_default().all
+        self.span(self.slots.len()).pop().unwrap_or_default().total
     }
 }
