--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -156,7 +156,7 @@
     /// after the shift, nothing tells a slow version from slow machines.
     pub controlled: GroupCounts,
     /// Of these, those of the new version in its two worst slots that failed or were of a class of time or a slower one.
-    worst: [(u32, u32); LATENCY_BUCKETS],
+    worst_slots: [(u32, u32); LATENCY_BUCKETS],
 }
 
 impl Comparison {
@@ -167,15 +167,15 @@
         }
         self.controlled.merge(slot);
         for class in slow_buckets() {
-            let (first, second) = self.worst[class];
+            let (first, second) = self.worst_slots[class];
             let bad = slot.candidate.failed_or_slow(class);
-            self.worst[class] = (first.max(bad), second.max(first.min(bad)));
+            self.worst_slots[class] = (first.max(bad), second.max(first.min(bad)));
         }
     }
 
     /// Answers of the new version in its two worst moments that failed or were of a class of time or a slower one.
     pub fn worst_failed_or_slow(&self, class: usize) -> u32 {
-        self.worst[class].0 + self.worst[class].1
+        self.worst_slots[class].0 + self.worst_slots[class].1
     }
 }
 
