--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -195,7 +195,7 @@
 
 #[derive(Debug)]
 struct TimeSlot {
-    at: Instant,
+    start: Instant,
     routes: BTreeMap<RouteKey, GroupCounts>,
 }
 
@@ -209,9 +209,9 @@
     /// Adds answers.
     pub fn add(&mut self, now: Instant, key: ResponseCounterKey, n: u64) {
         let n = n.min(u64::from(u32::MAX)) as u32;
-        let is_open = |slot: &TimeSlot| now.saturating_duration_since(slot.at) < SLOT_DURATION;
+        let is_open = |slot: &TimeSlot| now.saturating_duration_since(slot.start) < SLOT_DURATION;
         if !self.slots.back().is_some_and(is_open) {
-            self.slots.push_back(TimeSlot { at: now, routes: BTreeMap::new() });
+            self.slots.push_back(TimeSlot { start: now, routes: BTreeMap::new() });
             if self.slots.len() > MAX_SLOTS {
                 self.slots.pop_front();
             }
