--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -201,11 +201,11 @@
 
 /// Answers of all instances, by time.
 #[derive(Debug, Default)]
-pub struct Evidence {
+pub struct ResponseHistory {
     slots: VecDeque<TimeSlot>,
 }
 
-impl Evidence {
+impl ResponseHistory {
     /// Adds answers.
     pub fn add(&mut self, now: Instant, key: ResponseCounterKey, n: u64) {
         let n = n.min(u64::from(u32::MAX)) as u32;
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::detector;
-use super::evidence::{Evidence, RolloutId, VersionGroup};
+use super::evidence::{ResponseHistory, RolloutId, VersionGroup};
 use super::{base, Change, Order, Part, Phase, Status, Teller, Why, PART};
 use crate::ids::{InstanceId, ServiceId};
 use crate::routes::Endpoint;
@@ -38,7 +38,7 @@
     pub(super) longest: Duration,
     pub(super) phase: Phase,
     pub(super) phase_at: Instant,
-    pub(super) evidence: Evidence,
+    pub(super) evidence: ResponseHistory,
     pub(super) sides: Sides,
     pub(super) no_others_since: Option<Instant>,
     /// Requests sent by this instance, and those of them to the new version.
@@ -77,7 +77,7 @@
             longest,
             phase,
             phase_at: now,
-            evidence: Evidence::default(),
+            evidence: ResponseHistory::default(),
             sides: Sides::default(),
             no_others_since: None,
             sent: 0,
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -4,7 +4,7 @@
 
 use oxbowbend_core::rollout::detector::find;
 use oxbowbend_core::rollout::evidence::{
-    Evidence, ResponseCounterKey, ResponseOutcome, VersionGroup,
+    ResponseCounterKey, ResponseHistory, ResponseOutcome, VersionGroup,
 };
 use oxbowbend_core::rollout::{
     Order, Part, Phase, RolloutBounds, Rollouts, Status, Teller, ToldRollout, Why,
@@ -94,7 +94,7 @@
 /// when that is found to be bad.
 fn detected(seed: u64, per_s: u32, version: Answers, around: Around) -> Option<Duration> {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let (start, mut evidence) = (Instant::now(), Evidence::default());
+    let (start, mut evidence) = (Instant::now(), ResponseHistory::default());
     for tick in 0..80_u32 {
         let now = start + tick * 250 * MS;
         let may_stall = if matches!(around, Around::Stalls) { 0.08 } else { 0.0 };
