--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -65,7 +65,7 @@
 
 /// Looks for a version that answers worse.
 pub fn find(evidence: &ResponseHistory) -> Option<Finding> {
-    evidence.spans().flatten().find_map(|comparison| compare(&comparison))
+    evidence.windows().flatten().find_map(|comparison| compare(&comparison))
 }
 
 fn compare(comparison: &Comparison) -> Option<Finding> {
--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -223,7 +223,7 @@
 
     /// Answers of the last seconds, of all of them, and of spans between: each of twice as many slots as the one
     /// before. Each with routes by themselves and all routes together.
-    pub fn spans(&self) -> impl Iterator<Item = Vec<Comparison>> + '_ {
+    pub fn windows(&self) -> impl Iterator<Item = Vec<Comparison>> + '_ {
         let all = self.slots.len();
         let lengths = std::iter::successors(Some(1_usize), |n| Some(n * 2));
         let lengths = lengths.take_while(move |n| *n < all * 2).map(move |n| n.min(all));
