--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -227,10 +227,10 @@
         let all = self.slots.len();
         let lengths = std::iter::successors(Some(1_usize), |n| Some(n * 2));
         let lengths = lengths.take_while(move |n| *n < all * 2).map(move |n| n.min(all));
-        lengths.map(|length| self.span(length))
+        lengths.map(|length| self.window(length))
     }
 
-    fn span(&self, slots: usize) -> Vec<Comparison> {
+    fn window(&self, slots: usize) -> Vec<Comparison> {
         let mut routes: BTreeMap<RouteKey, Comparison> = BTreeMap::new();
         let mut whole = Comparison::default();
         for slot in self.slots.iter().rev().take(slots) {
@@ -246,6 +246,6 @@
 
     /// All answers so far, of all routes.
     pub fn whole(&self) -> GroupCounts {
-        self.span(self.slots.len()).pop().unwrap_or_default().total
+        self.window(self.slots.len()).pop().unwrap_or_default().total
     }
 }
