--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/evidence.rs
@@ -245,7 +245,7 @@
     }
 
     /// All answers so far, of all routes.
-    pub fn whole(&self) -> GroupCounts {
+    pub fn totals(&self) -> GroupCounts {
         self.window(self.slots.len()).pop().unwrap_or_default().total
     }
 }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -96,7 +96,7 @@
             phase: self.phase,
             why,
             age: now.saturating_duration_since(self.ordered),
-            answers: self.evidence.whole(),
+            answers: self.evidence.totals(),
         }
     }
 
