--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -20,7 +20,7 @@
 use super::{Cell, LOAD_TTL};
 use crate::ids::AccountId;
 use crate::quota::Lately;
-use crate::rollout::evidence::ResponseCounterKey;
+use crate::rollout::responses::ResponseCounterKey;
 
 /// What a representative tells its cell of the other cells.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
--- a/oxbowbend-core/src/cell/hear.rs
+++ b/oxbowbend-core/src/cell/hear.rs
@@ -9,7 +9,7 @@
 use super::{pace, Cell, LOAD_TTL};
 use crate::ids::{AccountId, InstanceId};
 use crate::quota::{admitted_within, Lately};
-use crate::rollout::evidence::ResponseCounterKey;
+use crate::rollout::responses::ResponseCounterKey;
 
 /// Silence after which an instance of this cell is forgotten.
 const FORGET: Duration = Duration::from_secs(30);
--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -8,7 +8,7 @@
 use super::pace;
 use super::report::Report;
 use crate::ids::{AccountId, EndpointKey};
-use crate::rollout::evidence::ResponseCounterKey;
+use crate::rollout::responses::ResponseCounterKey;
 
 /// Counters that an instance has told so far, which only grow in its life. Frequent reports leave them out.
 #[derive(Clone, Debug)]
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -8,7 +8,7 @@
 use crate::ids::{AccountId, EndpointKey, InstanceId, ServiceId, ZoneId};
 use crate::quarantine::QuarantineUpdate;
 use crate::quota::{Lately, Window};
-use crate::rollout::evidence::ResponseCounterKey;
+use crate::rollout::responses::ResponseCounterKey;
 use crate::rollout::ToldRollout;
 
 /// State of one instance.
--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -7,7 +7,7 @@
 //!
 //! The test is looked at again and again, so the bound on the ratio is high.
 
-use super::evidence::{slow_buckets, Comparison, GroupCounts, ResponseCounts, ResponseHistory};
+use super::responses::{slow_buckets, Comparison, GroupCounts, ResponseCounts, ResponseHistory};
 
 /// Logarithm of the likelihood ratio from which a version is bad: by its failures, and by its slow answers, of which what
 /// slows one endpoint down for a moment makes several at once.
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -5,7 +5,7 @@
 //! on one route only. So a roll-out begins as a canary: each instance sends the version a small part of its own
 //! requests, which keeps the fleet within the operator's bound whoever hears whom, and only to as many
 //! endpoints as that part keeps as busy as the others. All instances tell each other what became of both versions'
-//! requests ([`evidence`]), and whoever finds the version worse ([`detector`]) rolls back. Time that is left is time
+//! requests ([`responses`]), and whoever finds the version worse ([`detector`]) rolls back. Time that is left is time
 //! for evidence: only when the rest is needed for what still runs at the other versions does all traffic shift.
 //! Once nothing runs there any more the roll-out is complete, and the platform stops them.
 //!
@@ -16,7 +16,7 @@
 //! evidence from before an instance was first heard is lost.
 
 pub mod detector;
-pub mod evidence;
+pub mod responses;
 mod state;
 mod told;
 
@@ -28,7 +28,7 @@
 use crate::ids::{EndpointId, ServiceId, VersionId};
 use crate::routes::Endpoint;
 use detector::Finding;
-use evidence::{GroupCounts, ResponseCounterKey, ResponseOutcome, RolloutId, VersionGroup};
+use responses::{GroupCounts, ResponseCounterKey, ResponseOutcome, RolloutId, VersionGroup};
 use state::Rollout;
 pub use told::{Phase, Teller, ToldRollout};
 
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::detector;
-use super::evidence::{ResponseHistory, RolloutId, VersionGroup};
+use super::responses::{ResponseHistory, RolloutId, VersionGroup};
 use super::{base, Change, Order, Part, Phase, Status, Teller, Why, PART};
 use crate::ids::{InstanceId, ServiceId};
 use crate::routes::Endpoint;
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::rollout::detector::find;
-use oxbowbend_core::rollout::evidence::{
+use oxbowbend_core::rollout::responses::{
     ResponseCounterKey, ResponseHistory, ResponseOutcome, VersionGroup,
 };
 use oxbowbend_core::rollout::{
--- a/oxbowbend-gateway/src/audience.rs
+++ b/oxbowbend-gateway/src/audience.rs
@@ -8,7 +8,7 @@
 
 use oxbowbend_core::cell::Extent;
 use oxbowbend_core::ids::{AccountId, InstanceId};
-use oxbowbend_core::rollout::evidence::ResponseCounterKey;
+use oxbowbend_core::rollout::responses::ResponseCounterKey;
 
 use crate::shared::State;
 
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use oxbowbend_clock as clock;
 use oxbowbend_core::cell::{Assignment, Outcome, FIXED_UNITS};
-use oxbowbend_core::rollout::evidence::ResponseOutcome;
+use oxbowbend_core::rollout::responses::ResponseOutcome;
 use oxbowbend_core::routes::{Endpoint, Route};
 use oxbowbend_core::silence::{self, Silence};
 use oxbowbend_http::h1;
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -7,7 +7,7 @@
 use oxbowbend_clock as clock;
 use oxbowbend_core::cell::Report;
 use oxbowbend_core::ids::ServiceId;
-use oxbowbend_core::rollout::evidence::{GroupCounts, ResponseOutcome};
+use oxbowbend_core::rollout::responses::{GroupCounts, ResponseOutcome};
 use oxbowbend_core::rollout::{Change, Order, Part, Phase, Status, Teller, ToldRollout, Why};
 use oxbowbend_core::routes::{Endpoint, Table};
 
