--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -12,7 +12,7 @@
 /// Logarithm of the likelihood ratio from which a version is bad: by its failures, and by its slow answers, of which what
 /// slows one endpoint down for a moment makes several at once.
 const MIN_LOG_RATIO_FAILURES: f64 = 12.0;
-const BOUND_SLOW: f64 = 15.0;
+const MIN_LOG_RATIO_SLOW: f64 = 15.0;
 /// Bad answers below which nothing follows.
 const MIN_BAD: u32 = 6;
 /// By how much its share of bad answers must be larger, so that a difference that nobody minds is none.
@@ -107,7 +107,7 @@
     let share_both = share(bad + old_bad, all + old_all);
     let ratio = likelihood(bad, all, share_new) + likelihood(old_bad, old_all, share_old)
         - likelihood(bad + old_bad, all + old_all, share_both);
-    let bound = if slow_from.is_some() { BOUND_SLOW } else { MIN_LOG_RATIO_FAILURES };
+    let bound = if slow_from.is_some() { MIN_LOG_RATIO_SLOW } else { MIN_LOG_RATIO_FAILURES };
     (ratio >= bound).then_some(Finding { new, old, ratio, slow_from })
 }
 
