--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -14,7 +14,7 @@
 const MIN_LOG_RATIO_FAILURES: f64 = 12.0;
 const MIN_LOG_RATIO_SLOW: f64 = 15.0;
 /// Bad answers below which nothing follows.
-const MIN_BAD: u32 = 6;
+const MIN_BAD_RESPONSES: u32 = 6;
 /// By how much its share of bad answers must be larger, so that a difference that nobody minds is none.
 const MIN_EXCESS: f64 = 0.04;
 /// Answers of the control below which nobody can tell what is slow.
@@ -70,7 +70,7 @@
 
 fn compare(comparison: &Comparison) -> Option<Finding> {
     let GroupCounts { baseline: old, candidate: new } = &comparison.total;
-    if new.total() < MIN_BAD {
+    if new.total() < MIN_BAD_RESPONSES {
         return None;
     }
     let failures = |counts: &ResponseCounts| Sample { all: counts.total(), bad: counts.failed() };
@@ -100,7 +100,7 @@
     let (share_new, share_old) = (share(bad, all), share(old_bad, old_all));
     let least =
         if slow_from.is_some() { MIN_TIMES_SLOW * share_old } else { share_old + MIN_EXCESS };
-    if new.bad < MIN_BAD || share_new < least {
+    if new.bad < MIN_BAD_RESPONSES || share_new < least {
         return None;
     }
     // Against both sides having the share of the two together.
