--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -18,7 +18,7 @@
 /// By how much its share of bad answers must be larger, so that a difference that nobody minds is none.
 const MIN_EXCESS: f64 = 0.04;
 /// Answers of the control below which nobody can tell what is slow.
-const MIN_CONTROL: u32 = 24;
+const MIN_BASELINE_RESPONSES: u32 = 24;
 /// How many times as often its answers must be slow as the control's. A third of the engines may be slower than the others, and
 /// a canary's few endpoints may all be such ones.
 const MIN_TIMES_SLOW: f64 = 8.0;
@@ -81,7 +81,7 @@
 /// would look like a slow version.
 fn find_slow(comparison: &Comparison) -> Option<Finding> {
     let GroupCounts { baseline: old, candidate: new } = &comparison.controlled;
-    let mut bounds = slow_buckets().filter(|_| old.total() >= MIN_CONTROL);
+    let mut bounds = slow_buckets().filter(|_| old.total() >= MIN_BASELINE_RESPONSES);
     bounds.find_map(|class| {
         let slow = |counts: &ResponseCounts| Sample {
             all: counts.total(),
