--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -21,7 +21,7 @@
 const MIN_BASELINE_RESPONSES: u32 = 24;
 /// How many times as often its answers must be slow as the control's. A third of the engines may be slower than the others, and
 /// a canary's few endpoints may all be such ones.
-const MIN_TIMES_SLOW: f64 = 8.0;
+const MIN_SLOW_SHARE_RATIO: f64 = 8.0;
 /// Answers that are taken to be known of the control beforehand, and how many of them were bad: without any, a single
 /// failure would be infinitely unlikely. Failures are rare at all endpoints; how many answers are slower than some
 /// bound is not known beforehand.
@@ -99,7 +99,7 @@
     let (old_bad, old_all) = (f64::from(old.bad) + before.bad, f64::from(old.all) + before.all);
     let (share_new, share_old) = (share(bad, all), share(old_bad, old_all));
     let least =
-        if slow_from.is_some() { MIN_TIMES_SLOW * share_old } else { share_old + MIN_EXCESS };
+        if slow_from.is_some() { MIN_SLOW_SHARE_RATIO * share_old } else { share_old + MIN_EXCESS };
     if new.bad < MIN_BAD_RESPONSES || share_new < least {
         return None;
     }
