--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -16,7 +16,7 @@
 /// Bad answers below which nothing follows.
 const MIN_BAD_RESPONSES: u32 = 6;
 /// By how much its share of bad answers must be larger, so that a difference that nobody minds is none.
-const MIN_EXCESS: f64 = 0.04;
+const MIN_FAILURE_SHARE_EXCESS: f64 = 0.04;
 /// Answers of the control below which nobody can tell what is slow.
 const MIN_BASELINE_RESPONSES: u32 = 24;
 /// How many times as often its answers must be slow as the control's. A third of the engines may be slower than the others, and
@@ -98,8 +98,11 @@
     let (bad, all) = (f64::from(new.bad), f64::from(new.all));
     let (old_bad, old_all) = (f64::from(old.bad) + before.bad, f64::from(old.all) + before.all);
     let (share_new, share_old) = (share(bad, all), share(old_bad, old_all));
-    let least =
-        if slow_from.is_some() { MIN_SLOW_SHARE_RATIO * share_old } else { share_old + MIN_EXCESS };
+    let least = if slow_from.is_some() {
+        MIN_SLOW_SHARE_RATIO * share_old
+    } else {
+        share_old + MIN_FAILURE_SHARE_EXCESS
+    };
     if new.bad < MIN_BAD_RESPONSES || share_new < least {
         return None;
     }
