--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -25,7 +25,7 @@
 /// Answers that are taken to be known of the control beforehand, and how many of them were bad: without any, a single
 /// failure would be infinitely unlikely. Failures are rare at all endpoints; how many answers are slower than some
 /// bound is not known beforehand.
-const FAILURES_BEFORE: Before = Before { all: 30.0, bad: 0.3 };
+const FAILURE_PRIOR: Before = Before { all: 30.0, bad: 0.3 };
 const SLOW_BEFORE: Before = Before { all: 2.0, bad: 1.0 };
 
 struct Before {
@@ -74,7 +74,7 @@
         return None;
     }
     let failures = |counts: &ResponseCounts| Sample { all: counts.total(), bad: counts.failed() };
-    judge(failures(new), failures(old), FAILURES_BEFORE, None).or_else(|| find_slow(comparison))
+    judge(failures(new), failures(old), FAILURE_PRIOR, None).or_else(|| find_slow(comparison))
 }
 
 /// Without a control in the same moments a version is judged by its failures alone: what slows all machines down after the shift
