--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -26,7 +26,7 @@
 /// failure would be infinitely unlikely. Failures are rare at all endpoints; how many answers are slower than some
 /// bound is not known beforehand.
 const FAILURE_PRIOR: Before = Before { all: 30.0, bad: 0.3 };
-const SLOW_BEFORE: Before = Before { all: 2.0, bad: 1.0 };
+const SLOW_PRIOR: Before = Before { all: 2.0, bad: 1.0 };
 
 struct Before {
     all: f64,
@@ -88,7 +88,7 @@
             bad: counts.failed_or_slow(class),
         };
         let lasting = slow(new).without(comparison.worst_failed_or_slow(class));
-        judge(lasting, slow(old), SLOW_BEFORE, Some(class))
+        judge(lasting, slow(old), SLOW_PRIOR, Some(class))
     })
 }
 
