--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -25,11 +25,11 @@
 /// Answers that are taken to be known of the control beforehand, and how many of them were bad: without any, a single
 /// failure would be infinitely unlikely. Failures are rare at all endpoints; how many answers are slower than some
 /// bound is not known beforehand.
-const FAILURE_PRIOR: Prior = Prior { all: 30.0, bad: 0.3 };
-const SLOW_PRIOR: Prior = Prior { all: 2.0, bad: 1.0 };
+const FAILURE_PRIOR: Prior = Prior { total: 30.0, bad: 0.3 };
+const SLOW_PRIOR: Prior = Prior { total: 2.0, bad: 1.0 };
 
 struct Prior {
-    all: f64,
+    total: f64,
     bad: f64,
 }
 
@@ -96,7 +96,7 @@
 fn judge(new: Sample, old: Sample, before: Prior, slow_from: Option<usize>) -> Option<Finding> {
     let share = |bad: f64, all: f64| bad / all;
     let (bad, all) = (f64::from(new.bad), f64::from(new.all));
-    let (old_bad, old_all) = (f64::from(old.bad) + before.bad, f64::from(old.all) + before.all);
+    let (old_bad, old_all) = (f64::from(old.bad) + before.bad, f64::from(old.all) + before.total);
     let (share_new, share_old) = (share(bad, all), share(old_bad, old_all));
     let least = if slow_from.is_some() {
         MIN_SLOW_SHARE_RATIO * share_old
