--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Sample {
     /// All of them.
-    pub all: u32,
+    pub total: u32,
     /// The bad ones.
     pub bad: u32,
 }
@@ -46,7 +46,7 @@
     /// Leaves out the bad answers of some moments: an endpoint or a machine that stands still spoils all that it has at once, and
     /// these are no independent signs.
     fn without(self, bad: u32) -> Sample {
-        Sample { all: self.all - bad, bad: self.bad - bad }
+        Sample { total: self.total - bad, bad: self.bad - bad }
     }
 }
 
@@ -73,7 +73,7 @@
     if new.total() < MIN_BAD_RESPONSES {
         return None;
     }
-    let failures = |counts: &ResponseCounts| Sample { all: counts.total(), bad: counts.failed() };
+    let failures = |counts: &ResponseCounts| Sample { total: counts.total(), bad: counts.failed() };
     judge(failures(new), failures(old), FAILURE_PRIOR, None).or_else(|| find_slow(comparison))
 }
 
@@ -84,7 +84,7 @@
     let mut bounds = slow_buckets().filter(|_| old.total() >= MIN_BASELINE_RESPONSES);
     bounds.find_map(|class| {
         let slow = |counts: &ResponseCounts| Sample {
-            all: counts.total(),
+            total: counts.total(),
             bad: counts.failed_or_slow(class),
         };
         let lasting = slow(new).without(comparison.worst_failed_or_slow(class));
@@ -95,8 +95,8 @@
 /// Compares the shares of bad answers of both sides.
 fn judge(new: Sample, old: Sample, before: Prior, slow_from: Option<usize>) -> Option<Finding> {
     let share = |bad: f64, all: f64| bad / all;
-    let (bad, all) = (f64::from(new.bad), f64::from(new.all));
-    let (old_bad, old_all) = (f64::from(old.bad) + before.bad, f64::from(old.all) + before.total);
+    let (bad, all) = (f64::from(new.bad), f64::from(new.total));
+    let (old_bad, old_all) = (f64::from(old.bad) + before.bad, f64::from(old.total) + before.total);
     let (share_new, share_old) = (share(bad, all), share(old_bad, old_all));
     let least = if slow_from.is_some() {
         MIN_SLOW_SHARE_RATIO * share_old
