--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -52,7 +52,7 @@
 
 /// Why a version is bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Finding {
+pub struct Regression {
     /// Answers of the version.
     pub new: Sample,
     /// Those of the versions that run.
@@ -64,11 +64,11 @@
 }
 
 /// Looks for a version that answers worse.
-pub fn find(evidence: &ResponseHistory) -> Option<Finding> {
+pub fn find(evidence: &ResponseHistory) -> Option<Regression> {
     evidence.windows().flatten().find_map(|comparison| compare(&comparison))
 }
 
-fn compare(comparison: &Comparison) -> Option<Finding> {
+fn compare(comparison: &Comparison) -> Option<Regression> {
     let GroupCounts { baseline: old, candidate: new } = &comparison.total;
     if new.total() < MIN_BAD_RESPONSES {
         return None;
@@ -79,7 +79,7 @@
 
 /// Without a control in the same moments a version is judged by its failures alone: what slows all machines down after the shift
 /// would look like a slow version.
-fn find_slow(comparison: &Comparison) -> Option<Finding> {
+fn find_slow(comparison: &Comparison) -> Option<Regression> {
     let GroupCounts { baseline: old, candidate: new } = &comparison.controlled;
     let mut bounds = slow_buckets().filter(|_| old.total() >= MIN_BASELINE_RESPONSES);
     bounds.find_map(|class| {
@@ -93,7 +93,7 @@
 }
 
 /// Compares the shares of bad answers of both sides.
-fn judge(new: Sample, old: Sample, before: Prior, slow_from: Option<usize>) -> Option<Finding> {
+fn judge(new: Sample, old: Sample, before: Prior, slow_from: Option<usize>) -> Option<Regression> {
     let share = |bad: f64, all: f64| bad / all;
     let (bad, all) = (f64::from(new.bad), f64::from(new.total));
     let (old_bad, old_all) = (f64::from(old.bad) + before.bad, f64::from(old.total) + before.total);
@@ -111,7 +111,7 @@
     let ratio = likelihood(bad, all, share_new) + likelihood(old_bad, old_all, share_old)
         - likelihood(bad + old_bad, all + old_all, share_both);
     let bound = if slow_from.is_some() { MIN_LOG_RATIO_SLOW } else { MIN_LOG_RATIO_FAILURES };
-    (ratio >= bound).then_some(Finding { new, old, ratio, slow_from })
+    (ratio >= bound).then_some(Regression { new, old, ratio, slow_from })
 }
 
 /// Logarithm of the likelihood of so many bad ones of all at a share.
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -27,7 +27,7 @@
 
 use crate::ids::{EndpointId, ServiceId, VersionId};
 use crate::routes::Endpoint;
-use detector::Finding;
+use detector::Regression;
 use responses::{GroupCounts, ResponseCounterKey, ResponseOutcome, RolloutId, VersionGroup};
 use state::Rollout;
 pub use told::{Phase, Teller, ToldRollout};
@@ -84,7 +84,7 @@
     /// It was ordered.
     Ordered,
     /// The version answers worse.
-    Worse(Finding),
+    Worse(Regression),
     /// The time of the phase before is over.
     Time,
     /// The deadline has come, and there was nothing to move to.
