--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Regression {
     /// Answers of the version.
-    pub new: Sample,
+    pub candidate: Sample,
     /// Those of the versions that run.
     pub old: Sample,
     /// Logarithm of the likelihood ratio.
@@ -111,7 +111,7 @@
     let ratio = likelihood(bad, all, share_new) + likelihood(old_bad, old_all, share_old)
         - likelihood(bad + old_bad, all + old_all, share_both);
     let bound = if slow_from.is_some() { MIN_LOG_RATIO_SLOW } else { MIN_LOG_RATIO_FAILURES };
-    (ratio >= bound).then_some(Regression { new, old, ratio, slow_from })
+    (ratio >= bound).then_some(Regression { candidate: new, old, ratio, slow_from })
 }
 
 /// Logarithm of the likelihood of so many bad ones of all at a share.
