--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -221,7 +221,12 @@
     let why = match why {
         Why::Worse(f) => format!(
             "worse bad={} of={} old_bad={} old_of={} ratio={:.1} slow_from={:?}",
-            f.candidate.bad, f.candidate.total, f.old.bad, f.old.total, f.ratio, f.slow_from
+            f.candidate.bad,
+            f.candidate.total,
+            f.baseline.bad,
+            f.baseline.total,
+            f.ratio,
+            f.slow_from
         ),
         why => format!("{why:?}"),
     };
