--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -58,7 +58,7 @@
     /// Those of the versions that run.
     pub baseline: Sample,
     /// Logarithm of the likelihood ratio.
-    pub ratio: f64,
+    pub log_ratio: f64,
     /// Class of time from which an answer counted as bad; none if failures only did.
     pub slow_from: Option<usize>,
 }
@@ -111,7 +111,12 @@
     let ratio = likelihood(bad, all, share_new) + likelihood(old_bad, old_all, share_old)
         - likelihood(bad + old_bad, all + old_all, share_both);
     let bound = if slow_from.is_some() { MIN_LOG_RATIO_SLOW } else { MIN_LOG_RATIO_FAILURES };
-    (ratio >= bound).then_some(Regression { candidate: new, baseline: old, ratio, slow_from })
+    (ratio >= bound).then_some(Regression {
+        candidate: new,
+        baseline: old,
+        log_ratio: ratio,
+        slow_from,
+    })
 }
 
 /// Logarithm of the likelihood of so many bad ones of all at a share.
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -225,7 +225,7 @@
             f.candidate.total,
             f.baseline.bad,
             f.baseline.total,
-            f.ratio,
+            f.log_ratio,
             f.slow_from
         ),
         why => format!("{why:?}"),
