--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -60,7 +60,7 @@
     /// Logarithm of the likelihood ratio.
     pub log_ratio: f64,
     /// Class of time from which an answer counted as bad; none if failures only did.
-    pub slow_from: Option<usize>,
+    pub slow_bucket: Option<usize>,
 }
 
 /// Looks for a version that answers worse.
@@ -115,7 +115,7 @@
         candidate: new,
         baseline: old,
         log_ratio: ratio,
-        slow_from,
+        slow_bucket: slow_from,
     })
 }
 
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -226,7 +226,7 @@
             f.baseline.bad,
             f.baseline.total,
             f.log_ratio,
-            f.slow_from
+            f.slow_bucket
         ),
         why => format!("{why:?}"),
     };
