--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -64,7 +64,7 @@
 }
 
 /// Looks for a version that answers worse.
-pub fn find(evidence: &ResponseHistory) -> Option<Regression> {
+pub fn find_regression(evidence: &ResponseHistory) -> Option<Regression> {
     evidence.windows().flatten().find_map(|comparison| compare(&comparison))
 }
 
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -176,7 +176,7 @@
         if self.no_others_since.is_some_and(lasting) && self.phase == Phase::Canary {
             return self.enter(now, Phase::Shift, Why::Idle);
         }
-        if let Some(finding) = detector::find(&self.evidence) {
+        if let Some(finding) = detector::find_regression(&self.evidence) {
             return self.enter(now, Phase::RolledBack, Why::Worse(finding));
         }
         self.note_idle(now);
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::rollout::detector::find;
+use oxbowbend_core::rollout::detector::find_regression;
 use oxbowbend_core::rollout::responses::{
     ResponseCounterKey, ResponseHistory, ResponseOutcome, VersionGroup,
 };
@@ -137,7 +137,7 @@
             };
             evidence.add(now, ResponseCounterKey::new(ORDER, &route.to_string(), side, answer), 1);
         }
-        if find(&evidence).is_some() {
+        if find_regression(&evidence).is_some() {
             return Some(now - start);
         }
     }
