--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -74,12 +74,12 @@
         return None;
     }
     let failures = |counts: &ResponseCounts| Sample { total: counts.total(), bad: counts.failed() };
-    judge(failures(new), failures(old), FAILURE_PRIOR, None).or_else(|| find_slow(comparison))
+    judge(failures(new), failures(old), FAILURE_PRIOR, None).or_else(|| find_slowdown(comparison))
 }
 
 /// Without a control in the same moments a version is judged by its failures alone: what slows all machines down after the shift
 /// would look like a slow version.
-fn find_slow(comparison: &Comparison) -> Option<Regression> {
+fn find_slowdown(comparison: &Comparison) -> Option<Regression> {
     let GroupCounts { baseline: old, candidate: new } = &comparison.controlled;
     let mut bounds = slow_buckets().filter(|_| old.total() >= MIN_BASELINE_RESPONSES);
     bounds.find_map(|class| {
