--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -74,7 +74,8 @@
         return None;
     }
     let failures = |counts: &ResponseCounts| Sample { total: counts.total(), bad: counts.failed() };
-    judge(failures(new), failures(old), FAILURE_PRIOR, None).or_else(|| find_slowdown(comparison))
+    compare_bad_shares(failures(new), failures(old), FAILURE_PRIOR, None)
+        .or_else(|| find_slowdown(comparison))
 }
 
 /// Without a control in the same moments a version is judged by its failures alone: what slows all machines down after the shift
@@ -88,12 +89,17 @@
             bad: counts.failed_or_slow(class),
         };
         let lasting = slow(new).without(comparison.worst_failed_or_slow(class));
-        judge(lasting, slow(old), SLOW_PRIOR, Some(class))
+        compare_bad_shares(lasting, slow(old), SLOW_PRIOR, Some(class))
     })
 }
 
 /// Compares the shares of bad answers of both sides.
-fn judge(new: Sample, old: Sample, before: Prior, slow_from: Option<usize>) -> Option<Regression> {
+fn compare_bad_shares(
+    new: Sample,
+    old: Sample,
+    before: Prior,
+    slow_from: Option<usize>,
+) -> Option<Regression> {
     let share = |bad: f64, all: f64| bad / all;
     let (bad, all) = (f64::from(new.bad), f64::from(new.total));
     let (old_bad, old_all) = (f64::from(old.bad) + before.bad, f64::from(old.total) + before.total);
