--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -114,8 +114,8 @@
     }
     // Against both sides having the share of the two together.
     let share_both = share(bad + old_bad, all + old_all);
-    let ratio = likelihood(bad, all, share_new) + likelihood(old_bad, old_all, share_old)
-        - likelihood(bad + old_bad, all + old_all, share_both);
+    let ratio = log_likelihood(bad, all, share_new) + log_likelihood(old_bad, old_all, share_old)
+        - log_likelihood(bad + old_bad, all + old_all, share_both);
     let bound = if slow_from.is_some() { MIN_LOG_RATIO_SLOW } else { MIN_LOG_RATIO_FAILURES };
     (ratio >= bound).then_some(Regression {
         candidate: new,
@@ -126,7 +126,7 @@
 }
 
 /// Logarithm of the likelihood of so many bad ones of all at a share.
-fn likelihood(bad: f64, all: f64, share: f64) -> f64 {
+fn log_likelihood(bad: f64, all: f64, share: f64) -> f64 {
     let term = |n: f64, share: f64| if n > 0.0 { n * share.ln() } else { 0.0 };
     term(bad, share) + term(all - bad, 1.0 - share)
 }
