--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -11,7 +11,7 @@
 
 /// Part of an order's time after which the shift begins at the latest, so that there is evidence of the canary in
 /// any case.
-const CANARY_SHARE: f64 = 0.6;
+const MAX_CANARY_FRACTION: f64 = 0.6;
 /// Time before the deadline at which the status is written although something still runs at the other versions: an order
 /// is known up to 0.7 s after it was given, and the status is written up to 0.5 s after it is due.
 const LAST: Duration = Duration::from_millis(1500);
@@ -164,7 +164,7 @@
     /// When all traffic shifts at the latest.
     pub(super) fn shift_at(&self) -> Instant {
         let duration = self.deadline.saturating_duration_since(self.ordered);
-        let rest = (self.longest + LAST).min(duration.mul_f64(1.0 - CANARY_SHARE));
+        let rest = (self.longest + LAST).min(duration.mul_f64(1.0 - MAX_CANARY_FRACTION));
         self.deadline.checked_sub(rest).unwrap_or(self.ordered)
     }
 
