--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -14,7 +14,7 @@
 const MAX_CANARY_FRACTION: f64 = 0.6;
 /// Time before the deadline at which the status is written although something still runs at the other versions: an order
 /// is known up to 0.7 s after it was given, and the status is written up to 0.5 s after it is due.
-const LAST: Duration = Duration::from_millis(1500);
+const STATUS_WRITE_MARGIN: Duration = Duration::from_millis(1500);
 /// Time for which nobody must have told of anything at the other versions: reports come every 130 ms, and pass
 /// two representatives.
 const IDLE: Duration = Duration::from_millis(1000);
@@ -164,7 +164,8 @@
     /// When all traffic shifts at the latest.
     pub(super) fn shift_at(&self) -> Instant {
         let duration = self.deadline.saturating_duration_since(self.ordered);
-        let rest = (self.longest + LAST).min(duration.mul_f64(1.0 - MAX_CANARY_FRACTION));
+        let rest =
+            (self.longest + STATUS_WRITE_MARGIN).min(duration.mul_f64(1.0 - MAX_CANARY_FRACTION));
         self.deadline.checked_sub(rest).unwrap_or(self.ordered)
     }
 
@@ -202,7 +203,7 @@
             return None;
         }
         let is_idle = self.idle_since.is_some_and(|at| now.saturating_duration_since(at) >= IDLE);
-        let is_last = now + LAST >= self.deadline || self.no_others_since.is_some();
+        let is_last = now + STATUS_WRITE_MARGIN >= self.deadline || self.no_others_since.is_some();
         match self.phase {
             Phase::Canary => Some(Status::Running),
             Phase::Shift if is_idle || is_last => Some(Status::Complete),
