--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -17,7 +17,7 @@
 const STATUS_WRITE_MARGIN: Duration = Duration::from_millis(1500);
 /// Time for which nobody must have told of anything at the other versions: reports come every 130 ms, and pass
 /// two representatives.
-const IDLE: Duration = Duration::from_millis(1000);
+const DRAIN_CONFIRMATION_PERIOD: Duration = Duration::from_millis(1000);
 /// Time for which a service must have had no other version before an order for it is complete by itself.
 const NO_OTHERS: Duration = Duration::from_secs(3);
 
@@ -202,7 +202,9 @@
         if self.sides == Sides::default() {
             return None;
         }
-        let is_idle = self.idle_since.is_some_and(|at| now.saturating_duration_since(at) >= IDLE);
+        let is_idle = self
+            .idle_since
+            .is_some_and(|at| now.saturating_duration_since(at) >= DRAIN_CONFIRMATION_PERIOD);
         let is_last = now + STATUS_WRITE_MARGIN >= self.deadline || self.no_others_since.is_some();
         match self.phase {
             Phase::Canary => Some(Status::Running),
