--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -19,7 +19,7 @@
 /// two representatives.
 const DRAIN_CONFIRMATION_PERIOD: Duration = Duration::from_millis(1000);
 /// Time for which a service must have had no other version before an order for it is complete by itself.
-const NO_OTHERS: Duration = Duration::from_secs(3);
+const SINGLE_VERSION_PERIOD: Duration = Duration::from_secs(3);
 
 /// Number of a service's endpoints by version.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -173,7 +173,8 @@
         if self.phase >= Phase::RolledBack {
             return None;
         }
-        let lasting = |since: Instant| now.saturating_duration_since(since) >= NO_OTHERS;
+        let lasting =
+            |since: Instant| now.saturating_duration_since(since) >= SINGLE_VERSION_PERIOD;
         if self.no_others_since.is_some_and(lasting) && self.phase == Phase::Canary {
             return self.enter(now, Phase::Shift, Why::Idle);
         }
