--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -23,7 +23,7 @@
 
 /// Number of a service's endpoints by version.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Sides {
+pub(super) struct EndpointCounts {
     pub(super) old: usize,
     pub(super) new: usize,
 }
@@ -39,7 +39,7 @@
     pub(super) phase: Phase,
     pub(super) phase_at: Instant,
     pub(super) evidence: ResponseHistory,
-    pub(super) sides: Sides,
+    pub(super) sides: EndpointCounts,
     pub(super) no_others_since: Option<Instant>,
     /// Requests sent by this instance, and those of them to the new version.
     pub(super) sent: u64,
@@ -78,7 +78,7 @@
             phase,
             phase_at: now,
             evidence: ResponseHistory::default(),
-            sides: Sides::default(),
+            sides: EndpointCounts::default(),
             no_others_since: None,
             sent: 0,
             sent_new: 0,
@@ -132,7 +132,7 @@
     }
 
     pub(super) fn set_endpoints(&mut self, now: Instant, endpoints: &[Endpoint]) {
-        let mut sides = Sides::default();
+        let mut sides = EndpointCounts::default();
         for endpoint in endpoints.iter().filter(|e| !e.leaving) {
             match self.side(endpoint) {
                 Some(VersionGroup::Baseline) => sides.old += 1,
@@ -142,7 +142,7 @@
         }
         self.sides = sides;
         self.no_others_since = match sides {
-            Sides { old: 0, new } if new > 0 => self.no_others_since.or(Some(now)),
+            EndpointCounts { old: 0, new } if new > 0 => self.no_others_since.or(Some(now)),
             _ => None,
         };
     }
@@ -200,7 +200,7 @@
 
     /// What the store should say.
     pub(super) fn due(&self, now: Instant) -> Option<Status> {
-        if self.sides == Sides::default() {
+        if self.sides == EndpointCounts::default() {
             return None;
         }
         let is_idle = self
