--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -24,7 +24,7 @@
 /// Number of a service's endpoints by version.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct EndpointCounts {
-    pub(super) old: usize,
+    pub(super) baseline: usize,
     pub(super) new: usize,
 }
 
@@ -135,14 +135,14 @@
         let mut sides = EndpointCounts::default();
         for endpoint in endpoints.iter().filter(|e| !e.leaving) {
             match self.side(endpoint) {
-                Some(VersionGroup::Baseline) => sides.old += 1,
+                Some(VersionGroup::Baseline) => sides.baseline += 1,
                 Some(VersionGroup::Candidate) => sides.new += 1,
                 None => {}
             }
         }
         self.sides = sides;
         self.no_others_since = match sides {
-            EndpointCounts { old: 0, new } if new > 0 => self.no_others_since.or(Some(now)),
+            EndpointCounts { baseline: 0, new } if new > 0 => self.no_others_since.or(Some(now)),
             _ => None,
         };
     }
@@ -152,7 +152,7 @@
         let is_within = (self.sent_new + 1) as f64 <= share * self.sent as f64;
         let side = match self.phase {
             // There is nothing else to send it to.
-            Phase::Canary if has_new && self.sides.old == 0 => VersionGroup::Candidate,
+            Phase::Canary if has_new && self.sides.baseline == 0 => VersionGroup::Candidate,
             Phase::Canary if has_new && is_first && is_within => VersionGroup::Candidate,
             Phase::Shift | Phase::Complete if has_new => VersionGroup::Candidate,
             _ => VersionGroup::Baseline,
@@ -183,7 +183,9 @@
         }
         self.note_idle(now);
         match self.phase {
-            Phase::Canary if self.sides.new == 0 && now >= self.deadline && self.sides.old > 0 => {
+            Phase::Canary
+                if self.sides.new == 0 && now >= self.deadline && self.sides.baseline > 0 =>
+            {
                 self.enter(now, Phase::RolledBack, Why::NoEndpoints)
             }
             Phase::Canary if self.sides.new > 0 && now >= self.shift_at() => {
