--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct EndpointCounts {
     pub(super) baseline: usize,
-    pub(super) new: usize,
+    pub(super) candidate: usize,
 }
 
 #[derive(Debug)]
@@ -136,13 +136,15 @@
         for endpoint in endpoints.iter().filter(|e| !e.leaving) {
             match self.side(endpoint) {
                 Some(VersionGroup::Baseline) => sides.baseline += 1,
-                Some(VersionGroup::Candidate) => sides.new += 1,
+                Some(VersionGroup::Candidate) => sides.candidate += 1,
                 None => {}
             }
         }
         self.sides = sides;
         self.no_others_since = match sides {
-            EndpointCounts { baseline: 0, new } if new > 0 => self.no_others_since.or(Some(now)),
+            EndpointCounts { baseline: 0, candidate: new } if new > 0 => {
+                self.no_others_since.or(Some(now))
+            }
             _ => None,
         };
     }
@@ -184,11 +186,11 @@
         self.note_idle(now);
         match self.phase {
             Phase::Canary
-                if self.sides.new == 0 && now >= self.deadline && self.sides.baseline > 0 =>
+                if self.sides.candidate == 0 && now >= self.deadline && self.sides.baseline > 0 =>
             {
                 self.enter(now, Phase::RolledBack, Why::NoEndpoints)
             }
-            Phase::Canary if self.sides.new > 0 && now >= self.shift_at() => {
+            Phase::Canary if self.sides.candidate > 0 && now >= self.shift_at() => {
                 self.enter(now, Phase::Shift, Why::Time)
             }
             _ => None,
