--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -195,7 +195,7 @@
         destination: &VersionId,
         status: Status,
     ) {
-        let rollout = self.all.get_mut(service).filter(|r| r.order.destination == *destination);
+        let rollout = self.all.get_mut(service).filter(|r| r.spec.destination == *destination);
         let Some(rollout) = rollout else { return };
         rollout.status = Some(status);
         let phase = match status {
@@ -217,7 +217,7 @@
     pub fn due(&self, now: Instant) -> Vec<(Order, Status)> {
         let due = self.all.values().filter_map(|rollout| {
             let status = rollout.due(now)?;
-            (rollout.status != Some(status)).then(|| (rollout.order.clone(), status))
+            (rollout.status != Some(status)).then(|| (rollout.spec.clone(), status))
         });
         due.collect()
     }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -30,7 +30,7 @@
 
 #[derive(Debug)]
 pub(super) struct Rollout {
-    pub(super) order: Order,
+    pub(super) spec: Order,
     pub(super) id: RolloutId,
     pub(super) ordered: Instant,
     pub(super) deadline: Instant,
@@ -71,7 +71,7 @@
     ) -> Rollout {
         Rollout {
             id: order.id(),
-            order,
+            spec: order,
             ordered: now,
             deadline,
             longest,
@@ -91,8 +91,8 @@
 
     pub(super) fn change(&self, now: Instant, why: Why) -> Change {
         Change {
-            service: self.order.service.clone(),
-            destination: self.order.destination.clone(),
+            service: self.spec.service.clone(),
+            destination: self.spec.destination.clone(),
             phase: self.phase,
             why,
             age: now.saturating_duration_since(self.ordered),
@@ -108,15 +108,15 @@
 
     /// On which side an endpoint is, if it belongs to the service.
     pub(super) fn side(&self, endpoint: &Endpoint) -> Option<VersionGroup> {
-        if base(&endpoint.service) != &*self.order.service {
+        if base(&endpoint.service) != &*self.spec.service {
             return None;
         }
-        let is_new = endpoint.version == self.order.destination;
+        let is_new = endpoint.version == self.spec.destination;
         Some(if is_new { VersionGroup::Candidate } else { VersionGroup::Baseline })
     }
 
     pub(super) fn part_name(&self) -> ServiceId {
-        format!("{}{PART}{}", self.order.service, self.order.destination).as_str().into()
+        format!("{}{PART}{}", self.spec.service, self.spec.destination).as_str().into()
     }
 
     pub(super) fn part(&self, endpoint: &Endpoint, is_canary: bool) -> Part {
--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -63,8 +63,8 @@
     /// What to tell an instance of this cell, or those of others.
     pub fn tell(&self, now: Instant, to: Teller) -> Vec<ToldRollout> {
         let tell = |rollout: &Rollout| ToldRollout {
-            service: rollout.order.service.clone(),
-            destination: rollout.order.destination.clone(),
+            service: rollout.spec.service.clone(),
+            destination: rollout.spec.destination.clone(),
             age_ms: millis(now.saturating_duration_since(rollout.ordered)),
             duration_ms: millis(rollout.deadline.saturating_duration_since(rollout.ordered)),
             phase: rollout.phase,
@@ -108,7 +108,7 @@
         longest: Duration,
     ) {
         self.learn(now, told, longest);
-        let is_same = |r: &&mut Rollout| r.order.destination == told.destination;
+        let is_same = |r: &&mut Rollout| r.spec.destination == told.destination;
         if let Some(rollout) = self.all.get_mut(&told.service).filter(is_same) {
             let (running, beyond) = (told.running, told.beyond);
             let others = Others { at: now, teller, running, beyond };
@@ -125,7 +125,7 @@
         let Some(known) = self.all.get_mut(&told.service) else {
             return self.begin_told(now, told, ordered, longest);
         };
-        if known.order.destination != destination {
+        if known.spec.destination != destination {
             // Ages differ by what a report takes.
             if ordered > known.ordered + TOLD_TTL {
                 self.begin_told(now, told, ordered, longest);
