--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -32,7 +32,7 @@
 pub(super) struct Rollout {
     pub(super) spec: Order,
     pub(super) id: RolloutId,
-    pub(super) ordered: Instant,
+    pub(super) started_at: Instant,
     pub(super) deadline: Instant,
     /// Longest time that a request to the service may take.
     pub(super) longest: Duration,
@@ -72,7 +72,7 @@
         Rollout {
             id: order.id(),
             spec: order,
-            ordered: now,
+            started_at: now,
             deadline,
             longest,
             phase,
@@ -95,7 +95,7 @@
             destination: self.spec.destination.clone(),
             phase: self.phase,
             why,
-            age: now.saturating_duration_since(self.ordered),
+            age: now.saturating_duration_since(self.started_at),
             answers: self.evidence.totals(),
         }
     }
@@ -165,10 +165,10 @@
 
     /// When all traffic shifts at the latest.
     pub(super) fn shift_at(&self) -> Instant {
-        let duration = self.deadline.saturating_duration_since(self.ordered);
+        let duration = self.deadline.saturating_duration_since(self.started_at);
         let rest =
             (self.longest + STATUS_WRITE_MARGIN).min(duration.mul_f64(1.0 - MAX_CANARY_FRACTION));
-        self.deadline.checked_sub(rest).unwrap_or(self.ordered)
+        self.deadline.checked_sub(rest).unwrap_or(self.started_at)
     }
 
     pub(super) fn settle(&mut self, now: Instant) -> Option<Change> {
--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -65,8 +65,8 @@
         let tell = |rollout: &Rollout| ToldRollout {
             service: rollout.spec.service.clone(),
             destination: rollout.spec.destination.clone(),
-            age_ms: millis(now.saturating_duration_since(rollout.ordered)),
-            duration_ms: millis(rollout.deadline.saturating_duration_since(rollout.ordered)),
+            age_ms: millis(now.saturating_duration_since(rollout.started_at)),
+            duration_ms: millis(rollout.deadline.saturating_duration_since(rollout.started_at)),
             phase: rollout.phase,
             running: match to {
                 Teller::Near => rollout.at_others_here(),
@@ -127,12 +127,12 @@
         };
         if known.spec.destination != destination {
             // Ages differ by what a report takes.
-            if ordered > known.ordered + TOLD_TTL {
+            if ordered > known.started_at + TOLD_TTL {
                 self.begin_told(now, told, ordered, longest);
             }
             return;
         }
-        known.ordered = known.ordered.min(ordered);
+        known.started_at = known.started_at.min(ordered);
         let duration = Duration::from_millis(told.duration_ms.into());
         known.deadline = known.deadline.min(ordered + duration);
         if told.phase > known.phase {
@@ -152,7 +152,7 @@
         let order = Order { service, destination, duration };
         self.begin(now, order, ordered + duration, longest, told.phase, Why::Told);
         if let Some(rollout) = self.all.get_mut(&told.service) {
-            rollout.ordered = ordered;
+            rollout.started_at = ordered;
         }
     }
 }
