--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -35,7 +35,7 @@
     pub(super) started_at: Instant,
     pub(super) deadline: Instant,
     /// Longest time that a request to the service may take.
-    pub(super) longest: Duration,
+    pub(super) max_request_duration: Duration,
     pub(super) phase: Phase,
     pub(super) phase_at: Instant,
     pub(super) evidence: ResponseHistory,
@@ -74,7 +74,7 @@
             spec: order,
             started_at: now,
             deadline,
-            longest,
+            max_request_duration: longest,
             phase,
             phase_at: now,
             evidence: ResponseHistory::default(),
@@ -166,8 +166,8 @@
     /// When all traffic shifts at the latest.
     pub(super) fn shift_at(&self) -> Instant {
         let duration = self.deadline.saturating_duration_since(self.started_at);
-        let rest =
-            (self.longest + STATUS_WRITE_MARGIN).min(duration.mul_f64(1.0 - MAX_CANARY_FRACTION));
+        let rest = (self.max_request_duration + STATUS_WRITE_MARGIN)
+            .min(duration.mul_f64(1.0 - MAX_CANARY_FRACTION));
         self.deadline.checked_sub(rest).unwrap_or(self.started_at)
     }
 
