--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -328,7 +328,8 @@
         for rollout in self.all.values_mut() {
             self.changes.extend(rollout.settle(now));
         }
-        let is_over = |r: &Rollout| r.phase == Phase::Complete && now >= r.phase_at + RETIRING;
+        let is_over =
+            |r: &Rollout| r.phase == Phase::Complete && now >= r.phase_entered_at + RETIRING;
         for rollout in self.all.values_mut().filter(|r| is_over(r)) {
             self.changes.extend(rollout.enter(now, Phase::Retired, Why::Time));
         }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -37,7 +37,7 @@
     /// Longest time that a request to the service may take.
     pub(super) max_request_duration: Duration,
     pub(super) phase: Phase,
-    pub(super) phase_at: Instant,
+    pub(super) phase_entered_at: Instant,
     pub(super) evidence: ResponseHistory,
     pub(super) sides: EndpointCounts,
     pub(super) no_others_since: Option<Instant>,
@@ -76,7 +76,7 @@
             deadline,
             max_request_duration: longest,
             phase,
-            phase_at: now,
+            phase_entered_at: now,
             evidence: ResponseHistory::default(),
             sides: EndpointCounts::default(),
             no_others_since: None,
@@ -101,7 +101,7 @@
     }
 
     pub(super) fn enter(&mut self, now: Instant, phase: Phase, why: Why) -> Option<Change> {
-        (self.phase, self.phase_at) = (phase, now);
+        (self.phase, self.phase_entered_at) = (phase, now);
         self.idle_since = None;
         Some(self.change(now, why))
     }
