--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -294,14 +294,14 @@
         }
         let Some(answer) = answer.filter(|_| rollout.phase < Phase::RolledBack) else { return };
         let key = ResponseCounterKey::new(rollout.id, route, side, answer);
-        rollout.evidence.add(now, key, 1);
+        rollout.responses.add(now, key, 1);
         *self.own.entry(key).or_default() += 1;
     }
 
     /// Adds answers that another instance told of, or another cell.
     pub fn draw(&mut self, now: Instant, key: ResponseCounterKey, n: u64, is_near: bool) {
         let Some(rollout) = self.all.values_mut().find(|r| r.id == key.rollout) else { return };
-        rollout.evidence.add(now, key, n);
+        rollout.responses.add(now, key, n);
         let counters = if is_near { &mut self.near } else { &mut self.far };
         *counters.entry(key).or_default() += n;
     }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -38,7 +38,7 @@
     pub(super) max_request_duration: Duration,
     pub(super) phase: Phase,
     pub(super) phase_entered_at: Instant,
-    pub(super) evidence: ResponseHistory,
+    pub(super) responses: ResponseHistory,
     pub(super) sides: EndpointCounts,
     pub(super) no_others_since: Option<Instant>,
     /// Requests sent by this instance, and those of them to the new version.
@@ -77,7 +77,7 @@
             max_request_duration: longest,
             phase,
             phase_entered_at: now,
-            evidence: ResponseHistory::default(),
+            responses: ResponseHistory::default(),
             sides: EndpointCounts::default(),
             no_others_since: None,
             sent: 0,
@@ -96,7 +96,7 @@
             phase: self.phase,
             why,
             age: now.saturating_duration_since(self.started_at),
-            answers: self.evidence.totals(),
+            answers: self.responses.totals(),
         }
     }
 
@@ -180,7 +180,7 @@
         if self.no_others_since.is_some_and(lasting) && self.phase == Phase::Canary {
             return self.enter(now, Phase::Shift, Why::Idle);
         }
-        if let Some(finding) = detector::find_regression(&self.evidence) {
+        if let Some(finding) = detector::find_regression(&self.responses) {
             return self.enter(now, Phase::RolledBack, Why::Worse(finding));
         }
         self.note_idle(now);
