--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -245,9 +245,14 @@
                 .filter(|e| rollout.side(e) == Some(VersionGroup::Candidate) && !e.leaving);
             let mut new: Vec<_> = new.map(|e| &e.id).collect();
             new.sort_by_key(|id| xxh3_64(id.as_bytes()));
-            let part =
-                rollout.sides.baseline.max(new.len()) as f64 * self.bounds.share * USED_SHARE;
-            let tried = if rollout.sides.baseline == 0 { new.len() } else { part.ceil() as usize };
+            let part = rollout.endpoint_counts.baseline.max(new.len()) as f64
+                * self.bounds.share
+                * USED_SHARE;
+            let tried = if rollout.endpoint_counts.baseline == 0 {
+                new.len()
+            } else {
+                part.ceil() as usize
+            };
             canaries.extend(new.into_iter().take(tried));
         }
         canaries
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -39,7 +39,7 @@
     pub(super) phase: Phase,
     pub(super) phase_entered_at: Instant,
     pub(super) responses: ResponseHistory,
-    pub(super) sides: EndpointCounts,
+    pub(super) endpoint_counts: EndpointCounts,
     pub(super) no_others_since: Option<Instant>,
     /// Requests sent by this instance, and those of them to the new version.
     pub(super) sent: u64,
@@ -78,7 +78,7 @@
             phase,
             phase_entered_at: now,
             responses: ResponseHistory::default(),
-            sides: EndpointCounts::default(),
+            endpoint_counts: EndpointCounts::default(),
             no_others_since: None,
             sent: 0,
             sent_new: 0,
@@ -140,7 +140,7 @@
                 None => {}
             }
         }
-        self.sides = sides;
+        self.endpoint_counts = sides;
         self.no_others_since = match sides {
             EndpointCounts { baseline: 0, candidate: new } if new > 0 => {
                 self.no_others_since.or(Some(now))
@@ -154,7 +154,9 @@
         let is_within = (self.sent_new + 1) as f64 <= share * self.sent as f64;
         let side = match self.phase {
             // There is nothing else to send it to.
-            Phase::Canary if has_new && self.sides.baseline == 0 => VersionGroup::Candidate,
+            Phase::Canary if has_new && self.endpoint_counts.baseline == 0 => {
+                VersionGroup::Candidate
+            }
             Phase::Canary if has_new && is_first && is_within => VersionGroup::Candidate,
             Phase::Shift | Phase::Complete if has_new => VersionGroup::Candidate,
             _ => VersionGroup::Baseline,
@@ -186,11 +188,13 @@
         self.note_idle(now);
         match self.phase {
             Phase::Canary
-                if self.sides.candidate == 0 && now >= self.deadline && self.sides.baseline > 0 =>
+                if self.endpoint_counts.candidate == 0
+                    && now >= self.deadline
+                    && self.endpoint_counts.baseline > 0 =>
             {
                 self.enter(now, Phase::RolledBack, Why::NoEndpoints)
             }
-            Phase::Canary if self.sides.candidate > 0 && now >= self.shift_at() => {
+            Phase::Canary if self.endpoint_counts.candidate > 0 && now >= self.shift_at() => {
                 self.enter(now, Phase::Shift, Why::Time)
             }
             _ => None,
@@ -204,7 +208,7 @@
 
     /// What the store should say.
     pub(super) fn due(&self, now: Instant) -> Option<Status> {
-        if self.sides == EndpointCounts::default() {
+        if self.endpoint_counts == EndpointCounts::default() {
             return None;
         }
         let is_idle = self
