--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -40,7 +40,7 @@
     pub(super) phase_entered_at: Instant,
     pub(super) responses: ResponseHistory,
     pub(super) endpoint_counts: EndpointCounts,
-    pub(super) no_others_since: Option<Instant>,
+    pub(super) candidate_only_since: Option<Instant>,
     /// Requests sent by this instance, and those of them to the new version.
     pub(super) sent: u64,
     pub(super) sent_new: u64,
@@ -79,7 +79,7 @@
             phase_entered_at: now,
             responses: ResponseHistory::default(),
             endpoint_counts: EndpointCounts::default(),
-            no_others_since: None,
+            candidate_only_since: None,
             sent: 0,
             sent_new: 0,
             running: 0,
@@ -141,9 +141,9 @@
             }
         }
         self.endpoint_counts = sides;
-        self.no_others_since = match sides {
+        self.candidate_only_since = match sides {
             EndpointCounts { baseline: 0, candidate: new } if new > 0 => {
-                self.no_others_since.or(Some(now))
+                self.candidate_only_since.or(Some(now))
             }
             _ => None,
         };
@@ -179,7 +179,7 @@
         }
         let lasting =
             |since: Instant| now.saturating_duration_since(since) >= SINGLE_VERSION_PERIOD;
-        if self.no_others_since.is_some_and(lasting) && self.phase == Phase::Canary {
+        if self.candidate_only_since.is_some_and(lasting) && self.phase == Phase::Canary {
             return self.enter(now, Phase::Shift, Why::Idle);
         }
         if let Some(finding) = detector::find_regression(&self.responses) {
@@ -214,7 +214,8 @@
         let is_idle = self
             .idle_since
             .is_some_and(|at| now.saturating_duration_since(at) >= DRAIN_CONFIRMATION_PERIOD);
-        let is_last = now + STATUS_WRITE_MARGIN >= self.deadline || self.no_others_since.is_some();
+        let is_last =
+            now + STATUS_WRITE_MARGIN >= self.deadline || self.candidate_only_since.is_some();
         match self.phase {
             Phase::Canary => Some(Status::Running),
             Phase::Shift if is_idle || is_last => Some(Status::Complete),
