--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -42,7 +42,7 @@
     pub(super) endpoint_counts: EndpointCounts,
     pub(super) candidate_only_since: Option<Instant>,
     /// Requests sent by this instance, and those of them to the new version.
-    pub(super) sent: u64,
+    pub(super) requests_sent: u64,
     pub(super) sent_new: u64,
     /// Requests of this instance at other versions.
     pub(super) running: u32,
@@ -80,7 +80,7 @@
             responses: ResponseHistory::default(),
             endpoint_counts: EndpointCounts::default(),
             candidate_only_since: None,
-            sent: 0,
+            requests_sent: 0,
             sent_new: 0,
             running: 0,
             others: HashMap::new(),
@@ -150,8 +150,8 @@
     }
 
     pub(super) fn deal(&mut self, share: f64, has_new: bool, is_first: bool) -> VersionGroup {
-        self.sent += 1;
-        let is_within = (self.sent_new + 1) as f64 <= share * self.sent as f64;
+        self.requests_sent += 1;
+        let is_within = (self.sent_new + 1) as f64 <= share * self.requests_sent as f64;
         let side = match self.phase {
             // There is nothing else to send it to.
             Phase::Canary if has_new && self.endpoint_counts.baseline == 0 => {
