--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -43,7 +43,7 @@
     pub(super) candidate_only_since: Option<Instant>,
     /// Requests sent by this instance, and those of them to the new version.
     pub(super) requests_sent: u64,
-    pub(super) sent_new: u64,
+    pub(super) candidate_requests_sent: u64,
     /// Requests of this instance at other versions.
     pub(super) running: u32,
     pub(super) others: HashMap<InstanceId, Others>,
@@ -81,7 +81,7 @@
             endpoint_counts: EndpointCounts::default(),
             candidate_only_since: None,
             requests_sent: 0,
-            sent_new: 0,
+            candidate_requests_sent: 0,
             running: 0,
             others: HashMap::new(),
             idle_since: None,
@@ -151,7 +151,8 @@
 
     pub(super) fn deal(&mut self, share: f64, has_new: bool, is_first: bool) -> VersionGroup {
         self.requests_sent += 1;
-        let is_within = (self.sent_new + 1) as f64 <= share * self.requests_sent as f64;
+        let is_within =
+            (self.candidate_requests_sent + 1) as f64 <= share * self.requests_sent as f64;
         let side = match self.phase {
             // There is nothing else to send it to.
             Phase::Canary if has_new && self.endpoint_counts.baseline == 0 => {
@@ -161,7 +162,7 @@
             Phase::Shift | Phase::Complete if has_new => VersionGroup::Candidate,
             _ => VersionGroup::Baseline,
         };
-        self.sent_new += u64::from(side == VersionGroup::Candidate);
+        self.candidate_requests_sent += u64::from(side == VersionGroup::Candidate);
         side
     }
 
