--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -279,7 +279,7 @@
     pub fn began(&mut self, endpoint: &Endpoint) {
         if let Some(rollout) = self.all.get_mut(base(&endpoint.service)) {
             if rollout.side(endpoint) == Some(VersionGroup::Baseline) {
-                rollout.running += 1;
+                rollout.baseline_in_flight += 1;
             }
         }
     }
@@ -295,7 +295,7 @@
         let Some(rollout) = self.all.get_mut(base(&endpoint.service)) else { return };
         let Some(side) = rollout.side(endpoint) else { return };
         if side == VersionGroup::Baseline {
-            rollout.running = rollout.running.saturating_sub(1);
+            rollout.baseline_in_flight = rollout.baseline_in_flight.saturating_sub(1);
         }
         let Some(answer) = answer.filter(|_| rollout.phase < Phase::RolledBack) else { return };
         let key = ResponseCounterKey::new(rollout.id, route, side, answer);
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -45,7 +45,7 @@
     pub(super) requests_sent: u64,
     pub(super) candidate_requests_sent: u64,
     /// Requests of this instance at other versions.
-    pub(super) running: u32,
+    pub(super) baseline_in_flight: u32,
     pub(super) others: HashMap<InstanceId, Others>,
     pub(super) idle_since: Option<Instant>,
     /// What the store says.
@@ -82,7 +82,7 @@
             candidate_only_since: None,
             requests_sent: 0,
             candidate_requests_sent: 0,
-            running: 0,
+            baseline_in_flight: 0,
             others: HashMap::new(),
             idle_since: None,
             status: None,
--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -160,7 +160,7 @@
 impl Rollout {
     /// Requests of this instance at other versions; one more if it still sends some there.
     fn at_others_here(&self) -> u32 {
-        self.running + u32::from(self.phase < Phase::Shift)
+        self.baseline_in_flight + u32::from(self.phase < Phase::Shift)
     }
 
     /// Those of its cell, as far as is heard.
