--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -46,7 +46,7 @@
     pub(super) candidate_requests_sent: u64,
     /// Requests of this instance at other versions.
     pub(super) baseline_in_flight: u32,
-    pub(super) others: HashMap<InstanceId, Others>,
+    pub(super) peers: HashMap<InstanceId, Others>,
     pub(super) idle_since: Option<Instant>,
     /// What the store says.
     pub(super) status: Option<Status>,
@@ -83,7 +83,7 @@
             requests_sent: 0,
             candidate_requests_sent: 0,
             baseline_in_flight: 0,
-            others: HashMap::new(),
+            peers: HashMap::new(),
             idle_since: None,
             status: None,
         }
--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -112,7 +112,7 @@
         if let Some(rollout) = self.all.get_mut(&told.service).filter(is_same) {
             let (running, beyond) = (told.running, told.beyond);
             let others = Others { at: now, teller, running, beyond };
-            rollout.others.insert(from.clone(), others);
+            rollout.peers.insert(from.clone(), others);
         }
     }
 
@@ -188,7 +188,7 @@
 
     fn live(&self, now: Instant) -> impl Iterator<Item = &Others> {
         let is_live = move |o: &&Others| now.saturating_duration_since(o.at) < TOLD_TTL;
-        self.others.values().filter(is_live)
+        self.peers.values().filter(is_live)
     }
 }
 
