--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -47,7 +47,7 @@
     /// Requests of this instance at other versions.
     pub(super) baseline_in_flight: u32,
     pub(super) peers: HashMap<InstanceId, Others>,
-    pub(super) idle_since: Option<Instant>,
+    pub(super) drained_since: Option<Instant>,
     /// What the store says.
     pub(super) status: Option<Status>,
 }
@@ -84,7 +84,7 @@
             candidate_requests_sent: 0,
             baseline_in_flight: 0,
             peers: HashMap::new(),
-            idle_since: None,
+            drained_since: None,
             status: None,
         }
     }
@@ -102,7 +102,7 @@
 
     pub(super) fn enter(&mut self, now: Instant, phase: Phase, why: Why) -> Option<Change> {
         (self.phase, self.phase_entered_at) = (phase, now);
-        self.idle_since = None;
+        self.drained_since = None;
         Some(self.change(now, why))
     }
 
@@ -204,7 +204,7 @@
 
     pub(super) fn note_idle(&mut self, now: Instant) {
         let is_idle = self.phase == Phase::Shift && self.at_others(now) == 0;
-        self.idle_since = if is_idle { self.idle_since.or(Some(now)) } else { None };
+        self.drained_since = if is_idle { self.drained_since.or(Some(now)) } else { None };
     }
 
     /// What the store should say.
@@ -213,7 +213,7 @@
             return None;
         }
         let is_idle = self
-            .idle_since
+            .drained_since
             .is_some_and(|at| now.saturating_duration_since(at) >= DRAIN_CONFIRMATION_PERIOD);
         let is_last =
             now + STATUS_WRITE_MARGIN >= self.deadline || self.candidate_only_since.is_some();
