--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -197,7 +197,7 @@
     ) {
         let rollout = self.all.get_mut(service).filter(|r| r.spec.destination == *destination);
         let Some(rollout) = rollout else { return };
-        rollout.status = Some(status);
+        rollout.stored_status = Some(status);
         let phase = match status {
             Status::Running => return,
             Status::Complete => Phase::Complete,
@@ -210,14 +210,14 @@
 
     /// Forgets what the store said, since it may not hold it any more.
     pub fn store_restored(&mut self) {
-        self.all.values_mut().for_each(|rollout| rollout.status = None);
+        self.all.values_mut().for_each(|rollout| rollout.stored_status = None);
     }
 
     /// What the store should say and does not, as far as is known.
     pub fn due(&self, now: Instant) -> Vec<(Order, Status)> {
         let due = self.all.values().filter_map(|rollout| {
             let status = rollout.due(now)?;
-            (rollout.status != Some(status)).then(|| (rollout.spec.clone(), status))
+            (rollout.stored_status != Some(status)).then(|| (rollout.spec.clone(), status))
         });
         due.collect()
     }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -49,7 +49,7 @@
     pub(super) peers: HashMap<InstanceId, Others>,
     pub(super) drained_since: Option<Instant>,
     /// What the store says.
-    pub(super) status: Option<Status>,
+    pub(super) stored_status: Option<Status>,
 }
 
 /// What an instance has told of runs at other versions.
@@ -85,7 +85,7 @@
             baseline_in_flight: 0,
             peers: HashMap::new(),
             drained_since: None,
-            status: None,
+            stored_status: None,
         }
     }
 
