--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -46,7 +46,7 @@
     pub(super) candidate_requests_sent: u64,
     /// Requests of this instance at other versions.
     pub(super) baseline_in_flight: u32,
-    pub(super) peers: HashMap<InstanceId, Others>,
+    pub(super) peers: HashMap<InstanceId, PeerInFlight>,
     pub(super) drained_since: Option<Instant>,
     /// What the store says.
     pub(super) stored_status: Option<Status>,
@@ -54,7 +54,7 @@
 
 /// What an instance has told of runs at other versions.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Others {
+pub(super) struct PeerInFlight {
     pub(super) at: Instant,
     pub(super) teller: Teller,
     pub(super) running: u32,
--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::state::{Others, Rollout};
+use super::state::{PeerInFlight, Rollout};
 use super::{Order, Rollouts, Why, TOLD_TTL};
 use crate::ids::{InstanceId, ServiceId, VersionId};
 
@@ -111,7 +111,7 @@
         let is_same = |r: &&mut Rollout| r.spec.destination == told.destination;
         if let Some(rollout) = self.all.get_mut(&told.service).filter(is_same) {
             let (running, beyond) = (told.running, told.beyond);
-            let others = Others { at: now, teller, running, beyond };
+            let others = PeerInFlight { at: now, teller, running, beyond };
             rollout.peers.insert(from.clone(), others);
         }
     }
@@ -186,8 +186,8 @@
         self.at_others_near(now) + self.at_others_far(now)
     }
 
-    fn live(&self, now: Instant) -> impl Iterator<Item = &Others> {
-        let is_live = move |o: &&Others| now.saturating_duration_since(o.at) < TOLD_TTL;
+    fn live(&self, now: Instant) -> impl Iterator<Item = &PeerInFlight> {
+        let is_live = move |o: &&PeerInFlight| now.saturating_duration_since(o.at) < TOLD_TTL;
         self.peers.values().filter(is_live)
     }
 }
