--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -55,7 +55,7 @@
 /// What an instance has told of runs at other versions.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerInFlight {
-    pub(super) at: Instant,
+    pub(super) received_at: Instant,
     pub(super) teller: Teller,
     pub(super) running: u32,
     pub(super) beyond: u32,
--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -111,7 +111,7 @@
         let is_same = |r: &&mut Rollout| r.spec.destination == told.destination;
         if let Some(rollout) = self.all.get_mut(&told.service).filter(is_same) {
             let (running, beyond) = (told.running, told.beyond);
-            let others = PeerInFlight { at: now, teller, running, beyond };
+            let others = PeerInFlight { received_at: now, teller, running, beyond };
             rollout.peers.insert(from.clone(), others);
         }
     }
@@ -187,7 +187,8 @@
     }
 
     fn live(&self, now: Instant) -> impl Iterator<Item = &PeerInFlight> {
-        let is_live = move |o: &&PeerInFlight| now.saturating_duration_since(o.at) < TOLD_TTL;
+        let is_live =
+            move |o: &&PeerInFlight| now.saturating_duration_since(o.received_at) < TOLD_TTL;
         self.peers.values().filter(is_live)
     }
 }
