--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerInFlight {
     pub(super) received_at: Instant,
-    pub(super) teller: Teller,
+    pub(super) location: Teller,
     pub(super) running: u32,
     pub(super) beyond: u32,
 }
