--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -57,7 +57,7 @@
 pub(super) struct PeerInFlight {
     pub(super) received_at: Instant,
     pub(super) location: Teller,
-    pub(super) running: u32,
+    pub(super) baseline_in_flight: u32,
     pub(super) beyond: u32,
 }
 
--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -111,7 +111,12 @@
         let is_same = |r: &&mut Rollout| r.spec.destination == told.destination;
         if let Some(rollout) = self.all.get_mut(&told.service).filter(is_same) {
             let (running, beyond) = (told.running, told.beyond);
-            let others = PeerInFlight { received_at: now, location: teller, running, beyond };
+            let others = PeerInFlight {
+                received_at: now,
+                location: teller,
+                baseline_in_flight: running,
+                beyond,
+            };
             rollout.peers.insert(from.clone(), others);
         }
     }
@@ -166,7 +171,7 @@
     /// Those of its cell, as far as is heard.
     fn at_others_near(&self, now: Instant) -> u32 {
         let near = self.live(now).filter(|o| o.location == Teller::Near);
-        self.at_others_here() + near.map(|o| o.running).sum::<u32>()
+        self.at_others_here() + near.map(|o| o.baseline_in_flight).sum::<u32>()
     }
 
     /// Those of other cells: as their representatives told, or one of this cell did.
@@ -178,7 +183,7 @@
     /// Those that other cells told this instance of. Only these are told on: what two instances of a cell told each
     /// other on would stay for ever.
     fn told_by_far(&self, now: Instant) -> u32 {
-        self.live(now).filter(|o| o.location == Teller::Far).map(|o| o.running).sum()
+        self.live(now).filter(|o| o.location == Teller::Far).map(|o| o.baseline_in_flight).sum()
     }
 
     /// Those of the fleet.
