--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -58,7 +58,7 @@
     pub(super) received_at: Instant,
     pub(super) location: Teller,
     pub(super) baseline_in_flight: u32,
-    pub(super) beyond: u32,
+    pub(super) remote_in_flight: u32,
 }
 
 impl Rollout {
--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -115,7 +115,7 @@
                 received_at: now,
                 location: teller,
                 baseline_in_flight: running,
-                beyond,
+                remote_in_flight: beyond,
             };
             rollout.peers.insert(from.clone(), others);
         }
@@ -176,7 +176,8 @@
 
     /// Those of other cells: as their representatives told, or one of this cell did.
     fn at_others_far(&self, now: Instant) -> u32 {
-        let beyond = self.live(now).filter(|o| o.location == Teller::Near).map(|o| o.beyond);
+        let beyond =
+            self.live(now).filter(|o| o.location == Teller::Near).map(|o| o.remote_in_flight);
         self.told_by_far(now).max(beyond.max().unwrap_or(0))
     }
 
