--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -174,7 +174,7 @@
         for counters in [&mut self.own, &mut self.near, &mut self.far] {
             counters.retain(|key, _| key.rollout == rollout.id);
         }
-        self.changes.push(rollout.change(now, why));
+        self.changes.push(rollout.phase_change(now, why));
         self.all.insert(service, rollout);
     }
 
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    pub(super) fn change(&self, now: Instant, why: Why) -> Change {
+    pub(super) fn phase_change(&self, now: Instant, why: Why) -> Change {
         Change {
             service: self.spec.service.clone(),
             destination: self.spec.destination.clone(),
@@ -103,7 +103,7 @@
     pub(super) fn enter(&mut self, now: Instant, phase: Phase, why: Why) -> Option<Change> {
         (self.phase, self.phase_entered_at) = (phase, now);
         self.drained_since = None;
-        Some(self.change(now, why))
+        Some(self.phase_change(now, why))
     }
 
     /// On which side an endpoint is, if it belongs to the service.
