--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -182,7 +182,7 @@
     pub fn cancelled(&mut self, now: Instant, service: &ServiceId) {
         if let Some(rollout) = self.all.get_mut(service) {
             if rollout.phase < Phase::RolledBack {
-                self.changes.extend(rollout.enter(now, Phase::RolledBack, Why::Cancelled));
+                self.changes.extend(rollout.enter_phase(now, Phase::RolledBack, Why::Cancelled));
             }
         }
     }
@@ -204,7 +204,7 @@
             Status::RolledBack => Phase::RolledBack,
         };
         if rollout.phase != phase {
-            self.changes.extend(rollout.enter(now, phase, Why::Told));
+            self.changes.extend(rollout.enter_phase(now, phase, Why::Told));
         }
     }
 
@@ -336,7 +336,7 @@
         let is_over =
             |r: &Rollout| r.phase == Phase::Complete && now >= r.phase_entered_at + RETIRING;
         for rollout in self.all.values_mut().filter(|r| is_over(r)) {
-            self.changes.extend(rollout.enter(now, Phase::Retired, Why::Time));
+            self.changes.extend(rollout.enter_phase(now, Phase::Retired, Why::Time));
         }
     }
 
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    pub(super) fn enter(&mut self, now: Instant, phase: Phase, why: Why) -> Option<Change> {
+    pub(super) fn enter_phase(&mut self, now: Instant, phase: Phase, why: Why) -> Option<Change> {
         (self.phase, self.phase_entered_at) = (phase, now);
         self.drained_since = None;
         Some(self.phase_change(now, why))
@@ -181,10 +181,10 @@
         let lasting =
             |since: Instant| now.saturating_duration_since(since) >= SINGLE_VERSION_PERIOD;
         if self.candidate_only_since.is_some_and(lasting) && self.phase == Phase::Canary {
-            return self.enter(now, Phase::Shift, Why::Idle);
+            return self.enter_phase(now, Phase::Shift, Why::Idle);
         }
         if let Some(finding) = detector::find_regression(&self.responses) {
-            return self.enter(now, Phase::RolledBack, Why::Worse(finding));
+            return self.enter_phase(now, Phase::RolledBack, Why::Worse(finding));
         }
         self.note_idle(now);
         match self.phase {
@@ -193,10 +193,10 @@
                     && now >= self.deadline
                     && self.endpoint_counts.baseline > 0 =>
             {
-                self.enter(now, Phase::RolledBack, Why::NoEndpoints)
+                self.enter_phase(now, Phase::RolledBack, Why::NoEndpoints)
             }
             Phase::Canary if self.endpoint_counts.candidate > 0 && now >= self.shift_at() => {
-                self.enter(now, Phase::Shift, Why::Time)
+                self.enter_phase(now, Phase::Shift, Why::Time)
             }
             _ => None,
         }
--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -141,7 +141,7 @@
         let duration = Duration::from_millis(told.duration_ms.into());
         known.deadline = known.deadline.min(ordered + duration);
         if told.phase > known.phase {
-            self.changes.extend(known.enter(now, told.phase, Why::Told));
+            self.changes.extend(known.enter_phase(now, told.phase, Why::Told));
         }
     }
 
