--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -242,7 +242,7 @@
         for rollout in self.all.values().filter(|r| r.phase == Phase::Canary) {
             let new = endpoints
                 .iter()
-                .filter(|e| rollout.side(e) == Some(VersionGroup::Candidate) && !e.leaving);
+                .filter(|e| rollout.group(e) == Some(VersionGroup::Candidate) && !e.leaving);
             let mut new: Vec<_> = new.map(|e| &e.id).collect();
             new.sort_by_key(|id| xxh3_64(id.as_bytes()));
             let part = rollout.endpoint_counts.baseline.max(new.len()) as f64
@@ -278,7 +278,7 @@
     /// Notes that a request began to run at an endpoint.
     pub fn began(&mut self, endpoint: &Endpoint) {
         if let Some(rollout) = self.all.get_mut(base(&endpoint.service)) {
-            if rollout.side(endpoint) == Some(VersionGroup::Baseline) {
+            if rollout.group(endpoint) == Some(VersionGroup::Baseline) {
                 rollout.baseline_in_flight += 1;
             }
         }
@@ -293,7 +293,7 @@
         answer: Option<ResponseOutcome>,
     ) {
         let Some(rollout) = self.all.get_mut(base(&endpoint.service)) else { return };
-        let Some(side) = rollout.side(endpoint) else { return };
+        let Some(side) = rollout.group(endpoint) else { return };
         if side == VersionGroup::Baseline {
             rollout.baseline_in_flight = rollout.baseline_in_flight.saturating_sub(1);
         }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -107,7 +107,7 @@
     }
 
     /// On which side an endpoint is, if it belongs to the service.
-    pub(super) fn side(&self, endpoint: &Endpoint) -> Option<VersionGroup> {
+    pub(super) fn group(&self, endpoint: &Endpoint) -> Option<VersionGroup> {
         if base(&endpoint.service) != &*self.spec.service {
             return None;
         }
@@ -120,7 +120,7 @@
     }
 
     pub(super) fn part(&self, endpoint: &Endpoint, is_canary: bool) -> Part {
-        let is_new = self.side(endpoint) == Some(VersionGroup::Candidate);
+        let is_new = self.group(endpoint) == Some(VersionGroup::Candidate);
         match self.phase {
             Phase::Canary if is_new && !is_canary => Part::None,
             Phase::RolledBack if is_new => Part::None,
@@ -134,7 +134,7 @@
     pub(super) fn set_endpoints(&mut self, now: Instant, endpoints: &[Endpoint]) {
         let mut sides = EndpointCounts::default();
         for endpoint in endpoints.iter().filter(|e| !e.leaving) {
-            match self.side(endpoint) {
+            match self.group(endpoint) {
                 Some(VersionGroup::Baseline) => sides.baseline += 1,
                 Some(VersionGroup::Candidate) => sides.candidate += 1,
                 None => {}
