--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -266,13 +266,13 @@
         let Some(rollout) = self.all.get_mut(service) else { return service.clone() };
         match rollout.deal(share, has_new, is_first) {
             VersionGroup::Baseline => service.clone(),
-            VersionGroup::Candidate => rollout.part_name(),
+            VersionGroup::Candidate => rollout.candidate_service(),
         }
     }
 
     /// Name of the part of a service that is moved to, if there is one.
     pub fn part_name(&self, service: &ServiceId) -> Option<ServiceId> {
-        self.all.get(service).map(Rollout::part_name)
+        self.all.get(service).map(Rollout::candidate_service)
     }
 
     /// Notes that a request began to run at an endpoint.
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -115,7 +115,7 @@
         Some(if is_new { VersionGroup::Candidate } else { VersionGroup::Baseline })
     }
 
-    pub(super) fn part_name(&self) -> ServiceId {
+    pub(super) fn candidate_service(&self) -> ServiceId {
         format!("{}{PART}{}", self.spec.service, self.spec.destination).as_str().into()
     }
 
@@ -126,7 +126,7 @@
             Phase::RolledBack if is_new => Part::None,
             Phase::Complete if !is_new => Part::None,
             Phase::Retired => Part::Service,
-            _ if is_new => Part::Version(self.part_name()),
+            _ if is_new => Part::Version(self.candidate_service()),
             _ => Part::Service,
         }
     }
