--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -229,7 +229,7 @@
         }
         let canaries = self.canaries(endpoints);
         let part = |endpoint: &Endpoint| match self.all.get(&endpoint.service) {
-            Some(rollout) => rollout.part(endpoint, canaries.contains(&&endpoint.id)),
+            Some(rollout) => rollout.endpoint_role(endpoint, canaries.contains(&&endpoint.id)),
             None => Part::Service,
         };
         endpoints.iter().map(part).collect()
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -119,7 +119,7 @@
         format!("{}{PART}{}", self.spec.service, self.spec.destination).as_str().into()
     }
 
-    pub(super) fn part(&self, endpoint: &Endpoint, is_canary: bool) -> Part {
+    pub(super) fn endpoint_role(&self, endpoint: &Endpoint, is_canary: bool) -> Part {
         let is_new = self.group(endpoint) == Some(VersionGroup::Candidate);
         match self.phase {
             Phase::Canary if is_new && !is_canary => Part::None,
