--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -264,7 +264,7 @@
     pub fn deal(&mut self, service: &ServiceId, has_new: bool, is_first: bool) -> ServiceId {
         let share = self.bounds.share * USED_SHARE;
         let Some(rollout) = self.all.get_mut(service) else { return service.clone() };
-        match rollout.deal(share, has_new, is_first) {
+        match rollout.assign_request(share, has_new, is_first) {
             VersionGroup::Baseline => service.clone(),
             VersionGroup::Candidate => rollout.candidate_service(),
         }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -149,7 +149,12 @@
         };
     }
 
-    pub(super) fn deal(&mut self, share: f64, has_new: bool, is_first: bool) -> VersionGroup {
+    pub(super) fn assign_request(
+        &mut self,
+        share: f64,
+        has_new: bool,
+        is_first: bool,
+    ) -> VersionGroup {
         self.requests_sent += 1;
         let is_within =
             (self.candidate_requests_sent + 1) as f64 <= share * self.requests_sent as f64;
