--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -172,7 +172,7 @@
     }
 
     /// When all traffic shifts at the latest.
-    pub(super) fn shift_at(&self) -> Instant {
+    pub(super) fn latest_shift_at(&self) -> Instant {
         let duration = self.deadline.saturating_duration_since(self.started_at);
         let rest = (self.max_request_duration + STATUS_WRITE_MARGIN)
             .min(duration.mul_f64(1.0 - MAX_CANARY_FRACTION));
@@ -200,7 +200,9 @@
             {
                 self.enter_phase(now, Phase::RolledBack, Why::NoEndpoints)
             }
-            Phase::Canary if self.endpoint_counts.candidate > 0 && now >= self.shift_at() => {
+            Phase::Canary
+                if self.endpoint_counts.candidate > 0 && now >= self.latest_shift_at() =>
+            {
                 self.enter_phase(now, Phase::Shift, Why::Time)
             }
             _ => None,
