--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -331,7 +331,7 @@
     /// Decides what time and evidence bring.
     pub fn settle(&mut self, now: Instant) {
         for rollout in self.all.values_mut() {
-            self.changes.extend(rollout.settle(now));
+            self.changes.extend(rollout.advance(now));
         }
         let is_over =
             |r: &Rollout| r.phase == Phase::Complete && now >= r.phase_entered_at + RETIRING;
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -179,7 +179,7 @@
         self.deadline.checked_sub(rest).unwrap_or(self.started_at)
     }
 
-    pub(super) fn settle(&mut self, now: Instant) -> Option<Change> {
+    pub(super) fn advance(&mut self, now: Instant) -> Option<Change> {
         if self.phase >= Phase::RolledBack {
             return None;
         }
