--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -191,7 +191,7 @@
         if let Some(finding) = detector::find_regression(&self.responses) {
             return self.enter_phase(now, Phase::RolledBack, Why::Worse(finding));
         }
-        self.note_idle(now);
+        self.update_drained(now);
         match self.phase {
             Phase::Canary
                 if self.endpoint_counts.candidate == 0
@@ -209,7 +209,7 @@
         }
     }
 
-    pub(super) fn note_idle(&mut self, now: Instant) {
+    pub(super) fn update_drained(&mut self, now: Instant) {
         let is_idle = self.phase == Phase::Shift && self.at_others(now) == 0;
         self.drained_since = if is_idle { self.drained_since.or(Some(now)) } else { None };
     }
