--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -216,7 +216,7 @@
     /// What the store should say and does not, as far as is known.
     pub fn due(&self, now: Instant) -> Vec<(Order, Status)> {
         let due = self.all.values().filter_map(|rollout| {
-            let status = rollout.due(now)?;
+            let status = rollout.desired_status(now)?;
             (rollout.stored_status != Some(status)).then(|| (rollout.spec.clone(), status))
         });
         due.collect()
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -215,7 +215,7 @@
     }
 
     /// What the store should say.
-    pub(super) fn due(&self, now: Instant) -> Option<Status> {
+    pub(super) fn desired_status(&self, now: Instant) -> Option<Status> {
         if self.endpoint_counts == EndpointCounts::default() {
             return None;
         }
