--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -9,7 +9,7 @@
 use crate::quarantine::QuarantineUpdate;
 use crate::quota::{Lately, Window};
 use crate::rollout::responses::ResponseCounterKey;
-use crate::rollout::ToldRollout;
+use crate::rollout::RolloutRecord;
 
 /// State of one instance.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
@@ -110,7 +110,7 @@
     pub is_cell_told: bool,
     /// Roll-outs, and how far they are.
     #[serde(rename = "R", default, skip_serializing_if = "Vec::is_empty")]
-    pub rollouts: Vec<ToldRollout>,
+    pub rollouts: Vec<RolloutRecord>,
     /// Answers of versions that are rolled out, in this life.
     #[serde(rename = "V", default, skip_serializing_if = "Vec::is_empty")]
     pub evidence: Vec<(ResponseCounterKey, u64)>,
--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -25,7 +25,7 @@
 
 /// What one report tells of a roll-out. Times left are sent instead of times, since no two clocks agree.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct ToldRollout {
+pub struct RolloutRecord {
     /// The service.
     #[serde(rename = "s")]
     pub service: ServiceId,
@@ -61,8 +61,8 @@
 
 impl Rollouts {
     /// What to tell an instance of this cell, or those of others.
-    pub fn tell(&self, now: Instant, to: Teller) -> Vec<ToldRollout> {
-        let tell = |rollout: &Rollout| ToldRollout {
+    pub fn tell(&self, now: Instant, to: Teller) -> Vec<RolloutRecord> {
+        let tell = |rollout: &Rollout| RolloutRecord {
             service: rollout.spec.service.clone(),
             destination: rollout.spec.destination.clone(),
             age_ms: millis(now.saturating_duration_since(rollout.started_at)),
@@ -86,7 +86,7 @@
         now: Instant,
         from: &InstanceId,
         teller: Teller,
-        told: &[ToldRollout],
+        told: &[RolloutRecord],
         longest: impl Fn(&ServiceId) -> Duration,
     ) {
         for told in told {
@@ -95,7 +95,7 @@
     }
 
     /// Takes in what an instance noted in the store before this one's start.
-    pub fn restore(&mut self, now: Instant, told: &ToldRollout, longest: Duration) {
+    pub fn restore(&mut self, now: Instant, told: &RolloutRecord, longest: Duration) {
         self.learn(now, told, longest);
     }
 
@@ -104,7 +104,7 @@
         now: Instant,
         from: &InstanceId,
         teller: Teller,
-        told: &ToldRollout,
+        told: &RolloutRecord,
         longest: Duration,
     ) {
         self.learn(now, told, longest);
@@ -123,7 +123,7 @@
 
     /// An order that is not known, or that is younger than the one that is, takes its place; of the same one the
     /// later phase holds.
-    fn learn(&mut self, now: Instant, told: &ToldRollout, longest: Duration) {
+    fn learn(&mut self, now: Instant, told: &RolloutRecord, longest: Duration) {
         let age = Duration::from_millis(told.age_ms.into());
         let ordered = now.checked_sub(age).unwrap_or(now);
         let destination = told.destination.clone();
@@ -148,7 +148,7 @@
     fn begin_told(
         &mut self,
         now: Instant,
-        told: &ToldRollout,
+        told: &RolloutRecord,
         ordered: Instant,
         longest: Duration,
     ) {
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -7,7 +7,7 @@
     ResponseCounterKey, ResponseHistory, ResponseOutcome, VersionGroup,
 };
 use oxbowbend_core::rollout::{
-    Order, Part, Phase, RolloutBounds, Rollouts, Status, Teller, ToldRollout, Why,
+    Order, Part, Phase, RolloutBounds, RolloutRecord, Rollouts, Status, Teller, Why,
 };
 use oxbowbend_core::routes::Endpoint;
 use rand::{Rng, SeedableRng};
@@ -409,7 +409,7 @@
     fn check(&mut self, history: &[Event]) {
         assert!(self.finals.len() <= 1, "{history:?}: {:?}", self.finals);
         for instance in &mut self.instances {
-            for ToldRollout { phase, .. } in instance.tell(self.now, Teller::Near) {
+            for RolloutRecord { phase, .. } in instance.tell(self.now, Teller::Near) {
                 let dealt = instance.deal(&"s".into(), true, false);
                 let is_new = dealt != "s".into();
                 let may = matches!(phase, Phase::Shift | Phase::Complete);
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -8,7 +8,7 @@
 use oxbowbend_core::cell::Report;
 use oxbowbend_core::ids::ServiceId;
 use oxbowbend_core::rollout::responses::{GroupCounts, ResponseOutcome};
-use oxbowbend_core::rollout::{Change, Order, Part, Phase, Status, Teller, ToldRollout, Why};
+use oxbowbend_core::rollout::{Change, Order, Part, Phase, RolloutRecord, Status, Teller, Why};
 use oxbowbend_core::routes::{Endpoint, Table};
 
 use crate::observe;
@@ -112,7 +112,7 @@
     }
 
     /// What later lives start from.
-    pub(crate) fn rollout_notes(&self, now: Instant) -> Vec<ToldRollout> {
+    pub(crate) fn rollout_notes(&self, now: Instant) -> Vec<RolloutRecord> {
         match self.rollouts.in_progress() {
             0 => Vec::new(),
             _ => self.rollouts.tell(now, Teller::Near),
--- a/oxbowbend-gateway/src/seam.rs
+++ b/oxbowbend-gateway/src/seam.rs
@@ -12,7 +12,7 @@
 };
 use oxbowbend_core::quarantine::DecisionRecord;
 use oxbowbend_core::quota::Window;
-use oxbowbend_core::rollout::{Order, Status, ToldRollout};
+use oxbowbend_core::rollout::{Order, RolloutRecord, Status};
 use oxbowbend_core::routes::{Endpoint, Table};
 use oxbowbend_core::subscription::Call;
 use thiserror::Error;
@@ -146,7 +146,7 @@
     pub quarantined: Vec<DecisionRecord>,
     /// Roll-outs in progress, if it is on this instance to note them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub rollouts: Vec<ToldRollout>,
+    pub rollouts: Vec<RolloutRecord>,
 }
 
 /// What the store says of a service's roll-out.
