--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -44,7 +44,7 @@
     /// Requests at other versions, of the sender or, told to other cells, of its cell; one more for each instance that
     /// still sends some there.
     #[serde(rename = "r", default)]
-    pub running: u32,
+    pub baseline_in_flight: u32,
     /// Those of other cells, from a representative to its cell.
     #[serde(rename = "b", default)]
     pub beyond: u32,
@@ -68,7 +68,7 @@
             age_ms: millis(now.saturating_duration_since(rollout.started_at)),
             duration_ms: millis(rollout.deadline.saturating_duration_since(rollout.started_at)),
             phase: rollout.phase,
-            running: match to {
+            baseline_in_flight: match to {
                 Teller::Near => rollout.at_others_here(),
                 Teller::Far => rollout.at_others_near(now),
             },
@@ -110,7 +110,7 @@
         self.learn(now, told, longest);
         let is_same = |r: &&mut Rollout| r.spec.destination == told.destination;
         if let Some(rollout) = self.all.get_mut(&told.service).filter(is_same) {
-            let (running, beyond) = (told.running, told.beyond);
+            let (running, beyond) = (told.baseline_in_flight, told.beyond);
             let others = PeerInFlight {
                 received_at: now,
                 location: teller,
