--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -47,7 +47,7 @@
     pub baseline_in_flight: u32,
     /// Those of other cells, from a representative to its cell.
     #[serde(rename = "b", default)]
-    pub beyond: u32,
+    pub remote_in_flight: u32,
 }
 
 /// Who tells of a roll-out.
@@ -72,7 +72,7 @@
                 Teller::Near => rollout.at_others_here(),
                 Teller::Far => rollout.at_others_near(now),
             },
-            beyond: match to {
+            remote_in_flight: match to {
                 Teller::Near => rollout.told_by_far(now),
                 Teller::Far => 0,
             },
@@ -110,7 +110,7 @@
         self.learn(now, told, longest);
         let is_same = |r: &&mut Rollout| r.spec.destination == told.destination;
         if let Some(rollout) = self.all.get_mut(&told.service).filter(is_same) {
-            let (running, beyond) = (told.baseline_in_flight, told.beyond);
+            let (running, beyond) = (told.baseline_in_flight, told.remote_in_flight);
             let others = PeerInFlight {
                 received_at: now,
                 location: teller,
