--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -30,7 +30,7 @@
 use detector::Regression;
 use responses::{GroupCounts, ResponseCounterKey, ResponseOutcome, RolloutId, VersionGroup};
 use state::Rollout;
-pub use told::{Phase, RolloutRecord, Teller};
+pub use told::{PeerLocation, Phase, RolloutRecord};
 
 /// Part of the bound on exposure that is used: what is on its way when a version is found to be bad comes on top.
 const USED_SHARE: f64 = 0.8;
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -5,7 +5,7 @@
 
 use super::detector;
 use super::responses::{ResponseHistory, RolloutId, VersionGroup};
-use super::{base, Change, Order, Part, Phase, Status, Teller, Why, PART};
+use super::{base, Change, Order, Part, PeerLocation, Phase, Status, Why, PART};
 use crate::ids::{InstanceId, ServiceId};
 use crate::routes::Endpoint;
 
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerInFlight {
     pub(super) received_at: Instant,
-    pub(super) location: Teller,
+    pub(super) location: PeerLocation,
     pub(super) baseline_in_flight: u32,
     pub(super) remote_in_flight: u32,
 }
--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -52,7 +52,7 @@
 
 /// Who tells of a roll-out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Teller {
+pub enum PeerLocation {
     /// An instance of this cell.
     Near,
     /// A representative of another cell.
@@ -61,7 +61,7 @@
 
 impl Rollouts {
     /// What to tell an instance of this cell, or those of others.
-    pub fn tell(&self, now: Instant, to: Teller) -> Vec<RolloutRecord> {
+    pub fn tell(&self, now: Instant, to: PeerLocation) -> Vec<RolloutRecord> {
         let tell = |rollout: &Rollout| RolloutRecord {
             service: rollout.spec.service.clone(),
             destination: rollout.spec.destination.clone(),
@@ -69,12 +69,12 @@
             duration_ms: millis(rollout.deadline.saturating_duration_since(rollout.started_at)),
             phase: rollout.phase,
             baseline_in_flight: match to {
-                Teller::Near => rollout.at_others_here(),
-                Teller::Far => rollout.at_others_near(now),
+                PeerLocation::Near => rollout.at_others_here(),
+                PeerLocation::Far => rollout.at_others_near(now),
             },
             remote_in_flight: match to {
-                Teller::Near => rollout.told_by_far(now),
-                Teller::Far => 0,
+                PeerLocation::Near => rollout.told_by_far(now),
+                PeerLocation::Far => 0,
             },
         };
         self.all.values().map(tell).collect()
@@ -85,7 +85,7 @@
         &mut self,
         now: Instant,
         from: &InstanceId,
-        teller: Teller,
+        teller: PeerLocation,
         told: &[RolloutRecord],
         longest: impl Fn(&ServiceId) -> Duration,
     ) {
@@ -103,7 +103,7 @@
         &mut self,
         now: Instant,
         from: &InstanceId,
-        teller: Teller,
+        teller: PeerLocation,
         told: &RolloutRecord,
         longest: Duration,
     ) {
@@ -170,21 +170,24 @@
 
     /// Those of its cell, as far as is heard.
     fn at_others_near(&self, now: Instant) -> u32 {
-        let near = self.live(now).filter(|o| o.location == Teller::Near);
+        let near = self.live(now).filter(|o| o.location == PeerLocation::Near);
         self.at_others_here() + near.map(|o| o.baseline_in_flight).sum::<u32>()
     }
 
     /// Those of other cells: as their representatives told, or one of this cell did.
     fn at_others_far(&self, now: Instant) -> u32 {
         let beyond =
-            self.live(now).filter(|o| o.location == Teller::Near).map(|o| o.remote_in_flight);
+            self.live(now).filter(|o| o.location == PeerLocation::Near).map(|o| o.remote_in_flight);
         self.told_by_far(now).max(beyond.max().unwrap_or(0))
     }
 
     /// Those that other cells told this instance of. Only these are told on: what two instances of a cell told each
     /// other on would stay for ever.
     fn told_by_far(&self, now: Instant) -> u32 {
-        self.live(now).filter(|o| o.location == Teller::Far).map(|o| o.baseline_in_flight).sum()
+        self.live(now)
+            .filter(|o| o.location == PeerLocation::Far)
+            .map(|o| o.baseline_in_flight)
+            .sum()
     }
 
     /// Those of the fleet.
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -23,7 +23,7 @@
 use oxbowbend_clock as clock;
 use oxbowbend_core::cell::{FleetView, Report};
 use oxbowbend_core::ids::InstanceId;
-use oxbowbend_core::rollout::Teller;
+use oxbowbend_core::rollout::PeerLocation;
 use oxbowbend_http::h1;
 
 use crate::audience::{changed, known, Audience, Reach, ToldAll};
@@ -157,7 +157,7 @@
             });
         }
         if reach != Reach::Cell {
-            report.rollouts = state.rollouts.tell(now, Teller::Near);
+            report.rollouts = state.rollouts.tell(now, PeerLocation::Near);
         }
         if reach != Reach::Cell && state.cell.has_newcomer(now) {
             report.windows = state.admission.quotas.windows(now);
@@ -214,7 +214,7 @@
             cell_spent,
             cell_lately: told.lately(now, || quotas.cell_lately(now)),
             cell_evidence,
-            rollouts: state.rollouts.tell(now, Teller::Far),
+            rollouts: state.rollouts.tell(now, PeerLocation::Far),
             quarantine: near.quarantine.clone(),
             said: state.cell.tell_others_of_endpoints(now),
             peers,
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -8,7 +8,9 @@
 use oxbowbend_core::cell::Report;
 use oxbowbend_core::ids::ServiceId;
 use oxbowbend_core::rollout::responses::{GroupCounts, ResponseOutcome};
-use oxbowbend_core::rollout::{Change, Order, Part, Phase, RolloutRecord, Status, Teller, Why};
+use oxbowbend_core::rollout::{
+    Change, Order, Part, PeerLocation, Phase, RolloutRecord, Status, Why,
+};
 use oxbowbend_core::routes::{Endpoint, Table};
 
 use crate::observe;
@@ -55,7 +57,7 @@
         if report.rollouts.is_empty() {
             return;
         }
-        let teller = if is_near { Teller::Near } else { Teller::Far };
+        let teller = if is_near { PeerLocation::Near } else { PeerLocation::Far };
         let table = self.world.table().cloned();
         let longest = |service: &ServiceId| longest(table.as_deref(), service);
         self.rollouts.hear(now, &report.instance, teller, &report.rollouts, longest);
@@ -115,7 +117,7 @@
     pub(crate) fn rollout_notes(&self, now: Instant) -> Vec<RolloutRecord> {
         match self.rollouts.in_progress() {
             0 => Vec::new(),
-            _ => self.rollouts.tell(now, Teller::Near),
+            _ => self.rollouts.tell(now, PeerLocation::Near),
         }
     }
 
