--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PeerLocation {
     /// An instance of this cell.
-    Near,
+    SameCell,
     /// A representative of another cell.
     Far,
 }
@@ -69,11 +69,11 @@
             duration_ms: millis(rollout.deadline.saturating_duration_since(rollout.started_at)),
             phase: rollout.phase,
             baseline_in_flight: match to {
-                PeerLocation::Near => rollout.at_others_here(),
+                PeerLocation::SameCell => rollout.at_others_here(),
                 PeerLocation::Far => rollout.at_others_near(now),
             },
             remote_in_flight: match to {
-                PeerLocation::Near => rollout.told_by_far(now),
+                PeerLocation::SameCell => rollout.told_by_far(now),
                 PeerLocation::Far => 0,
             },
         };
@@ -170,14 +170,16 @@
 
     /// Those of its cell, as far as is heard.
     fn at_others_near(&self, now: Instant) -> u32 {
-        let near = self.live(now).filter(|o| o.location == PeerLocation::Near);
+        let near = self.live(now).filter(|o| o.location == PeerLocation::SameCell);
         self.at_others_here() + near.map(|o| o.baseline_in_flight).sum::<u32>()
     }
 
     /// Those of other cells: as their representatives told, or one of this cell did.
     fn at_others_far(&self, now: Instant) -> u32 {
-        let beyond =
-            self.live(now).filter(|o| o.location == PeerLocation::Near).map(|o| o.remote_in_flight);
+        let beyond = self
+            .live(now)
+            .filter(|o| o.location == PeerLocation::SameCell)
+            .map(|o| o.remote_in_flight);
         self.told_by_far(now).max(beyond.max().unwrap_or(0))
     }
 
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -157,7 +157,7 @@
             });
         }
         if reach != Reach::Cell {
-            report.rollouts = state.rollouts.tell(now, PeerLocation::Near);
+            report.rollouts = state.rollouts.tell(now, PeerLocation::SameCell);
         }
         if reach != Reach::Cell && state.cell.has_newcomer(now) {
             report.windows = state.admission.quotas.windows(now);
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -57,7 +57,7 @@
         if report.rollouts.is_empty() {
             return;
         }
-        let teller = if is_near { PeerLocation::Near } else { PeerLocation::Far };
+        let teller = if is_near { PeerLocation::SameCell } else { PeerLocation::Far };
         let table = self.world.table().cloned();
         let longest = |service: &ServiceId| longest(table.as_deref(), service);
         self.rollouts.hear(now, &report.instance, teller, &report.rollouts, longest);
@@ -117,7 +117,7 @@
     pub(crate) fn rollout_notes(&self, now: Instant) -> Vec<RolloutRecord> {
         match self.rollouts.in_progress() {
             0 => Vec::new(),
-            _ => self.rollouts.tell(now, PeerLocation::Near),
+            _ => self.rollouts.tell(now, PeerLocation::SameCell),
         }
     }
 
