--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -56,7 +56,7 @@
     /// An instance of this cell.
     SameCell,
     /// A representative of another cell.
-    Far,
+    OtherCell,
 }
 
 impl Rollouts {
@@ -70,11 +70,11 @@
             phase: rollout.phase,
             baseline_in_flight: match to {
                 PeerLocation::SameCell => rollout.at_others_here(),
-                PeerLocation::Far => rollout.at_others_near(now),
+                PeerLocation::OtherCell => rollout.at_others_near(now),
             },
             remote_in_flight: match to {
                 PeerLocation::SameCell => rollout.told_by_far(now),
-                PeerLocation::Far => 0,
+                PeerLocation::OtherCell => 0,
             },
         };
         self.all.values().map(tell).collect()
@@ -187,7 +187,7 @@
     /// other on would stay for ever.
     fn told_by_far(&self, now: Instant) -> u32 {
         self.live(now)
-            .filter(|o| o.location == PeerLocation::Far)
+            .filter(|o| o.location == PeerLocation::OtherCell)
             .map(|o| o.baseline_in_flight)
             .sum()
     }
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -214,7 +214,7 @@
             cell_spent,
             cell_lately: told.lately(now, || quotas.cell_lately(now)),
             cell_evidence,
-            rollouts: state.rollouts.tell(now, PeerLocation::Far),
+            rollouts: state.rollouts.tell(now, PeerLocation::OtherCell),
             quarantine: near.quarantine.clone(),
             said: state.cell.tell_others_of_endpoints(now),
             peers,
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -57,7 +57,7 @@
         if report.rollouts.is_empty() {
             return;
         }
-        let teller = if is_near { PeerLocation::SameCell } else { PeerLocation::Far };
+        let teller = if is_near { PeerLocation::SameCell } else { PeerLocation::OtherCell };
         let table = self.world.table().cloned();
         let longest = |service: &ServiceId| longest(table.as_deref(), service);
         self.rollouts.hear(now, &report.instance, teller, &report.rollouts, longest);
