--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -61,7 +61,7 @@
 
 impl Rollouts {
     /// What to tell an instance of this cell, or those of others.
-    pub fn tell(&self, now: Instant, to: PeerLocation) -> Vec<RolloutRecord> {
+    pub fn make_records(&self, now: Instant, to: PeerLocation) -> Vec<RolloutRecord> {
         let tell = |rollout: &Rollout| RolloutRecord {
             service: rollout.spec.service.clone(),
             destination: rollout.spec.destination.clone(),
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -53,7 +53,7 @@
 }
 
 fn phase(rollouts: &mut Rollouts, now: Instant) -> Phase {
-    rollouts.tell(now, PeerLocation::SameCell)[0].phase
+    rollouts.make_records(now, PeerLocation::SameCell)[0].phase
 }
 
 /// How a version answers.
@@ -371,7 +371,7 @@
                 self.instances[n].settle(now);
             }
             Event::Tell(from, to) => {
-                let told = self.instances[from].tell(now, PeerLocation::SameCell);
+                let told = self.instances[from].make_records(now, PeerLocation::SameCell);
                 let name = format!("i{from}").as_str().into();
                 self.instances[to].hear(now, &name, PeerLocation::SameCell, &told, |_| LONGEST);
                 self.instances[to].set_endpoints(now, &endpoints());
@@ -409,7 +409,9 @@
     fn check(&mut self, history: &[Event]) {
         assert!(self.finals.len() <= 1, "{history:?}: {:?}", self.finals);
         for instance in &mut self.instances {
-            for RolloutRecord { phase, .. } in instance.tell(self.now, PeerLocation::SameCell) {
+            for RolloutRecord { phase, .. } in
+                instance.make_records(self.now, PeerLocation::SameCell)
+            {
                 let dealt = instance.deal(&"s".into(), true, false);
                 let is_new = dealt != "s".into();
                 let may = matches!(phase, Phase::Shift | Phase::Complete);
@@ -451,7 +453,7 @@
     for first in all {
         for second in all {
             let mut rollouts = ordered(now);
-            let mut told = rollouts.tell(now, PeerLocation::SameCell);
+            let mut told = rollouts.make_records(now, PeerLocation::SameCell);
             for phase in [first, second] {
                 told[0].phase = phase;
                 rollouts.hear(now, &"i".into(), PeerLocation::SameCell, &told, |_| LONGEST);
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -157,7 +157,7 @@
             });
         }
         if reach != Reach::Cell {
-            report.rollouts = state.rollouts.tell(now, PeerLocation::SameCell);
+            report.rollouts = state.rollouts.make_records(now, PeerLocation::SameCell);
         }
         if reach != Reach::Cell && state.cell.has_newcomer(now) {
             report.windows = state.admission.quotas.windows(now);
@@ -214,7 +214,7 @@
             cell_spent,
             cell_lately: told.lately(now, || quotas.cell_lately(now)),
             cell_evidence,
-            rollouts: state.rollouts.tell(now, PeerLocation::OtherCell),
+            rollouts: state.rollouts.make_records(now, PeerLocation::OtherCell),
             quarantine: near.quarantine.clone(),
             said: state.cell.tell_others_of_endpoints(now),
             peers,
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -117,7 +117,7 @@
     pub(crate) fn rollout_notes(&self, now: Instant) -> Vec<RolloutRecord> {
         match self.rollouts.in_progress() {
             0 => Vec::new(),
-            _ => self.rollouts.tell(now, PeerLocation::SameCell),
+            _ => self.rollouts.make_records(now, PeerLocation::SameCell),
         }
     }
 
