--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -81,7 +81,7 @@
     }
 
     /// Takes in what another instance tells. `longest` is the longest time that a request to a service may take.
-    pub fn hear(
+    pub fn apply_records(
         &mut self,
         now: Instant,
         from: &InstanceId,
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -373,7 +373,8 @@
             Event::Tell(from, to) => {
                 let told = self.instances[from].make_records(now, PeerLocation::SameCell);
                 let name = format!("i{from}").as_str().into();
-                self.instances[to].hear(now, &name, PeerLocation::SameCell, &told, |_| LONGEST);
+                self.instances[to]
+                    .apply_records(now, &name, PeerLocation::SameCell, &told, |_| LONGEST);
                 self.instances[to].set_endpoints(now, &endpoints());
             }
             Event::Time => {
@@ -456,7 +457,8 @@
             let mut told = rollouts.make_records(now, PeerLocation::SameCell);
             for phase in [first, second] {
                 told[0].phase = phase;
-                rollouts.hear(now, &"i".into(), PeerLocation::SameCell, &told, |_| LONGEST);
+                rollouts
+                    .apply_records(now, &"i".into(), PeerLocation::SameCell, &told, |_| LONGEST);
             }
             assert_eq!(phase(&mut rollouts, now), first.max(second));
         }
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -60,7 +60,7 @@
         let teller = if is_near { PeerLocation::SameCell } else { PeerLocation::OtherCell };
         let table = self.world.table().cloned();
         let longest = |service: &ServiceId| longest(table.as_deref(), service);
-        self.rollouts.hear(now, &report.instance, teller, &report.rollouts, longest);
+        self.rollouts.apply_records(now, &report.instance, teller, &report.rollouts, longest);
         self.follow_rollouts(now);
     }
 
