--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -90,7 +90,7 @@
         longest: impl Fn(&ServiceId) -> Duration,
     ) {
         for told in told {
-            self.hear_one(now, from, teller, told, longest(&told.service));
+            self.apply_record_from(now, from, teller, told, longest(&told.service));
         }
     }
 
@@ -99,7 +99,7 @@
         self.learn(now, told, longest);
     }
 
-    fn hear_one(
+    fn apply_record_from(
         &mut self,
         now: Instant,
         from: &InstanceId,
