--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -96,7 +96,7 @@
 
     /// Takes in what an instance noted in the store before this one's start.
     pub fn restore(&mut self, now: Instant, told: &RolloutRecord, longest: Duration) {
-        self.learn(now, told, longest);
+        self.merge_record(now, told, longest);
     }
 
     fn apply_record_from(
@@ -107,7 +107,7 @@
         told: &RolloutRecord,
         longest: Duration,
     ) {
-        self.learn(now, told, longest);
+        self.merge_record(now, told, longest);
         let is_same = |r: &&mut Rollout| r.spec.destination == told.destination;
         if let Some(rollout) = self.all.get_mut(&told.service).filter(is_same) {
             let (running, beyond) = (told.baseline_in_flight, told.remote_in_flight);
@@ -123,7 +123,7 @@
 
     /// An order that is not known, or that is younger than the one that is, takes its place; of the same one the
     /// later phase holds.
-    fn learn(&mut self, now: Instant, told: &RolloutRecord, longest: Duration) {
+    fn merge_record(&mut self, now: Instant, told: &RolloutRecord, longest: Duration) {
         let age = Duration::from_millis(told.age_ms.into());
         let ordered = now.checked_sub(age).unwrap_or(now);
         let destination = told.destination.clone();
