--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -128,12 +128,12 @@
         let ordered = now.checked_sub(age).unwrap_or(now);
         let destination = told.destination.clone();
         let Some(known) = self.all.get_mut(&told.service) else {
-            return self.begin_told(now, told, ordered, longest);
+            return self.start_from_record(now, told, ordered, longest);
         };
         if known.spec.destination != destination {
             // Ages differ by what a report takes.
             if ordered > known.started_at + TOLD_TTL {
-                self.begin_told(now, told, ordered, longest);
+                self.start_from_record(now, told, ordered, longest);
             }
             return;
         }
@@ -145,7 +145,7 @@
         }
     }
 
-    fn begin_told(
+    fn start_from_record(
         &mut self,
         now: Instant,
         told: &RolloutRecord,
