--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -69,7 +69,7 @@
             duration_ms: millis(rollout.deadline.saturating_duration_since(rollout.started_at)),
             phase: rollout.phase,
             baseline_in_flight: match to {
-                PeerLocation::SameCell => rollout.at_others_here(),
+                PeerLocation::SameCell => rollout.local_baseline_in_flight(),
                 PeerLocation::OtherCell => rollout.at_others_near(now),
             },
             remote_in_flight: match to {
@@ -164,14 +164,14 @@
 
 impl Rollout {
     /// Requests of this instance at other versions; one more if it still sends some there.
-    fn at_others_here(&self) -> u32 {
+    fn local_baseline_in_flight(&self) -> u32 {
         self.baseline_in_flight + u32::from(self.phase < Phase::Shift)
     }
 
     /// Those of its cell, as far as is heard.
     fn at_others_near(&self, now: Instant) -> u32 {
         let near = self.live(now).filter(|o| o.location == PeerLocation::SameCell);
-        self.at_others_here() + near.map(|o| o.baseline_in_flight).sum::<u32>()
+        self.local_baseline_in_flight() + near.map(|o| o.baseline_in_flight).sum::<u32>()
     }
 
     /// Those of other cells: as their representatives told, or one of this cell did.
