--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -70,7 +70,7 @@
             phase: rollout.phase,
             baseline_in_flight: match to {
                 PeerLocation::SameCell => rollout.local_baseline_in_flight(),
-                PeerLocation::OtherCell => rollout.at_others_near(now),
+                PeerLocation::OtherCell => rollout.cell_baseline_in_flight(now),
             },
             remote_in_flight: match to {
                 PeerLocation::SameCell => rollout.told_by_far(now),
@@ -169,7 +169,7 @@
     }
 
     /// Those of its cell, as far as is heard.
-    fn at_others_near(&self, now: Instant) -> u32 {
+    fn cell_baseline_in_flight(&self, now: Instant) -> u32 {
         let near = self.live(now).filter(|o| o.location == PeerLocation::SameCell);
         self.local_baseline_in_flight() + near.map(|o| o.baseline_in_flight).sum::<u32>()
     }
@@ -194,7 +194,7 @@
 
     /// Those of the fleet.
     pub(super) fn at_others(&self, now: Instant) -> u32 {
-        self.at_others_near(now) + self.at_others_far(now)
+        self.cell_baseline_in_flight(now) + self.at_others_far(now)
     }
 
     fn live(&self, now: Instant) -> impl Iterator<Item = &PeerInFlight> {
