--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -175,7 +175,7 @@
     }
 
     /// Those of other cells: as their representatives told, or one of this cell did.
-    fn at_others_far(&self, now: Instant) -> u32 {
+    fn remote_baseline_in_flight(&self, now: Instant) -> u32 {
         let beyond = self
             .live(now)
             .filter(|o| o.location == PeerLocation::SameCell)
@@ -194,7 +194,7 @@
 
     /// Those of the fleet.
     pub(super) fn at_others(&self, now: Instant) -> u32 {
-        self.cell_baseline_in_flight(now) + self.at_others_far(now)
+        self.cell_baseline_in_flight(now) + self.remote_baseline_in_flight(now)
     }
 
     fn live(&self, now: Instant) -> impl Iterator<Item = &PeerInFlight> {
