--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -73,7 +73,7 @@
                 PeerLocation::OtherCell => rollout.cell_baseline_in_flight(now),
             },
             remote_in_flight: match to {
-                PeerLocation::SameCell => rollout.told_by_far(now),
+                PeerLocation::SameCell => rollout.reported_by_other_cells(now),
                 PeerLocation::OtherCell => 0,
             },
         };
@@ -180,12 +180,12 @@
             .live(now)
             .filter(|o| o.location == PeerLocation::SameCell)
             .map(|o| o.remote_in_flight);
-        self.told_by_far(now).max(beyond.max().unwrap_or(0))
+        self.reported_by_other_cells(now).max(beyond.max().unwrap_or(0))
     }
 
     /// Those that other cells told this instance of. Only these are told on: what two instances of a cell told each
     /// other on would stay for ever.
-    fn told_by_far(&self, now: Instant) -> u32 {
+    fn reported_by_other_cells(&self, now: Instant) -> u32 {
         self.live(now)
             .filter(|o| o.location == PeerLocation::OtherCell)
             .map(|o| o.baseline_in_flight)
