--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -210,7 +210,7 @@
     }
 
     pub(super) fn update_drained(&mut self, now: Instant) {
-        let is_idle = self.phase == Phase::Shift && self.at_others(now) == 0;
+        let is_idle = self.phase == Phase::Shift && self.fleet_baseline_in_flight(now) == 0;
         self.drained_since = if is_idle { self.drained_since.or(Some(now)) } else { None };
     }
 
--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -193,7 +193,7 @@
     }
 
     /// Those of the fleet.
-    pub(super) fn at_others(&self, now: Instant) -> u32 {
+    pub(super) fn fleet_baseline_in_flight(&self, now: Instant) -> u32 {
         self.cell_baseline_in_flight(now) + self.remote_baseline_in_flight(now)
     }
 
