--- a/oxbowbend-core/src/rollout/told.rs
+++ b/oxbowbend-core/src/rollout/told.rs
@@ -170,14 +170,14 @@
 
     /// Those of its cell, as far as is heard.
     fn cell_baseline_in_flight(&self, now: Instant) -> u32 {
-        let near = self.live(now).filter(|o| o.location == PeerLocation::SameCell);
+        let near = self.live_peers(now).filter(|o| o.location == PeerLocation::SameCell);
         self.local_baseline_in_flight() + near.map(|o| o.baseline_in_flight).sum::<u32>()
     }
 
     /// Those of other cells: as their representatives told, or one of this cell did.
     fn remote_baseline_in_flight(&self, now: Instant) -> u32 {
         let beyond = self
-            .live(now)
+            .live_peers(now)
             .filter(|o| o.location == PeerLocation::SameCell)
             .map(|o| o.remote_in_flight);
         self.reported_by_other_cells(now).max(beyond.max().unwrap_or(0))
@@ -186,7 +186,7 @@
     /// Those that other cells told this instance of. Only these are told on: what two instances of a cell told each
     /// other on would stay for ever.
     fn reported_by_other_cells(&self, now: Instant) -> u32 {
-        self.live(now)
+        self.live_peers(now)
             .filter(|o| o.location == PeerLocation::OtherCell)
             .map(|o| o.baseline_in_flight)
             .sum()
@@ -197,7 +197,7 @@
         self.cell_baseline_in_flight(now) + self.remote_baseline_in_flight(now)
     }
 
-    fn live(&self, now: Instant) -> impl Iterator<Item = &PeerInFlight> {
+    fn live_peers(&self, now: Instant) -> impl Iterator<Item = &PeerInFlight> {
         let is_live =
             move |o: &&PeerInFlight| now.saturating_duration_since(o.received_at) < TOLD_TTL;
         self.peers.values().filter(is_live)
