--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -16,9 +16,9 @@
 //! evidence from before an instance was first heard is lost.
 
 pub mod detector;
+mod records;
 pub mod responses;
 mod state;
-mod told;
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -28,9 +28,9 @@
 use crate::ids::{EndpointId, ServiceId, VersionId};
 use crate::routes::Endpoint;
 use detector::Regression;
+pub use records::{PeerLocation, Phase, RolloutRecord};
 use responses::{GroupCounts, ResponseCounterKey, ResponseOutcome, RolloutId, VersionGroup};
 use state::Rollout;
-pub use told::{PeerLocation, Phase, RolloutRecord};
 
 /// Part of the bound on exposure that is used: what is on its way when a version is found to be bad comes on top.
 const USED_SHARE: f64 = 0.8;
