--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -33,7 +33,7 @@
 use state::Rollout;
 
 /// Part of the bound on exposure that is used: what is on its way when a version is found to be bad comes on top.
-const USED_SHARE: f64 = 0.8;
+const TARGET_EXPOSURE_FRACTION: f64 = 0.8;
 /// Time after a complete roll-out for which the other versions are left alone: their entries go after three
 /// heartbeats of 1.2 s.
 const RETIRING: Duration = Duration::from_secs(10);
@@ -247,7 +247,7 @@
             new.sort_by_key(|id| xxh3_64(id.as_bytes()));
             let part = rollout.endpoint_counts.baseline.max(new.len()) as f64
                 * self.bounds.share
-                * USED_SHARE;
+                * TARGET_EXPOSURE_FRACTION;
             let tried = if rollout.endpoint_counts.baseline == 0 {
                 new.len()
             } else {
@@ -262,7 +262,7 @@
     /// endpoints of the new version, `is_first` if the request was sent nowhere before: one that has failed is not
     /// tried out again.
     pub fn deal(&mut self, service: &ServiceId, has_new: bool, is_first: bool) -> ServiceId {
-        let share = self.bounds.share * USED_SHARE;
+        let share = self.bounds.share * TARGET_EXPOSURE_FRACTION;
         let Some(rollout) = self.all.get_mut(service) else { return service.clone() };
         match rollout.assign_request(share, has_new, is_first) {
             VersionGroup::Baseline => service.clone(),
