--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -36,7 +36,7 @@
 const TARGET_EXPOSURE_FRACTION: f64 = 0.8;
 /// Time after a complete roll-out for which the other versions are left alone: their entries go after three
 /// heartbeats of 1.2 s.
-const RETIRING: Duration = Duration::from_secs(10);
+const RETIRE_DELAY: Duration = Duration::from_secs(10);
 /// Age up to which what an instance tells of its runs counts.
 const TOLD_TTL: Duration = Duration::from_millis(1500);
 /// Separates a service's name from the version in the name of the part that is moved to.
@@ -334,7 +334,7 @@
             self.changes.extend(rollout.advance(now));
         }
         let is_over =
-            |r: &Rollout| r.phase == Phase::Complete && now >= r.phase_entered_at + RETIRING;
+            |r: &Rollout| r.phase == Phase::Complete && now >= r.phase_entered_at + RETIRE_DELAY;
         for rollout in self.all.values_mut().filter(|r| is_over(r)) {
             self.changes.extend(rollout.enter_phase(now, Phase::Retired, Why::Time));
         }
