--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -38,7 +38,7 @@
 /// heartbeats of 1.2 s.
 const RETIRE_DELAY: Duration = Duration::from_secs(10);
 /// Age up to which what an instance tells of its runs counts.
-const TOLD_TTL: Duration = Duration::from_millis(1500);
+const PEER_RECORD_TTL: Duration = Duration::from_millis(1500);
 /// Separates a service's name from the version in the name of the part that is moved to.
 const PART: char = '\u{1f}';
 
--- a/oxbowbend-core/src/rollout/records.rs
+++ b/oxbowbend-core/src/rollout/records.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::state::{PeerInFlight, Rollout};
-use super::{Order, Rollouts, Why, TOLD_TTL};
+use super::{Order, Rollouts, Why, PEER_RECORD_TTL};
 use crate::ids::{InstanceId, ServiceId, VersionId};
 
 /// Phase of a roll-out. Later ones take the place of earlier ones.
@@ -132,7 +132,7 @@
         };
         if known.spec.destination != destination {
             // Ages differ by what a report takes.
-            if ordered > known.started_at + TOLD_TTL {
+            if ordered > known.started_at + PEER_RECORD_TTL {
                 self.start_from_record(now, told, ordered, longest);
             }
             return;
@@ -199,7 +199,7 @@
 
     fn live_peers(&self, now: Instant) -> impl Iterator<Item = &PeerInFlight> {
         let is_live =
-            move |o: &&PeerInFlight| now.saturating_duration_since(o.received_at) < TOLD_TTL;
+            move |o: &&PeerInFlight| now.saturating_duration_since(o.received_at) < PEER_RECORD_TTL;
         self.peers.values().filter(is_live)
     }
 }
