--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -40,7 +40,7 @@
 /// Age up to which what an instance tells of its runs counts.
 const PEER_RECORD_TTL: Duration = Duration::from_millis(1500);
 /// Separates a service's name from the version in the name of the part that is moved to.
-const PART: char = '\u{1f}';
+const VERSION_SEPARATOR: char = '\u{1f}';
 
 /// Bounds of the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -63,7 +63,8 @@
 impl Order {
     /// Its number. The same asked for again is the same order, and what was decided on it stands.
     pub fn id(&self) -> RolloutId {
-        xxh3_64(format!("{}{PART}{}", self.service, self.destination).as_bytes()) as RolloutId
+        xxh3_64(format!("{}{VERSION_SEPARATOR}{}", self.service, self.destination).as_bytes())
+            as RolloutId
     }
 }
 
@@ -353,5 +354,5 @@
 
 /// A service's name without that of a part.
 fn base(service: &ServiceId) -> &str {
-    service.split(PART).next().unwrap_or(service)
+    service.split(VERSION_SEPARATOR).next().unwrap_or(service)
 }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -5,7 +5,7 @@
 
 use super::detector;
 use super::responses::{ResponseHistory, RolloutId, VersionGroup};
-use super::{base, Change, Order, Part, PeerLocation, Phase, Status, Why, PART};
+use super::{base, Change, Order, Part, PeerLocation, Phase, Status, Why, VERSION_SEPARATOR};
 use crate::ids::{InstanceId, ServiceId};
 use crate::routes::Endpoint;
 
@@ -116,7 +116,7 @@
     }
 
     pub(super) fn candidate_service(&self) -> ServiceId {
-        format!("{}{PART}{}", self.spec.service, self.spec.destination).as_str().into()
+        format!("{}{VERSION_SEPARATOR}{}", self.spec.service, self.spec.destination).as_str().into()
     }
 
     pub(super) fn endpoint_role(&self, endpoint: &Endpoint, is_canary: bool) -> Part {
