--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -44,7 +44,7 @@
 
 /// Bounds of the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RolloutBounds {
+pub struct RolloutLimits {
     /// Largest share of a service's requests that a version may get that turns out to be bad.
     pub share: f64,
 }
@@ -129,7 +129,7 @@
 /// All roll-outs as one instance sees them.
 #[derive(Debug)]
 pub struct Rollouts {
-    bounds: RolloutBounds,
+    bounds: RolloutLimits,
     all: BTreeMap<ServiceId, Rollout>,
     /// Answers that this instance saw, those that its cell told of, and those of other cells.
     own: BTreeMap<ResponseCounterKey, u64>,
@@ -140,7 +140,7 @@
 
 impl Rollouts {
     /// None yet.
-    pub fn new(bounds: RolloutBounds) -> Rollouts {
+    pub fn new(bounds: RolloutLimits) -> Rollouts {
         Rollouts {
             bounds,
             all: BTreeMap::new(),
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -7,7 +7,7 @@
     ResponseCounterKey, ResponseHistory, ResponseOutcome, VersionGroup,
 };
 use oxbowbend_core::rollout::{
-    Order, Part, PeerLocation, Phase, RolloutBounds, RolloutRecord, Rollouts, Status, Why,
+    Order, Part, PeerLocation, Phase, RolloutLimits, RolloutRecord, Rollouts, Status, Why,
 };
 use oxbowbend_core::routes::Endpoint;
 use rand::{Rng, SeedableRng};
@@ -15,7 +15,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 const S: Duration = Duration::from_secs(1);
-const BOUNDS: RolloutBounds = RolloutBounds { share: 0.1 };
+const BOUNDS: RolloutLimits = RolloutLimits { share: 0.1 };
 const DURATION: Duration = Duration::from_secs(20);
 const LONGEST: Duration = Duration::from_secs(4);
 /// The order of the simulated evidence.
--- a/oxbowbend-gateway/src/gateway.rs
+++ b/oxbowbend-gateway/src/gateway.rs
@@ -15,7 +15,7 @@
 use oxbowbend_core::ids::{InstanceId, ZoneId};
 use oxbowbend_core::quota::QuotaBounds;
 use oxbowbend_core::repeats::{Allowance, Repeats};
-use oxbowbend_core::rollout::{RolloutBounds, Rollouts};
+use oxbowbend_core::rollout::{RolloutLimits, Rollouts};
 use oxbowbend_http::h1;
 use thiserror::Error;
 
@@ -71,7 +71,7 @@
     /// Bound on repeats over all instances.
     pub repeats: Allowance,
     /// Bounds of roll-outs over all instances.
-    pub rollouts: RolloutBounds,
+    pub rollouts: RolloutLimits,
     /// Bounds of quotas over all instances.
     pub quotas: QuotaBounds,
     /// Instances of a cell at most.
