--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutLimits {
     /// Largest share of a service's requests that a version may get that turns out to be bad.
-    pub share: f64,
+    pub max_candidate_share: f64,
 }
 
 /// What an operator orders.
@@ -247,7 +247,7 @@
             let mut new: Vec<_> = new.map(|e| &e.id).collect();
             new.sort_by_key(|id| xxh3_64(id.as_bytes()));
             let part = rollout.endpoint_counts.baseline.max(new.len()) as f64
-                * self.bounds.share
+                * self.bounds.max_candidate_share
                 * TARGET_EXPOSURE_FRACTION;
             let tried = if rollout.endpoint_counts.baseline == 0 {
                 new.len()
@@ -263,7 +263,7 @@
     /// endpoints of the new version, `is_first` if the request was sent nowhere before: one that has failed is not
     /// tried out again.
     pub fn deal(&mut self, service: &ServiceId, has_new: bool, is_first: bool) -> ServiceId {
-        let share = self.bounds.share * TARGET_EXPOSURE_FRACTION;
+        let share = self.bounds.max_candidate_share * TARGET_EXPOSURE_FRACTION;
         let Some(rollout) = self.all.get_mut(service) else { return service.clone() };
         match rollout.assign_request(share, has_new, is_first) {
             VersionGroup::Baseline => service.clone(),
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -15,7 +15,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 const S: Duration = Duration::from_secs(1);
-const BOUNDS: RolloutLimits = RolloutLimits { share: 0.1 };
+const BOUNDS: RolloutLimits = RolloutLimits { max_candidate_share: 0.1 };
 const DURATION: Duration = Duration::from_secs(20);
 const LONGEST: Duration = Duration::from_secs(4);
 /// The order of the simulated evidence.
@@ -204,7 +204,7 @@
     let mut new = 0;
     for n in 1..=5000_u32 {
         new += u32::from(rollouts.deal(&"s".into(), true, true) != "s".into());
-        assert!(f64::from(new) <= f64::from(n) * BOUNDS.share, "{new} of {n}");
+        assert!(f64::from(new) <= f64::from(n) * BOUNDS.max_candidate_share, "{new} of {n}");
     }
     assert!(new > 350, "{new}");
     // What has failed once is not tried out, nor is anything without an endpoint for it.
