--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -51,7 +51,7 @@
 
 /// What an operator orders.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Order {
+pub struct RolloutSpec {
     /// The service.
     pub service: ServiceId,
     /// The version to move to.
@@ -60,7 +60,7 @@
     pub duration: Duration,
 }
 
-impl Order {
+impl RolloutSpec {
     /// Its number. The same asked for again is the same order, and what was decided on it stands.
     pub fn id(&self) -> RolloutId {
         xxh3_64(format!("{}{VERSION_SEPARATOR}{}", self.service, self.destination).as_bytes())
@@ -153,7 +153,7 @@
 
     /// Takes in an order. `longest` is the longest time that a request to the service may take. The same order
     /// again changes nothing; one for another version takes the place of the one before.
-    pub fn ordered(&mut self, now: Instant, order: Order, longest: Duration) {
+    pub fn ordered(&mut self, now: Instant, order: RolloutSpec, longest: Duration) {
         if self.all.get(&order.service).is_some_and(|r| r.id == order.id()) {
             return;
         }
@@ -164,7 +164,7 @@
     fn begin(
         &mut self,
         now: Instant,
-        order: Order,
+        order: RolloutSpec,
         deadline: Instant,
         longest: Duration,
         phase: Phase,
@@ -215,7 +215,7 @@
     }
 
     /// What the store should say and does not, as far as is known.
-    pub fn due(&self, now: Instant) -> Vec<(Order, Status)> {
+    pub fn due(&self, now: Instant) -> Vec<(RolloutSpec, Status)> {
         let due = self.all.values().filter_map(|rollout| {
             let status = rollout.desired_status(now)?;
             (rollout.stored_status != Some(status)).then(|| (rollout.spec.clone(), status))
--- a/oxbowbend-core/src/rollout/records.rs
+++ b/oxbowbend-core/src/rollout/records.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::state::{PeerInFlight, Rollout};
-use super::{Order, Rollouts, Why, PEER_RECORD_TTL};
+use super::{RolloutSpec, Rollouts, Why, PEER_RECORD_TTL};
 use crate::ids::{InstanceId, ServiceId, VersionId};
 
 /// Phase of a roll-out. Later ones take the place of earlier ones.
@@ -154,7 +154,7 @@
     ) {
         let duration = Duration::from_millis(told.duration_ms.into());
         let (service, destination) = (told.service.clone(), told.destination.clone());
-        let order = Order { service, destination, duration };
+        let order = RolloutSpec { service, destination, duration };
         self.begin(now, order, ordered + duration, longest, told.phase, Why::Told);
         if let Some(rollout) = self.all.get_mut(&told.service) {
             rollout.started_at = ordered;
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -5,7 +5,7 @@
 
 use super::detector;
 use super::responses::{ResponseHistory, RolloutId, VersionGroup};
-use super::{base, Change, Order, Part, PeerLocation, Phase, Status, Why, VERSION_SEPARATOR};
+use super::{base, Change, Part, PeerLocation, Phase, RolloutSpec, Status, Why, VERSION_SEPARATOR};
 use crate::ids::{InstanceId, ServiceId};
 use crate::routes::Endpoint;
 
@@ -30,7 +30,7 @@
 
 #[derive(Debug)]
 pub(super) struct Rollout {
-    pub(super) spec: Order,
+    pub(super) spec: RolloutSpec,
     pub(super) id: RolloutId,
     pub(super) started_at: Instant,
     pub(super) deadline: Instant,
@@ -64,7 +64,7 @@
 impl Rollout {
     pub(super) fn new(
         now: Instant,
-        order: Order,
+        order: RolloutSpec,
         deadline: Instant,
         longest: Duration,
         phase: Phase,
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -7,7 +7,7 @@
     ResponseCounterKey, ResponseHistory, ResponseOutcome, VersionGroup,
 };
 use oxbowbend_core::rollout::{
-    Order, Part, PeerLocation, Phase, RolloutLimits, RolloutRecord, Rollouts, Status, Why,
+    Part, PeerLocation, Phase, RolloutLimits, RolloutRecord, RolloutSpec, Rollouts, Status, Why,
 };
 use oxbowbend_core::routes::Endpoint;
 use rand::{Rng, SeedableRng};
@@ -21,8 +21,8 @@
 /// The order of the simulated evidence.
 const ORDER: u32 = 1;
 
-fn order(destination: &str) -> Order {
-    Order { service: "s".into(), destination: destination.into(), duration: DURATION }
+fn order(destination: &str) -> RolloutSpec {
+    RolloutSpec { service: "s".into(), destination: destination.into(), duration: DURATION }
 }
 
 fn endpoint(id: &str, version: &str) -> Endpoint {
@@ -272,7 +272,7 @@
     rollouts.settle(now);
     let changes = rollouts.take_changes();
     assert!(matches!(changes.last().map(|c| c.why), Some(Why::Worse(_))), "{changes:?}");
-    for again in [order("2"), Order { duration: S, ..order("2") }] {
+    for again in [order("2"), RolloutSpec { duration: S, ..order("2") }] {
         rollouts.ordered(now, again, LONGEST);
         assert_eq!(rollouts.deal(&"s".into(), true, true), "s".into());
         assert_eq!(rollouts.due(now)[0].1, Status::RolledBack);
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -9,7 +9,7 @@
 use oxbowbend_core::ids::ServiceId;
 use oxbowbend_core::rollout::responses::{GroupCounts, ResponseOutcome};
 use oxbowbend_core::rollout::{
-    Change, Order, Part, PeerLocation, Phase, RolloutRecord, Status, Why,
+    Change, Part, PeerLocation, Phase, RolloutRecord, RolloutSpec, Status, Why,
 };
 use oxbowbend_core::routes::{Endpoint, Table};
 
@@ -155,7 +155,7 @@
         self.lock().rollouts.ended(clock::now(), endpoint, route, answer);
     }
 
-    fn due_statuses(&self) -> Vec<(Order, Status)> {
+    fn due_statuses(&self) -> Vec<(RolloutSpec, Status)> {
         let now = clock::now();
         let state = self.lock();
         let due = state.rollouts.due(now);
@@ -188,7 +188,7 @@
 async fn tell_operator<S: Store>(
     store: &S,
     shared: &Shared,
-    order: &Order,
+    order: &RolloutSpec,
     status: Status,
 ) -> Result<(), StoreError> {
     let noted = store.rollout_status(&order.service).await?;
--- a/oxbowbend-gateway/src/seam.rs
+++ b/oxbowbend-gateway/src/seam.rs
@@ -12,7 +12,7 @@
 };
 use oxbowbend_core::quarantine::DecisionRecord;
 use oxbowbend_core::quota::Window;
-use oxbowbend_core::rollout::{Order, RolloutRecord, Status};
+use oxbowbend_core::rollout::{RolloutRecord, RolloutSpec, Status};
 use oxbowbend_core::routes::{Endpoint, Table};
 use oxbowbend_core::subscription::Call;
 use thiserror::Error;
@@ -174,7 +174,7 @@
     /// An instance's entry has gone.
     InstanceGone(InstanceId),
     /// A roll-out that the operator orders.
-    Rollout(Order),
+    Rollout(RolloutSpec),
     /// Its order has gone.
     RolloutGone(ServiceId),
     /// What the operator was told of a roll-out.
@@ -313,7 +313,7 @@
     /// was.
     fn note_rollout(
         &self,
-        order: &Order,
+        order: &RolloutSpec,
         status: Status,
         before: Revision,
     ) -> impl Future<Output = Result<(), StoreError>> + Send;
--- a/oxbowbend-gateway/src/world/mod.rs
+++ b/oxbowbend-gateway/src/world/mod.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use oxbowbend_core::ids::{EndpointId, InstanceId, ServiceId, ZoneId};
-use oxbowbend_core::rollout::Order;
+use oxbowbend_core::rollout::RolloutSpec;
 use oxbowbend_core::routes::{Endpoint, Table};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
@@ -57,7 +57,7 @@
     endpoints: Endpoints,
     instances: BTreeMap<InstanceId, Entry>,
     /// Orders of roll-outs.
-    rollouts: BTreeMap<ServiceId, Order>,
+    rollouts: BTreeMap<ServiceId, RolloutSpec>,
     returned: Option<Instant>,
     /// Since when the store has not answered.
     away: Option<Instant>,
@@ -337,7 +337,7 @@
         self.endpoints.expire(now)
     }
 
-    fn order(&mut self, order: Order) -> Option<News> {
+    fn order(&mut self, order: RolloutSpec) -> Option<News> {
         let old = self.rollouts.insert(order.service.clone(), order.clone());
         (old.as_ref() != Some(&order)).then_some(News::Rollout(order))
     }
--- a/oxbowbend-gateway/src/world/news.rs
+++ b/oxbowbend-gateway/src/world/news.rs
@@ -1,7 +1,7 @@
 //! What is newly known of the store, and its lines in the log.
 
 use oxbowbend_core::ids::{EndpointId, ServiceId, VersionId};
-use oxbowbend_core::rollout::{Order, Status};
+use oxbowbend_core::rollout::{RolloutSpec, Status};
 use oxbowbend_core::routes::Endpoint;
 
 use crate::seam::{Position, Revision, UnreadableEntry};
@@ -26,7 +26,7 @@
     /// An entry cannot be read.
     Unreadable(UnreadableEntry),
     /// A roll-out is ordered.
-    Rollout(Order),
+    Rollout(RolloutSpec),
     /// The order of a service's roll-out was taken back.
     RolloutCancelled(ServiceId),
     /// What the store says of a roll-out.
@@ -95,7 +95,7 @@
                     before.revision
                 );
             }
-            News::Rollout(Order { service, destination, duration }) => {
+            News::Rollout(RolloutSpec { service, destination, duration }) => {
                 log::info!(
                     "event=rollout_ordered service={service} destination={destination} \
                      duration_ms={} revision={revision} source={source}",
