--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -81,7 +81,7 @@
 
 /// Why a roll-out is in another phase.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Why {
+pub enum PhaseReason {
     /// It was ordered.
     Ordered,
     /// The version answers worse.
@@ -108,7 +108,7 @@
     /// The phase.
     pub phase: Phase,
     /// Why.
-    pub why: Why,
+    pub why: PhaseReason,
     /// Since the order.
     pub age: Duration,
     /// What is known of both versions' answers.
@@ -158,7 +158,7 @@
             return;
         }
         let deadline = now + order.duration;
-        self.begin(now, order, deadline, longest, Phase::Canary, Why::Ordered);
+        self.begin(now, order, deadline, longest, Phase::Canary, PhaseReason::Ordered);
     }
 
     fn begin(
@@ -168,7 +168,7 @@
         deadline: Instant,
         longest: Duration,
         phase: Phase,
-        why: Why,
+        why: PhaseReason,
     ) {
         let service = order.service.clone();
         let rollout = Rollout::new(now, order, deadline, longest, phase);
@@ -183,7 +183,11 @@
     pub fn cancelled(&mut self, now: Instant, service: &ServiceId) {
         if let Some(rollout) = self.all.get_mut(service) {
             if rollout.phase < Phase::RolledBack {
-                self.changes.extend(rollout.enter_phase(now, Phase::RolledBack, Why::Cancelled));
+                self.changes.extend(rollout.enter_phase(
+                    now,
+                    Phase::RolledBack,
+                    PhaseReason::Cancelled,
+                ));
             }
         }
     }
@@ -205,7 +209,7 @@
             Status::RolledBack => Phase::RolledBack,
         };
         if rollout.phase != phase {
-            self.changes.extend(rollout.enter_phase(now, phase, Why::Told));
+            self.changes.extend(rollout.enter_phase(now, phase, PhaseReason::Told));
         }
     }
 
@@ -337,7 +341,7 @@
         let is_over =
             |r: &Rollout| r.phase == Phase::Complete && now >= r.phase_entered_at + RETIRE_DELAY;
         for rollout in self.all.values_mut().filter(|r| is_over(r)) {
-            self.changes.extend(rollout.enter_phase(now, Phase::Retired, Why::Time));
+            self.changes.extend(rollout.enter_phase(now, Phase::Retired, PhaseReason::Time));
         }
     }
 
--- a/oxbowbend-core/src/rollout/records.rs
+++ b/oxbowbend-core/src/rollout/records.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::state::{PeerInFlight, Rollout};
-use super::{RolloutSpec, Rollouts, Why, PEER_RECORD_TTL};
+use super::{PhaseReason, RolloutSpec, Rollouts, PEER_RECORD_TTL};
 use crate::ids::{InstanceId, ServiceId, VersionId};
 
 /// Phase of a roll-out. Later ones take the place of earlier ones.
@@ -141,7 +141,7 @@
         let duration = Duration::from_millis(told.duration_ms.into());
         known.deadline = known.deadline.min(ordered + duration);
         if told.phase > known.phase {
-            self.changes.extend(known.enter_phase(now, told.phase, Why::Told));
+            self.changes.extend(known.enter_phase(now, told.phase, PhaseReason::Told));
         }
     }
 
@@ -155,7 +155,7 @@
         let duration = Duration::from_millis(told.duration_ms.into());
         let (service, destination) = (told.service.clone(), told.destination.clone());
         let order = RolloutSpec { service, destination, duration };
-        self.begin(now, order, ordered + duration, longest, told.phase, Why::Told);
+        self.begin(now, order, ordered + duration, longest, told.phase, PhaseReason::Told);
         if let Some(rollout) = self.all.get_mut(&told.service) {
             rollout.started_at = ordered;
         }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -5,7 +5,9 @@
 
 use super::detector;
 use super::responses::{ResponseHistory, RolloutId, VersionGroup};
-use super::{base, Change, Part, PeerLocation, Phase, RolloutSpec, Status, Why, VERSION_SEPARATOR};
+use super::{
+    base, Change, Part, PeerLocation, Phase, PhaseReason, RolloutSpec, Status, VERSION_SEPARATOR,
+};
 use crate::ids::{InstanceId, ServiceId};
 use crate::routes::Endpoint;
 
@@ -89,7 +91,7 @@
         }
     }
 
-    pub(super) fn phase_change(&self, now: Instant, why: Why) -> Change {
+    pub(super) fn phase_change(&self, now: Instant, why: PhaseReason) -> Change {
         Change {
             service: self.spec.service.clone(),
             destination: self.spec.destination.clone(),
@@ -100,7 +102,12 @@
         }
     }
 
-    pub(super) fn enter_phase(&mut self, now: Instant, phase: Phase, why: Why) -> Option<Change> {
+    pub(super) fn enter_phase(
+        &mut self,
+        now: Instant,
+        phase: Phase,
+        why: PhaseReason,
+    ) -> Option<Change> {
         (self.phase, self.phase_entered_at) = (phase, now);
         self.drained_since = None;
         Some(self.phase_change(now, why))
@@ -186,10 +193,10 @@
         let lasting =
             |since: Instant| now.saturating_duration_since(since) >= SINGLE_VERSION_PERIOD;
         if self.candidate_only_since.is_some_and(lasting) && self.phase == Phase::Canary {
-            return self.enter_phase(now, Phase::Shift, Why::Idle);
+            return self.enter_phase(now, Phase::Shift, PhaseReason::Idle);
         }
         if let Some(finding) = detector::find_regression(&self.responses) {
-            return self.enter_phase(now, Phase::RolledBack, Why::Worse(finding));
+            return self.enter_phase(now, Phase::RolledBack, PhaseReason::Worse(finding));
         }
         self.update_drained(now);
         match self.phase {
@@ -198,12 +205,12 @@
                     && now >= self.deadline
                     && self.endpoint_counts.baseline > 0 =>
             {
-                self.enter_phase(now, Phase::RolledBack, Why::NoEndpoints)
+                self.enter_phase(now, Phase::RolledBack, PhaseReason::NoEndpoints)
             }
             Phase::Canary
                 if self.endpoint_counts.candidate > 0 && now >= self.latest_shift_at() =>
             {
-                self.enter_phase(now, Phase::Shift, Why::Time)
+                self.enter_phase(now, Phase::Shift, PhaseReason::Time)
             }
             _ => None,
         }
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -9,7 +9,7 @@
 use oxbowbend_core::ids::ServiceId;
 use oxbowbend_core::rollout::responses::{GroupCounts, ResponseOutcome};
 use oxbowbend_core::rollout::{
-    Change, Part, PeerLocation, Phase, RolloutRecord, RolloutSpec, Status, Why,
+    Change, Part, PeerLocation, Phase, PhaseReason, RolloutRecord, RolloutSpec, Status,
 };
 use oxbowbend_core::routes::{Endpoint, Table};
 
@@ -221,7 +221,7 @@
     let Change { service, destination, phase, why, age, answers } = change;
     let GroupCounts { baseline: old, candidate: new } = answers;
     let why = match why {
-        Why::Worse(f) => format!(
+        PhaseReason::Worse(f) => format!(
             "worse bad={} of={} old_bad={} old_of={} ratio={:.1} slow_from={:?}",
             f.candidate.bad,
             f.candidate.total,
