--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -100,7 +100,7 @@
 
 /// A roll-out is in another phase, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct PhaseChange {
     /// The service.
     pub service: ServiceId,
     /// The version.
@@ -135,7 +135,7 @@
     own: BTreeMap<ResponseCounterKey, u64>,
     near: BTreeMap<ResponseCounterKey, u64>,
     far: BTreeMap<ResponseCounterKey, u64>,
-    changes: Vec<Change>,
+    changes: Vec<PhaseChange>,
 }
 
 impl Rollouts {
@@ -351,7 +351,7 @@
     }
 
     /// What has changed since the last call.
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<PhaseChange> {
         std::mem::take(&mut self.changes)
     }
 }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -6,7 +6,8 @@
 use super::detector;
 use super::responses::{ResponseHistory, RolloutId, VersionGroup};
 use super::{
-    base, Change, Part, PeerLocation, Phase, PhaseReason, RolloutSpec, Status, VERSION_SEPARATOR,
+    base, Part, PeerLocation, Phase, PhaseChange, PhaseReason, RolloutSpec, Status,
+    VERSION_SEPARATOR,
 };
 use crate::ids::{InstanceId, ServiceId};
 use crate::routes::Endpoint;
@@ -91,8 +92,8 @@
         }
     }
 
-    pub(super) fn phase_change(&self, now: Instant, why: PhaseReason) -> Change {
-        Change {
+    pub(super) fn phase_change(&self, now: Instant, why: PhaseReason) -> PhaseChange {
+        PhaseChange {
             service: self.spec.service.clone(),
             destination: self.spec.destination.clone(),
             phase: self.phase,
@@ -107,7 +108,7 @@
         now: Instant,
         phase: Phase,
         why: PhaseReason,
-    ) -> Option<Change> {
+    ) -> Option<PhaseChange> {
         (self.phase, self.phase_entered_at) = (phase, now);
         self.drained_since = None;
         Some(self.phase_change(now, why))
@@ -186,7 +187,7 @@
         self.deadline.checked_sub(rest).unwrap_or(self.started_at)
     }
 
-    pub(super) fn advance(&mut self, now: Instant) -> Option<Change> {
+    pub(super) fn advance(&mut self, now: Instant) -> Option<PhaseChange> {
         if self.phase >= Phase::RolledBack {
             return None;
         }
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -9,7 +9,7 @@
 use oxbowbend_core::ids::ServiceId;
 use oxbowbend_core::rollout::responses::{GroupCounts, ResponseOutcome};
 use oxbowbend_core::rollout::{
-    Change, Part, PeerLocation, Phase, PhaseReason, RolloutRecord, RolloutSpec, Status,
+    Part, PeerLocation, Phase, PhaseChange, PhaseReason, RolloutRecord, RolloutSpec, Status,
 };
 use oxbowbend_core::routes::{Endpoint, Table};
 
@@ -77,7 +77,7 @@
             return;
         }
         changes.iter().for_each(log_change);
-        for Change { service, phase, .. } in &changes {
+        for PhaseChange { service, phase, .. } in &changes {
             self.move_waiting(service, *phase);
         }
         observe::rollouts(self.rollouts.in_progress());
@@ -217,8 +217,8 @@
     Ok(())
 }
 
-fn log_change(change: &Change) {
-    let Change { service, destination, phase, why, age, answers } = change;
+fn log_change(change: &PhaseChange) {
+    let PhaseChange { service, destination, phase, why, age, answers } = change;
     let GroupCounts { baseline: old, candidate: new } = answers;
     let why = match why {
         PhaseReason::Worse(f) => format!(
