--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -108,7 +108,7 @@
     /// The phase.
     pub phase: Phase,
     /// Why.
-    pub why: PhaseReason,
+    pub reason: PhaseReason,
     /// Since the order.
     pub age: Duration,
     /// What is known of both versions' answers.
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -97,7 +97,7 @@
             service: self.spec.service.clone(),
             destination: self.spec.destination.clone(),
             phase: self.phase,
-            why,
+            reason: why,
             age: now.saturating_duration_since(self.started_at),
             answers: self.responses.totals(),
         }
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -272,7 +272,7 @@
     }
     rollouts.settle(now);
     let changes = rollouts.take_changes();
-    assert!(matches!(changes.last().map(|c| c.why), Some(PhaseReason::Worse(_))), "{changes:?}");
+    assert!(matches!(changes.last().map(|c| c.reason), Some(PhaseReason::Worse(_))), "{changes:?}");
     for again in [order("2"), RolloutSpec { duration: S, ..order("2") }] {
         rollouts.ordered(now, again, LONGEST);
         assert_eq!(rollouts.deal(&"s".into(), true, true), "s".into());
