--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -112,7 +112,7 @@
     /// Since the order.
     pub age: Duration,
     /// What is known of both versions' answers.
-    pub answers: GroupCounts,
+    pub responses: GroupCounts,
 }
 
 /// Where an endpoint of a service stands in its roll-out.
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -99,7 +99,7 @@
             phase: self.phase,
             reason: why,
             age: now.saturating_duration_since(self.started_at),
-            answers: self.responses.totals(),
+            responses: self.responses.totals(),
         }
     }
 
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -218,7 +218,7 @@
 }
 
 fn log_change(change: &PhaseChange) {
-    let PhaseChange { service, destination, phase, reason: why, age, answers } = change;
+    let PhaseChange { service, destination, phase, reason: why, age, responses: answers } = change;
     let GroupCounts { baseline: old, candidate: new } = answers;
     let why = match why {
         PhaseReason::Worse(f) => format!(
