--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -117,7 +117,7 @@
 
 /// Where an endpoint of a service stands in its roll-out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum EndpointRole {
     /// It serves what is sent to the service.
     Service,
     /// It serves what is sent to this name.
@@ -228,14 +228,14 @@
     }
 
     /// Takes in the list of all endpoints; returns where each stands.
-    pub fn set_endpoints(&mut self, now: Instant, endpoints: &[Endpoint]) -> Vec<Part> {
+    pub fn set_endpoints(&mut self, now: Instant, endpoints: &[Endpoint]) -> Vec<EndpointRole> {
         for rollout in self.all.values_mut() {
             rollout.set_endpoints(now, endpoints);
         }
         let canaries = self.canaries(endpoints);
         let part = |endpoint: &Endpoint| match self.all.get(&endpoint.service) {
             Some(rollout) => rollout.endpoint_role(endpoint, canaries.contains(&&endpoint.id)),
-            None => Part::Service,
+            None => EndpointRole::Service,
         };
         endpoints.iter().map(part).collect()
     }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -6,7 +6,7 @@
 use super::detector;
 use super::responses::{ResponseHistory, RolloutId, VersionGroup};
 use super::{
-    base, Part, PeerLocation, Phase, PhaseChange, PhaseReason, RolloutSpec, Status,
+    base, EndpointRole, PeerLocation, Phase, PhaseChange, PhaseReason, RolloutSpec, Status,
     VERSION_SEPARATOR,
 };
 use crate::ids::{InstanceId, ServiceId};
@@ -127,15 +127,15 @@
         format!("{}{VERSION_SEPARATOR}{}", self.spec.service, self.spec.destination).as_str().into()
     }
 
-    pub(super) fn endpoint_role(&self, endpoint: &Endpoint, is_canary: bool) -> Part {
+    pub(super) fn endpoint_role(&self, endpoint: &Endpoint, is_canary: bool) -> EndpointRole {
         let is_new = self.group(endpoint) == Some(VersionGroup::Candidate);
         match self.phase {
-            Phase::Canary if is_new && !is_canary => Part::None,
-            Phase::RolledBack if is_new => Part::None,
-            Phase::Complete if !is_new => Part::None,
-            Phase::Retired => Part::Service,
-            _ if is_new => Part::Version(self.candidate_service()),
-            _ => Part::Service,
+            Phase::Canary if is_new && !is_canary => EndpointRole::None,
+            Phase::RolledBack if is_new => EndpointRole::None,
+            Phase::Complete if !is_new => EndpointRole::None,
+            Phase::Retired => EndpointRole::Service,
+            _ if is_new => EndpointRole::Version(self.candidate_service()),
+            _ => EndpointRole::Service,
         }
     }
 
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -7,8 +7,8 @@
     ResponseCounterKey, ResponseHistory, ResponseOutcome, VersionGroup,
 };
 use oxbowbend_core::rollout::{
-    Part, PeerLocation, Phase, PhaseReason, RolloutLimits, RolloutRecord, RolloutSpec, Rollouts,
-    Status,
+    EndpointRole, PeerLocation, Phase, PhaseReason, RolloutLimits, RolloutRecord, RolloutSpec,
+    Rollouts, Status,
 };
 use oxbowbend_core::routes::Endpoint;
 use rand::{Rng, SeedableRng};
@@ -219,11 +219,11 @@
     let now = Instant::now();
     let mut rollouts = ordered(now);
     let parts = rollouts.set_endpoints(now, &endpoints());
-    let count = |wanted: fn(&Part) -> bool| parts.iter().filter(|p| wanted(p)).count();
-    assert_eq!(count(|p| *p == Part::Service), 20);
+    let count = |wanted: fn(&EndpointRole) -> bool| parts.iter().filter(|p| wanted(p)).count();
+    assert_eq!(count(|p| *p == EndpointRole::Service), 20);
     // Eight of a hundred requests for twenty endpoints are the share of two.
-    assert_eq!(count(|p| matches!(p, Part::Version(_))), 2);
-    assert_eq!(count(|p| *p == Part::None), 18);
+    assert_eq!(count(|p| matches!(p, EndpointRole::Version(_))), 2);
+    assert_eq!(count(|p| *p == EndpointRole::None), 18);
 }
 
 /// A good version: canary, shift, complete once nothing runs at the others, and these are left alone afterwards.
@@ -251,10 +251,13 @@
     // What runs at the others is waited for up to a moment before the deadline.
     assert!(complete > now + 16 * S && complete < now + DURATION, "{:?}", complete - now);
     let parts = rollouts.set_endpoints(complete, &endpoints());
-    assert!(parts[..20].iter().all(|p| *p == Part::None));
-    assert!(parts[20..].iter().all(|p| matches!(p, Part::Version(_))));
+    assert!(parts[..20].iter().all(|p| *p == EndpointRole::None));
+    assert!(parts[20..].iter().all(|p| matches!(p, EndpointRole::Version(_))));
     rollouts.settle(complete + 11 * S);
-    assert!(rollouts.set_endpoints(complete, &endpoints()).iter().all(|p| *p == Part::Service));
+    assert!(rollouts
+        .set_endpoints(complete, &endpoints())
+        .iter()
+        .all(|p| *p == EndpointRole::Service));
     assert_eq!(rollouts.deal(&"s".into(), true, true), "s".into());
 }
 
@@ -291,7 +294,7 @@
     let all = [endpoint("a", "1"), endpoint("b", "1")];
     let parts = rollouts.set_endpoints(now, &all);
     // Meanwhile all of it is served by all of them.
-    assert!(parts.iter().all(|part| matches!(part, Part::Version(_))), "{parts:?}");
+    assert!(parts.iter().all(|part| matches!(part, EndpointRole::Version(_))), "{parts:?}");
     (0..20).for_each(|_| assert_ne!(rollouts.deal(&"s".into(), true, true), "s".into()));
     rollouts.settle(now);
     assert_eq!(rollouts.due(now)[0].1, Status::Running);
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -9,7 +9,7 @@
 use oxbowbend_core::ids::ServiceId;
 use oxbowbend_core::rollout::responses::{GroupCounts, ResponseOutcome};
 use oxbowbend_core::rollout::{
-    Part, PeerLocation, Phase, PhaseChange, PhaseReason, RolloutRecord, RolloutSpec, Status,
+    EndpointRole, PeerLocation, Phase, PhaseChange, PhaseReason, RolloutRecord, RolloutSpec, Status,
 };
 use oxbowbend_core::routes::{Endpoint, Table};
 
@@ -99,9 +99,9 @@
         let endpoints: Vec<_> = self.world.endpoints().cloned().collect();
         let parts = self.rollouts.set_endpoints(now, &endpoints);
         let placed = endpoints.into_iter().zip(parts).filter_map(|(endpoint, part)| match part {
-            Part::Service => Some(endpoint),
-            Part::Version(service) => Some(Endpoint { service, ..endpoint }),
-            Part::None => None,
+            EndpointRole::Service => Some(endpoint),
+            EndpointRole::Version(service) => Some(Endpoint { service, ..endpoint }),
+            EndpointRole::None => None,
         });
         placed.collect()
     }
