--- a/oxbowbend-core/src/fingerprint.rs
+++ b/oxbowbend-core/src/fingerprint.rs
@@ -22,7 +22,7 @@
 /// let mine = fingerprint(Some(&"a".into()), "POST", "/x?y=1", b"words");
 /// assert_eq!(mine, fingerprint(Some(&"a".into()), "POST", "/x?y=1", b"words"));
 /// assert_ne!(mine, fingerprint(Some(&"b".into()), "POST", "/x?y=1", b"words"));
-/// assert_ne!(mine, fingerprint(None, "POST", "/x", b"?y=1words"));
+/// assert_ne!(mine, fingerprint(Excluded, "POST", "/x", b"?y=1words"));
 /// ```
 pub fn fingerprint(
     account: Option<&AccountId>,
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -123,7 +123,7 @@
     /// It serves what is sent to this name.
     Version(ServiceId),
     /// It is sent nothing.
-    None,
+    Excluded,
 }
 
 /// All roll-outs as one instance sees them.
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -130,9 +130,9 @@
     pub(super) fn endpoint_role(&self, endpoint: &Endpoint, is_canary: bool) -> EndpointRole {
         let is_new = self.group(endpoint) == Some(VersionGroup::Candidate);
         match self.phase {
-            Phase::Canary if is_new && !is_canary => EndpointRole::None,
-            Phase::RolledBack if is_new => EndpointRole::None,
-            Phase::Complete if !is_new => EndpointRole::None,
+            Phase::Canary if is_new && !is_canary => EndpointRole::Excluded,
+            Phase::RolledBack if is_new => EndpointRole::Excluded,
+            Phase::Complete if !is_new => EndpointRole::Excluded,
             Phase::Retired => EndpointRole::Service,
             _ if is_new => EndpointRole::Version(self.candidate_service()),
             _ => EndpointRole::Service,
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -223,7 +223,7 @@
     assert_eq!(count(|p| *p == EndpointRole::Service), 20);
     // Eight of a hundred requests for twenty endpoints are the share of two.
     assert_eq!(count(|p| matches!(p, EndpointRole::Version(_))), 2);
-    assert_eq!(count(|p| *p == EndpointRole::None), 18);
+    assert_eq!(count(|p| *p == EndpointRole::Excluded), 18);
 }
 
 /// A good version: canary, shift, complete once nothing runs at the others, and these are left alone afterwards.
@@ -251,7 +251,7 @@
     // What runs at the others is waited for up to a moment before the deadline.
     assert!(complete > now + 16 * S && complete < now + DURATION, "{:?}", complete - now);
     let parts = rollouts.set_endpoints(complete, &endpoints());
-    assert!(parts[..20].iter().all(|p| *p == EndpointRole::None));
+    assert!(parts[..20].iter().all(|p| *p == EndpointRole::Excluded));
     assert!(parts[20..].iter().all(|p| matches!(p, EndpointRole::Version(_))));
     rollouts.settle(complete + 11 * S);
     assert!(rollouts
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -101,7 +101,7 @@
         let placed = endpoints.into_iter().zip(parts).filter_map(|(endpoint, part)| match part {
             EndpointRole::Service => Some(endpoint),
             EndpointRole::Version(service) => Some(Endpoint { service, ..endpoint }),
-            EndpointRole::None => None,
+            EndpointRole::Excluded => None,
         });
         placed.collect()
     }
