--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -129,7 +129,7 @@
 /// All roll-outs as one instance sees them.
 #[derive(Debug)]
 pub struct Rollouts {
-    bounds: RolloutLimits,
+    limits: RolloutLimits,
     all: BTreeMap<ServiceId, Rollout>,
     /// Answers that this instance saw, those that its cell told of, and those of other cells.
     own: BTreeMap<ResponseCounterKey, u64>,
@@ -142,7 +142,7 @@
     /// None yet.
     pub fn new(bounds: RolloutLimits) -> Rollouts {
         Rollouts {
-            bounds,
+            limits: bounds,
             all: BTreeMap::new(),
             own: BTreeMap::new(),
             near: BTreeMap::new(),
@@ -251,7 +251,7 @@
             let mut new: Vec<_> = new.map(|e| &e.id).collect();
             new.sort_by_key(|id| xxh3_64(id.as_bytes()));
             let part = rollout.endpoint_counts.baseline.max(new.len()) as f64
-                * self.bounds.max_candidate_share
+                * self.limits.max_candidate_share
                 * TARGET_EXPOSURE_FRACTION;
             let tried = if rollout.endpoint_counts.baseline == 0 {
                 new.len()
@@ -267,7 +267,7 @@
     /// endpoints of the new version, `is_first` if the request was sent nowhere before: one that has failed is not
     /// tried out again.
     pub fn deal(&mut self, service: &ServiceId, has_new: bool, is_first: bool) -> ServiceId {
-        let share = self.bounds.max_candidate_share * TARGET_EXPOSURE_FRACTION;
+        let share = self.limits.max_candidate_share * TARGET_EXPOSURE_FRACTION;
         let Some(rollout) = self.all.get_mut(service) else { return service.clone() };
         match rollout.assign_request(share, has_new, is_first) {
             VersionGroup::Baseline => service.clone(),
