--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -130,7 +130,7 @@
 #[derive(Debug)]
 pub struct Rollouts {
     limits: RolloutLimits,
-    all: BTreeMap<ServiceId, Rollout>,
+    rollouts: BTreeMap<ServiceId, Rollout>,
     /// Answers that this instance saw, those that its cell told of, and those of other cells.
     own: BTreeMap<ResponseCounterKey, u64>,
     near: BTreeMap<ResponseCounterKey, u64>,
@@ -143,7 +143,7 @@
     pub fn new(bounds: RolloutLimits) -> Rollouts {
         Rollouts {
             limits: bounds,
-            all: BTreeMap::new(),
+            rollouts: BTreeMap::new(),
             own: BTreeMap::new(),
             near: BTreeMap::new(),
             far: BTreeMap::new(),
@@ -154,7 +154,7 @@
     /// Takes in an order. `longest` is the longest time that a request to the service may take. The same order
     /// again changes nothing; one for another version takes the place of the one before.
     pub fn ordered(&mut self, now: Instant, order: RolloutSpec, longest: Duration) {
-        if self.all.get(&order.service).is_some_and(|r| r.id == order.id()) {
+        if self.rollouts.get(&order.service).is_some_and(|r| r.id == order.id()) {
             return;
         }
         let deadline = now + order.duration;
@@ -176,12 +176,12 @@
             counters.retain(|key, _| key.rollout == rollout.id);
         }
         self.changes.push(rollout.phase_change(now, why));
-        self.all.insert(service, rollout);
+        self.rollouts.insert(service, rollout);
     }
 
     /// Takes an order back.
     pub fn cancelled(&mut self, now: Instant, service: &ServiceId) {
-        if let Some(rollout) = self.all.get_mut(service) {
+        if let Some(rollout) = self.rollouts.get_mut(service) {
             if rollout.phase < Phase::RolledBack {
                 self.changes.extend(rollout.enter_phase(
                     now,
@@ -200,7 +200,7 @@
         destination: &VersionId,
         status: Status,
     ) {
-        let rollout = self.all.get_mut(service).filter(|r| r.spec.destination == *destination);
+        let rollout = self.rollouts.get_mut(service).filter(|r| r.spec.destination == *destination);
         let Some(rollout) = rollout else { return };
         rollout.stored_status = Some(status);
         let phase = match status {
@@ -215,12 +215,12 @@
 
     /// Forgets what the store said, since it may not hold it any more.
     pub fn store_restored(&mut self) {
-        self.all.values_mut().for_each(|rollout| rollout.stored_status = None);
+        self.rollouts.values_mut().for_each(|rollout| rollout.stored_status = None);
     }
 
     /// What the store should say and does not, as far as is known.
     pub fn due(&self, now: Instant) -> Vec<(RolloutSpec, Status)> {
-        let due = self.all.values().filter_map(|rollout| {
+        let due = self.rollouts.values().filter_map(|rollout| {
             let status = rollout.desired_status(now)?;
             (rollout.stored_status != Some(status)).then(|| (rollout.spec.clone(), status))
         });
@@ -229,11 +229,11 @@
 
     /// Takes in the list of all endpoints; returns where each stands.
     pub fn set_endpoints(&mut self, now: Instant, endpoints: &[Endpoint]) -> Vec<EndpointRole> {
-        for rollout in self.all.values_mut() {
+        for rollout in self.rollouts.values_mut() {
             rollout.set_endpoints(now, endpoints);
         }
         let canaries = self.canaries(endpoints);
-        let part = |endpoint: &Endpoint| match self.all.get(&endpoint.service) {
+        let part = |endpoint: &Endpoint| match self.rollouts.get(&endpoint.service) {
             Some(rollout) => rollout.endpoint_role(endpoint, canaries.contains(&&endpoint.id)),
             None => EndpointRole::Service,
         };
@@ -244,7 +244,7 @@
     /// others.
     fn canaries<'a>(&self, endpoints: &'a [Endpoint]) -> Vec<&'a EndpointId> {
         let mut canaries = Vec::new();
-        for rollout in self.all.values().filter(|r| r.phase == Phase::Canary) {
+        for rollout in self.rollouts.values().filter(|r| r.phase == Phase::Canary) {
             let new = endpoints
                 .iter()
                 .filter(|e| rollout.group(e) == Some(VersionGroup::Candidate) && !e.leaving);
@@ -268,7 +268,7 @@
     /// tried out again.
     pub fn deal(&mut self, service: &ServiceId, has_new: bool, is_first: bool) -> ServiceId {
         let share = self.limits.max_candidate_share * TARGET_EXPOSURE_FRACTION;
-        let Some(rollout) = self.all.get_mut(service) else { return service.clone() };
+        let Some(rollout) = self.rollouts.get_mut(service) else { return service.clone() };
         match rollout.assign_request(share, has_new, is_first) {
             VersionGroup::Baseline => service.clone(),
             VersionGroup::Candidate => rollout.candidate_service(),
@@ -277,12 +277,12 @@
 
     /// Name of the part of a service that is moved to, if there is one.
     pub fn part_name(&self, service: &ServiceId) -> Option<ServiceId> {
-        self.all.get(service).map(Rollout::candidate_service)
+        self.rollouts.get(service).map(Rollout::candidate_service)
     }
 
     /// Notes that a request began to run at an endpoint.
     pub fn began(&mut self, endpoint: &Endpoint) {
-        if let Some(rollout) = self.all.get_mut(base(&endpoint.service)) {
+        if let Some(rollout) = self.rollouts.get_mut(base(&endpoint.service)) {
             if rollout.group(endpoint) == Some(VersionGroup::Baseline) {
                 rollout.baseline_in_flight += 1;
             }
@@ -297,7 +297,7 @@
         route: &str,
         answer: Option<ResponseOutcome>,
     ) {
-        let Some(rollout) = self.all.get_mut(base(&endpoint.service)) else { return };
+        let Some(rollout) = self.rollouts.get_mut(base(&endpoint.service)) else { return };
         let Some(side) = rollout.group(endpoint) else { return };
         if side == VersionGroup::Baseline {
             rollout.baseline_in_flight = rollout.baseline_in_flight.saturating_sub(1);
@@ -310,7 +310,9 @@
 
     /// Adds answers that another instance told of, or another cell.
     pub fn draw(&mut self, now: Instant, key: ResponseCounterKey, n: u64, is_near: bool) {
-        let Some(rollout) = self.all.values_mut().find(|r| r.id == key.rollout) else { return };
+        let Some(rollout) = self.rollouts.values_mut().find(|r| r.id == key.rollout) else {
+            return;
+        };
         rollout.responses.add(now, key, n);
         let counters = if is_near { &mut self.near } else { &mut self.far };
         *counters.entry(key).or_default() += n;
@@ -335,19 +337,19 @@
 
     /// Decides what time and evidence bring.
     pub fn settle(&mut self, now: Instant) {
-        for rollout in self.all.values_mut() {
+        for rollout in self.rollouts.values_mut() {
             self.changes.extend(rollout.advance(now));
         }
         let is_over =
             |r: &Rollout| r.phase == Phase::Complete && now >= r.phase_entered_at + RETIRE_DELAY;
-        for rollout in self.all.values_mut().filter(|r| is_over(r)) {
+        for rollout in self.rollouts.values_mut().filter(|r| is_over(r)) {
             self.changes.extend(rollout.enter_phase(now, Phase::Retired, PhaseReason::Time));
         }
     }
 
     /// Roll-outs in progress.
     pub fn in_progress(&self) -> usize {
-        self.all.values().filter(|r| r.phase < Phase::RolledBack).count()
+        self.rollouts.values().filter(|r| r.phase < Phase::RolledBack).count()
     }
 
     /// What has changed since the last call.
--- a/oxbowbend-core/src/rollout/records.rs
+++ b/oxbowbend-core/src/rollout/records.rs
@@ -77,7 +77,7 @@
                 PeerLocation::OtherCell => 0,
             },
         };
-        self.all.values().map(tell).collect()
+        self.rollouts.values().map(tell).collect()
     }
 
     /// Takes in what another instance tells. `longest` is the longest time that a request to a service may take.
@@ -109,7 +109,7 @@
     ) {
         self.merge_record(now, told, longest);
         let is_same = |r: &&mut Rollout| r.spec.destination == told.destination;
-        if let Some(rollout) = self.all.get_mut(&told.service).filter(is_same) {
+        if let Some(rollout) = self.rollouts.get_mut(&told.service).filter(is_same) {
             let (running, beyond) = (told.baseline_in_flight, told.remote_in_flight);
             let others = PeerInFlight {
                 received_at: now,
@@ -127,7 +127,7 @@
         let age = Duration::from_millis(told.age_ms.into());
         let ordered = now.checked_sub(age).unwrap_or(now);
         let destination = told.destination.clone();
-        let Some(known) = self.all.get_mut(&told.service) else {
+        let Some(known) = self.rollouts.get_mut(&told.service) else {
             return self.start_from_record(now, told, ordered, longest);
         };
         if known.spec.destination != destination {
@@ -156,7 +156,7 @@
         let (service, destination) = (told.service.clone(), told.destination.clone());
         let order = RolloutSpec { service, destination, duration };
         self.begin(now, order, ordered + duration, longest, told.phase, PhaseReason::Told);
-        if let Some(rollout) = self.all.get_mut(&told.service) {
+        if let Some(rollout) = self.rollouts.get_mut(&told.service) {
             rollout.started_at = ordered;
         }
     }
