--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -132,7 +132,7 @@
     limits: RolloutLimits,
     rollouts: BTreeMap<ServiceId, Rollout>,
     /// Answers that this instance saw, those that its cell told of, and those of other cells.
-    own: BTreeMap<ResponseCounterKey, u64>,
+    local_counters: BTreeMap<ResponseCounterKey, u64>,
     near: BTreeMap<ResponseCounterKey, u64>,
     far: BTreeMap<ResponseCounterKey, u64>,
     changes: Vec<PhaseChange>,
@@ -144,7 +144,7 @@
         Rollouts {
             limits: bounds,
             rollouts: BTreeMap::new(),
-            own: BTreeMap::new(),
+            local_counters: BTreeMap::new(),
             near: BTreeMap::new(),
             far: BTreeMap::new(),
             changes: Vec::new(),
@@ -172,7 +172,7 @@
     ) {
         let service = order.service.clone();
         let rollout = Rollout::new(now, order, deadline, longest, phase);
-        for counters in [&mut self.own, &mut self.near, &mut self.far] {
+        for counters in [&mut self.local_counters, &mut self.near, &mut self.far] {
             counters.retain(|key, _| key.rollout == rollout.id);
         }
         self.changes.push(rollout.phase_change(now, why));
@@ -305,7 +305,7 @@
         let Some(answer) = answer.filter(|_| rollout.phase < Phase::RolledBack) else { return };
         let key = ResponseCounterKey::new(rollout.id, route, side, answer);
         rollout.responses.add(now, key, 1);
-        *self.own.entry(key).or_default() += 1;
+        *self.local_counters.entry(key).or_default() += 1;
     }
 
     /// Adds answers that another instance told of, or another cell.
@@ -320,14 +320,19 @@
 
     /// Answers that this instance saw.
     pub fn counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
-        self.own.iter().map(|(key, n)| (key, *n))
+        self.local_counters.iter().map(|(key, n)| (key, *n))
     }
 
     /// Answers that this cell saw, as far as it has heard.
     pub fn cell_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
-        let keys = self.own.keys().chain(self.near.keys().filter(|k| !self.own.contains_key(k)));
+        let keys = self
+            .local_counters
+            .keys()
+            .chain(self.near.keys().filter(|k| !self.local_counters.contains_key(k)));
         let n = |counters: &BTreeMap<ResponseCounterKey, u64>, key| counters.get(key).copied();
-        keys.map(move |key| (key, n(&self.own, key).unwrap_or(0) + n(&self.near, key).unwrap_or(0)))
+        keys.map(move |key| {
+            (key, n(&self.local_counters, key).unwrap_or(0) + n(&self.near, key).unwrap_or(0))
+        })
     }
 
     /// Answers that other cells saw, likewise.
