--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -133,7 +133,7 @@
     rollouts: BTreeMap<ServiceId, Rollout>,
     /// Answers that this instance saw, those that its cell told of, and those of other cells.
     local_counters: BTreeMap<ResponseCounterKey, u64>,
-    near: BTreeMap<ResponseCounterKey, u64>,
+    peer_counters: BTreeMap<ResponseCounterKey, u64>,
     far: BTreeMap<ResponseCounterKey, u64>,
     changes: Vec<PhaseChange>,
 }
@@ -145,7 +145,7 @@
             limits: bounds,
             rollouts: BTreeMap::new(),
             local_counters: BTreeMap::new(),
-            near: BTreeMap::new(),
+            peer_counters: BTreeMap::new(),
             far: BTreeMap::new(),
             changes: Vec::new(),
         }
@@ -172,7 +172,7 @@
     ) {
         let service = order.service.clone();
         let rollout = Rollout::new(now, order, deadline, longest, phase);
-        for counters in [&mut self.local_counters, &mut self.near, &mut self.far] {
+        for counters in [&mut self.local_counters, &mut self.peer_counters, &mut self.far] {
             counters.retain(|key, _| key.rollout == rollout.id);
         }
         self.changes.push(rollout.phase_change(now, why));
@@ -314,7 +314,7 @@
             return;
         };
         rollout.responses.add(now, key, n);
-        let counters = if is_near { &mut self.near } else { &mut self.far };
+        let counters = if is_near { &mut self.peer_counters } else { &mut self.far };
         *counters.entry(key).or_default() += n;
     }
 
@@ -328,10 +328,14 @@
         let keys = self
             .local_counters
             .keys()
-            .chain(self.near.keys().filter(|k| !self.local_counters.contains_key(k)));
+            .chain(self.peer_counters.keys().filter(|k| !self.local_counters.contains_key(k)));
         let n = |counters: &BTreeMap<ResponseCounterKey, u64>, key| counters.get(key).copied();
         keys.map(move |key| {
-            (key, n(&self.local_counters, key).unwrap_or(0) + n(&self.near, key).unwrap_or(0))
+            (
+                key,
+                n(&self.local_counters, key).unwrap_or(0)
+                    + n(&self.peer_counters, key).unwrap_or(0),
+            )
         })
     }
 
