--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -134,7 +134,7 @@
     /// Answers that this instance saw, those that its cell told of, and those of other cells.
     local_counters: BTreeMap<ResponseCounterKey, u64>,
     peer_counters: BTreeMap<ResponseCounterKey, u64>,
-    far: BTreeMap<ResponseCounterKey, u64>,
+    remote_counters: BTreeMap<ResponseCounterKey, u64>,
     changes: Vec<PhaseChange>,
 }
 
@@ -146,7 +146,7 @@
             rollouts: BTreeMap::new(),
             local_counters: BTreeMap::new(),
             peer_counters: BTreeMap::new(),
-            far: BTreeMap::new(),
+            remote_counters: BTreeMap::new(),
             changes: Vec::new(),
         }
     }
@@ -172,7 +172,9 @@
     ) {
         let service = order.service.clone();
         let rollout = Rollout::new(now, order, deadline, longest, phase);
-        for counters in [&mut self.local_counters, &mut self.peer_counters, &mut self.far] {
+        for counters in
+            [&mut self.local_counters, &mut self.peer_counters, &mut self.remote_counters]
+        {
             counters.retain(|key, _| key.rollout == rollout.id);
         }
         self.changes.push(rollout.phase_change(now, why));
@@ -314,7 +316,7 @@
             return;
         };
         rollout.responses.add(now, key, n);
-        let counters = if is_near { &mut self.peer_counters } else { &mut self.far };
+        let counters = if is_near { &mut self.peer_counters } else { &mut self.remote_counters };
         *counters.entry(key).or_default() += n;
     }
 
@@ -341,7 +343,7 @@
 
     /// Answers that other cells saw, likewise.
     pub fn far_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
-        self.far.iter().map(|(key, n)| (key, *n))
+        self.remote_counters.iter().map(|(key, n)| (key, *n))
     }
 
     /// Decides what time and evidence bring.
