--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -153,7 +153,7 @@
 
     /// Takes in an order. `longest` is the longest time that a request to the service may take. The same order
     /// again changes nothing; one for another version takes the place of the one before.
-    pub fn ordered(&mut self, now: Instant, order: RolloutSpec, longest: Duration) {
+    pub fn start(&mut self, now: Instant, order: RolloutSpec, longest: Duration) {
         if self.rollouts.get(&order.service).is_some_and(|r| r.id == order.id()) {
             return;
         }
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -48,7 +48,7 @@
 
 fn ordered(now: Instant) -> Rollouts {
     let mut rollouts = Rollouts::new(BOUNDS);
-    rollouts.ordered(now, order("2"), LONGEST);
+    rollouts.start(now, order("2"), LONGEST);
     rollouts.set_endpoints(now, &endpoints());
     rollouts
 }
@@ -277,12 +277,12 @@
     let changes = rollouts.take_changes();
     assert!(matches!(changes.last().map(|c| c.reason), Some(PhaseReason::Worse(_))), "{changes:?}");
     for again in [order("2"), RolloutSpec { duration: S, ..order("2") }] {
-        rollouts.ordered(now, again, LONGEST);
+        rollouts.start(now, again, LONGEST);
         assert_eq!(rollouts.deal(&"s".into(), true, true), "s".into());
         assert_eq!(rollouts.due(now)[0].1, Status::RolledBack);
     }
     // Another version is another order.
-    rollouts.ordered(now, order("3"), LONGEST);
+    rollouts.start(now, order("3"), LONGEST);
     assert_eq!(phase(&mut rollouts, now), Phase::Canary);
 }
 
@@ -290,7 +290,7 @@
 fn an_order_for_the_version_that_runs_is_complete_by_itself() {
     let now = Instant::now();
     let mut rollouts = Rollouts::new(BOUNDS);
-    rollouts.ordered(now, order("1"), LONGEST);
+    rollouts.start(now, order("1"), LONGEST);
     let all = [endpoint("a", "1"), endpoint("b", "1")];
     let parts = rollouts.set_endpoints(now, &all);
     // Meanwhile all of it is served by all of them.
@@ -306,7 +306,7 @@
 fn an_order_without_endpoints_does_no_harm() {
     let now = Instant::now();
     let mut rollouts = Rollouts::new(BOUNDS);
-    rollouts.ordered(now, order("2"), LONGEST);
+    rollouts.start(now, order("2"), LONGEST);
     rollouts.settle(now + DURATION);
     assert!(rollouts.due(now + DURATION).is_empty(), "of an unknown service nothing is told");
     rollouts.set_endpoints(now, &[endpoint("a", "1")]);
@@ -362,7 +362,7 @@
         let now = self.now;
         match event {
             Event::Order(n) => {
-                self.instances[n].ordered(now, order("2"), LONGEST);
+                self.instances[n].start(now, order("2"), LONGEST);
                 self.instances[n].set_endpoints(now, &endpoints());
             }
             Event::Bad(n) => {
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -30,7 +30,7 @@
             match item {
                 News::Rollout(order) => {
                     let longest = self.longest(&order.service);
-                    self.rollouts.ordered(now, order.clone(), longest);
+                    self.rollouts.start(now, order.clone(), longest);
                 }
                 News::RolloutCancelled(service) => self.rollouts.cancelled(now, service),
                 News::RolloutStatus { service, destination, status } => {
