--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -158,10 +158,10 @@
             return;
         }
         let deadline = now + order.duration;
-        self.begin(now, order, deadline, longest, Phase::Canary, PhaseReason::Ordered);
+        self.insert(now, order, deadline, longest, Phase::Canary, PhaseReason::Ordered);
     }
 
-    fn begin(
+    fn insert(
         &mut self,
         now: Instant,
         order: RolloutSpec,
--- a/oxbowbend-core/src/rollout/records.rs
+++ b/oxbowbend-core/src/rollout/records.rs
@@ -155,7 +155,7 @@
         let duration = Duration::from_millis(told.duration_ms.into());
         let (service, destination) = (told.service.clone(), told.destination.clone());
         let order = RolloutSpec { service, destination, duration };
-        self.begin(now, order, ordered + duration, longest, told.phase, PhaseReason::Told);
+        self.insert(now, order, ordered + duration, longest, told.phase, PhaseReason::Told);
         if let Some(rollout) = self.rollouts.get_mut(&told.service) {
             rollout.started_at = ordered;
         }
