--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -182,7 +182,7 @@
     }
 
     /// Takes an order back.
-    pub fn cancelled(&mut self, now: Instant, service: &ServiceId) {
+    pub fn cancel(&mut self, now: Instant, service: &ServiceId) {
         if let Some(rollout) = self.rollouts.get_mut(service) {
             if rollout.phase < Phase::RolledBack {
                 self.changes.extend(rollout.enter_phase(
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -32,7 +32,7 @@
                     let longest = self.longest(&order.service);
                     self.rollouts.start(now, order.clone(), longest);
                 }
-                News::RolloutCancelled(service) => self.rollouts.cancelled(now, service),
+                News::RolloutCancelled(service) => self.rollouts.cancel(now, service),
                 News::RolloutStatus { service, destination, status } => {
                     self.rollouts.status_read(now, service, destination, *status);
                 }
