--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -195,7 +195,7 @@
     }
 
     /// Takes in what the store says of an order for a version.
-    pub fn status_read(
+    pub fn apply_stored_status(
         &mut self,
         now: Instant,
         service: &ServiceId,
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -244,7 +244,7 @@
         let due = rollouts.due(at);
         if due.iter().any(|(_, status)| *status == Status::Complete) {
             complete.get_or_insert(at);
-            rollouts.status_read(at, &"s".into(), &"2".into(), Status::Complete);
+            rollouts.apply_stored_status(at, &"s".into(), &"2".into(), Status::Complete);
         }
     }
     let complete = complete.expect("it is complete");
@@ -408,7 +408,7 @@
             self.finals.push(known);
         }
         self.status = Some(known);
-        self.instances[n].status_read(self.now, &order.service, &order.destination, known);
+        self.instances[n].apply_stored_status(self.now, &order.service, &order.destination, known);
     }
 
     fn check(&mut self, history: &[Event]) {
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -34,7 +34,7 @@
                 }
                 News::RolloutCancelled(service) => self.rollouts.cancel(now, service),
                 News::RolloutStatus { service, destination, status } => {
-                    self.rollouts.status_read(now, service, destination, *status);
+                    self.rollouts.apply_stored_status(now, service, destination, *status);
                 }
                 News::Restored { .. } => self.rollouts.store_restored(),
                 _ => {}
@@ -210,7 +210,7 @@
     observe::store_call("rollout", "ok");
     let now = clock::now();
     let mut state = shared.lock();
-    state.rollouts.status_read(now, &order.service, &order.destination, known);
+    state.rollouts.apply_stored_status(now, &order.service, &order.destination, known);
     state.follow_rollouts(now);
     drop(state);
     shared.tell_others();
