--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -216,7 +216,7 @@
     }
 
     /// Forgets what the store said, since it may not hold it any more.
-    pub fn store_restored(&mut self) {
+    pub fn forget_stored_statuses(&mut self) {
         self.rollouts.values_mut().for_each(|rollout| rollout.stored_status = None);
     }
 
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -393,7 +393,7 @@
             Event::Restore => {
                 self.status = None;
                 self.finals.clear();
-                self.instances.iter_mut().for_each(Rollouts::store_restored);
+                self.instances.iter_mut().for_each(Rollouts::forget_stored_statuses);
             }
         }
     }
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -36,7 +36,7 @@
                 News::RolloutStatus { service, destination, status } => {
                     self.rollouts.apply_stored_status(now, service, destination, *status);
                 }
-                News::Restored { .. } => self.rollouts.store_restored(),
+                News::Restored { .. } => self.rollouts.forget_stored_statuses(),
                 _ => {}
             }
         }
