--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -221,7 +221,7 @@
     }
 
     /// What the store should say and does not, as far as is known.
-    pub fn due(&self, now: Instant) -> Vec<(RolloutSpec, Status)> {
+    pub fn due_status_writes(&self, now: Instant) -> Vec<(RolloutSpec, Status)> {
         let due = self.rollouts.values().filter_map(|rollout| {
             let status = rollout.desired_status(now)?;
             (rollout.stored_status != Some(status)).then(|| (rollout.spec.clone(), status))
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -241,7 +241,7 @@
         if shifted && tick % 160 == 0 {
             rollouts.ended(at, &old, "r", None);
         }
-        let due = rollouts.due(at);
+        let due = rollouts.due_status_writes(at);
         if due.iter().any(|(_, status)| *status == Status::Complete) {
             complete.get_or_insert(at);
             rollouts.apply_stored_status(at, &"s".into(), &"2".into(), Status::Complete);
@@ -279,7 +279,7 @@
     for again in [order("2"), RolloutSpec { duration: S, ..order("2") }] {
         rollouts.start(now, again, LONGEST);
         assert_eq!(rollouts.deal(&"s".into(), true, true), "s".into());
-        assert_eq!(rollouts.due(now)[0].1, Status::RolledBack);
+        assert_eq!(rollouts.due_status_writes(now)[0].1, Status::RolledBack);
     }
     // Another version is another order.
     rollouts.start(now, order("3"), LONGEST);
@@ -297,9 +297,9 @@
     assert!(parts.iter().all(|part| matches!(part, EndpointRole::Version(_))), "{parts:?}");
     (0..20).for_each(|_| assert_ne!(rollouts.deal(&"s".into(), true, true), "s".into()));
     rollouts.settle(now);
-    assert_eq!(rollouts.due(now)[0].1, Status::Running);
+    assert_eq!(rollouts.due_status_writes(now)[0].1, Status::Running);
     rollouts.settle(now + 4 * S);
-    assert_eq!(rollouts.due(now + 4 * S)[0].1, Status::Complete);
+    assert_eq!(rollouts.due_status_writes(now + 4 * S)[0].1, Status::Complete);
 }
 
 #[test]
@@ -308,10 +308,13 @@
     let mut rollouts = Rollouts::new(BOUNDS);
     rollouts.start(now, order("2"), LONGEST);
     rollouts.settle(now + DURATION);
-    assert!(rollouts.due(now + DURATION).is_empty(), "of an unknown service nothing is told");
+    assert!(
+        rollouts.due_status_writes(now + DURATION).is_empty(),
+        "of an unknown service nothing is told"
+    );
     rollouts.set_endpoints(now, &[endpoint("a", "1")]);
     rollouts.settle(now + DURATION);
-    assert_eq!(rollouts.due(now + DURATION)[0].1, Status::RolledBack);
+    assert_eq!(rollouts.due_status_writes(now + DURATION)[0].1, Status::RolledBack);
 }
 
 /// What can happen to three instances.
@@ -399,7 +402,9 @@
     }
 
     fn write(&mut self, n: usize) {
-        let Some((order, status)) = self.instances[n].due(self.now).pop() else { return };
+        let Some((order, status)) = self.instances[n].due_status_writes(self.now).pop() else {
+            return;
+        };
         let known = match self.status {
             Some(Status::Complete | Status::RolledBack) => self.status.unwrap_or(status),
             _ => status,
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -158,7 +158,7 @@
     fn due_statuses(&self) -> Vec<(RolloutSpec, Status)> {
         let now = clock::now();
         let state = self.lock();
-        let due = state.rollouts.due(now);
+        let due = state.rollouts.due_status_writes(now);
         if due.is_empty() || !state.writes_statuses(now) {
             return Vec::new();
         }
