--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -234,7 +234,7 @@
         for rollout in self.rollouts.values_mut() {
             rollout.set_endpoints(now, endpoints);
         }
-        let canaries = self.canaries(endpoints);
+        let canaries = self.select_canaries(endpoints);
         let part = |endpoint: &Endpoint| match self.rollouts.get(&endpoint.service) {
             Some(rollout) => rollout.endpoint_role(endpoint, canaries.contains(&&endpoint.id)),
             None => EndpointRole::Service,
@@ -244,7 +244,7 @@
 
     /// Endpoints of versions that are tried: as many as the part of the requests that they get keeps as busy as the
     /// others.
-    fn canaries<'a>(&self, endpoints: &'a [Endpoint]) -> Vec<&'a EndpointId> {
+    fn select_canaries<'a>(&self, endpoints: &'a [Endpoint]) -> Vec<&'a EndpointId> {
         let mut canaries = Vec::new();
         for rollout in self.rollouts.values().filter(|r| r.phase == Phase::Canary) {
             let new = endpoints
