--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -268,7 +268,12 @@
     /// Where to send a request to a service, by name of the part; counts it. `has_new` if this instance has
     /// endpoints of the new version, `is_first` if the request was sent nowhere before: one that has failed is not
     /// tried out again.
-    pub fn deal(&mut self, service: &ServiceId, has_new: bool, is_first: bool) -> ServiceId {
+    pub fn assign_request(
+        &mut self,
+        service: &ServiceId,
+        has_new: bool,
+        is_first: bool,
+    ) -> ServiceId {
         let share = self.limits.max_candidate_share * TARGET_EXPOSURE_FRACTION;
         let Some(rollout) = self.rollouts.get_mut(service) else { return service.clone() };
         match rollout.assign_request(share, has_new, is_first) {
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -204,14 +204,14 @@
     let mut rollouts = ordered(now);
     let mut new = 0;
     for n in 1..=5000_u32 {
-        new += u32::from(rollouts.deal(&"s".into(), true, true) != "s".into());
+        new += u32::from(rollouts.assign_request(&"s".into(), true, true) != "s".into());
         assert!(f64::from(new) <= f64::from(n) * BOUNDS.max_candidate_share, "{new} of {n}");
     }
     assert!(new > 350, "{new}");
     // What has failed once is not tried out, nor is anything without an endpoint for it.
-    assert_eq!(rollouts.deal(&"s".into(), true, false), "s".into());
-    assert_eq!(rollouts.deal(&"s".into(), false, true), "s".into());
-    assert_eq!(rollouts.deal(&"other".into(), true, true), "other".into());
+    assert_eq!(rollouts.assign_request(&"s".into(), true, false), "s".into());
+    assert_eq!(rollouts.assign_request(&"s".into(), false, true), "s".into());
+    assert_eq!(rollouts.assign_request(&"other".into(), true, true), "other".into());
 }
 
 #[test]
@@ -258,7 +258,7 @@
         .set_endpoints(complete, &endpoints())
         .iter()
         .all(|p| *p == EndpointRole::Service));
-    assert_eq!(rollouts.deal(&"s".into(), true, true), "s".into());
+    assert_eq!(rollouts.assign_request(&"s".into(), true, true), "s".into());
 }
 
 #[test]
@@ -278,7 +278,7 @@
     assert!(matches!(changes.last().map(|c| c.reason), Some(PhaseReason::Worse(_))), "{changes:?}");
     for again in [order("2"), RolloutSpec { duration: S, ..order("2") }] {
         rollouts.start(now, again, LONGEST);
-        assert_eq!(rollouts.deal(&"s".into(), true, true), "s".into());
+        assert_eq!(rollouts.assign_request(&"s".into(), true, true), "s".into());
         assert_eq!(rollouts.due_status_writes(now)[0].1, Status::RolledBack);
     }
     // Another version is another order.
@@ -295,7 +295,7 @@
     let parts = rollouts.set_endpoints(now, &all);
     // Meanwhile all of it is served by all of them.
     assert!(parts.iter().all(|part| matches!(part, EndpointRole::Version(_))), "{parts:?}");
-    (0..20).for_each(|_| assert_ne!(rollouts.deal(&"s".into(), true, true), "s".into()));
+    (0..20).for_each(|_| assert_ne!(rollouts.assign_request(&"s".into(), true, true), "s".into()));
     rollouts.settle(now);
     assert_eq!(rollouts.due_status_writes(now)[0].1, Status::Running);
     rollouts.settle(now + 4 * S);
@@ -422,7 +422,7 @@
             for RolloutRecord { phase, .. } in
                 instance.make_records(self.now, PeerLocation::SameCell)
             {
-                let dealt = instance.deal(&"s".into(), true, false);
+                let dealt = instance.assign_request(&"s".into(), true, false);
                 let is_new = dealt != "s".into();
                 let may = matches!(phase, Phase::Shift | Phase::Complete);
                 assert_eq!(is_new, may, "{history:?}: {phase:?}");
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -110,7 +110,7 @@
     pub(crate) fn deal(&mut self, service: &ServiceId, is_first: bool) -> ServiceId {
         let Some(part) = self.rollouts.part_name(service) else { return service.clone() };
         let has_new = self.cell.serves(&part);
-        self.rollouts.deal(service, has_new, is_first)
+        self.rollouts.assign_request(service, has_new, is_first)
     }
 
     /// What later lives start from.
