--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -283,7 +283,7 @@
     }
 
     /// Name of the part of a service that is moved to, if there is one.
-    pub fn part_name(&self, service: &ServiceId) -> Option<ServiceId> {
+    pub fn candidate_service(&self, service: &ServiceId) -> Option<ServiceId> {
         self.rollouts.get(service).map(Rollout::candidate_service)
     }
 
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -86,7 +86,7 @@
 
     /// Lets what waits for the part of a service that is sent nothing any more wait for the other one.
     fn move_waiting(&mut self, service: &ServiceId, phase: Phase) {
-        let Some(part) = self.rollouts.part_name(service) else { return };
+        let Some(part) = self.rollouts.candidate_service(service) else { return };
         match phase {
             Phase::Canary | Phase::Shift => {}
             Phase::RolledBack | Phase::Retired => self.cell.move_waiting(&part, service),
@@ -108,7 +108,7 @@
 
     /// The name under which a request to a service waits for a place.
     pub(crate) fn deal(&mut self, service: &ServiceId, is_first: bool) -> ServiceId {
-        let Some(part) = self.rollouts.part_name(service) else { return service.clone() };
+        let Some(part) = self.rollouts.candidate_service(service) else { return service.clone() };
         let has_new = self.cell.serves(&part);
         self.rollouts.assign_request(service, has_new, is_first)
     }
