--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -288,7 +288,7 @@
     }
 
     /// Notes that a request began to run at an endpoint.
-    pub fn began(&mut self, endpoint: &Endpoint) {
+    pub fn request_started(&mut self, endpoint: &Endpoint) {
         if let Some(rollout) = self.rollouts.get_mut(base(&endpoint.service)) {
             if rollout.group(endpoint) == Some(VersionGroup::Baseline) {
                 rollout.baseline_in_flight += 1;
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -232,7 +232,7 @@
     let now = Instant::now();
     let mut rollouts = ordered(now);
     let old = endpoint("e1-0", "1");
-    rollouts.began(&old);
+    rollouts.request_started(&old);
     let mut complete = None;
     for tick in 0..200_u32 {
         let at = now + tick * 100 * MS;
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -142,7 +142,7 @@
 impl Shared {
     /// Notes that a request began to run at an endpoint.
     pub(crate) fn run_began(&self, endpoint: &Endpoint) {
-        self.lock().rollouts.began(endpoint);
+        self.lock().rollouts.request_started(endpoint);
     }
 
     /// Notes that it ended.
