--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -297,7 +297,7 @@
     }
 
     /// Notes that a request ended at an endpoint, and with what answer if that says something of the endpoint.
-    pub fn ended(
+    pub fn request_finished(
         &mut self,
         now: Instant,
         endpoint: &Endpoint,
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -239,7 +239,7 @@
         rollouts.settle(at);
         let shifted = phase(&mut rollouts, at) == Phase::Shift;
         if shifted && tick % 160 == 0 {
-            rollouts.ended(at, &old, "r", None);
+            rollouts.request_finished(at, &old, "r", None);
         }
         let due = rollouts.due_status_writes(at);
         if due.iter().any(|(_, status)| *status == Status::Complete) {
@@ -268,9 +268,9 @@
     let (old, new) = (endpoint("e1-0", "1"), endpoint("e2-0", "2"));
     for n in 0..400 {
         let answer = ResponseOutcome::Success { ns_per_unit: 20_000.0 };
-        rollouts.ended(now, &old, "r", Some(answer));
+        rollouts.request_finished(now, &old, "r", Some(answer));
         if n % 13 == 0 {
-            rollouts.ended(now, &new, "r", Some(ResponseOutcome::Failure));
+            rollouts.request_finished(now, &new, "r", Some(ResponseOutcome::Failure));
         }
     }
     rollouts.settle(now);
@@ -371,9 +371,15 @@
             Event::Bad(n) => {
                 let (old, new) = (endpoint("e1-0", "1"), endpoint("e2-0", "2"));
                 let good = ResponseOutcome::Success { ns_per_unit: 20_000.0 };
-                (0..60).for_each(|_| self.instances[n].ended(now, &old, "r", Some(good)));
+                (0..60)
+                    .for_each(|_| self.instances[n].request_finished(now, &old, "r", Some(good)));
                 (0..9).for_each(|_| {
-                    self.instances[n].ended(now, &new, "r", Some(ResponseOutcome::Failure))
+                    self.instances[n].request_finished(
+                        now,
+                        &new,
+                        "r",
+                        Some(ResponseOutcome::Failure),
+                    )
                 });
                 self.instances[n].settle(now);
             }
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -152,7 +152,7 @@
         route: &str,
         answer: Option<ResponseOutcome>,
     ) {
-        self.lock().rollouts.ended(clock::now(), endpoint, route, answer);
+        self.lock().rollouts.request_finished(clock::now(), endpoint, route, answer);
     }
 
     fn due_statuses(&self) -> Vec<(RolloutSpec, Status)> {
