--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -316,7 +316,13 @@
     }
 
     /// Adds answers that another instance told of, or another cell.
-    pub fn draw(&mut self, now: Instant, key: ResponseCounterKey, n: u64, is_near: bool) {
+    pub fn add_peer_responses(
+        &mut self,
+        now: Instant,
+        key: ResponseCounterKey,
+        n: u64,
+        is_near: bool,
+    ) {
         let Some(rollout) = self.rollouts.values_mut().find(|r| r.id == key.rollout) else {
             return;
         };
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -362,10 +362,10 @@
         state.draw(now, heard.spent.near, true);
         state.draw(now, heard.spent.far, false);
         for (key, n) in heard.evidence.near {
-            state.rollouts.draw(now, key, n, true);
+            state.rollouts.add_peer_responses(now, key, n, true);
         }
         for (key, n) in heard.evidence.far {
-            state.rollouts.draw(now, key, n, false);
+            state.rollouts.add_peer_responses(now, key, n, false);
         }
         // Without a request that waits, no report gives anybody a place.
         let has_work = state.cell.waiting() > 0;
