--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -332,7 +332,7 @@
     }
 
     /// Answers that this instance saw.
-    pub fn counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
+    pub fn local_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
         self.local_counters.iter().map(|(key, n)| (key, *n))
     }
 
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -147,7 +147,7 @@
         let quotas = &state.admission.quotas;
         if reach != Reach::Cell || quotas.is_busy() {
             report.spent = changed(quotas.spent(), &told.spent.near, reach);
-            report.evidence = changed(state.rollouts.counters(), &told.evidence.near, reach);
+            report.evidence = changed(state.rollouts.local_counters(), &told.evidence.near, reach);
             report.fleet = report.is_representative.then(|| FleetView {
                 beyond: state.beyond(now),
                 spent: changed(quotas.far_spent(), &told.spent.fleet, reach),
