--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -353,7 +353,7 @@
     }
 
     /// Answers that other cells saw, likewise.
-    pub fn far_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
+    pub fn remote_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
         self.remote_counters.iter().map(|(key, n)| (key, *n))
     }
 
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -152,7 +152,7 @@
                 beyond: state.beyond(now),
                 spent: changed(quotas.far_spent(), &told.spent.fleet, reach),
                 lately: told.lately(now, || quotas.far_lately(now)),
-                evidence: changed(state.rollouts.far_counters(), &told.evidence.fleet, reach),
+                evidence: changed(state.rollouts.remote_counters(), &told.evidence.fleet, reach),
                 is_full: reach.is_full() || told.has_just_begun(now),
             });
         }
