--- a/oxbowbend-core/src/cell/fleet.rs
+++ b/oxbowbend-core/src/cell/fleet.rs
@@ -20,7 +20,7 @@
 use super::{Cell, PEER_TTL};
 use crate::ids::AccountId;
 use crate::quota::RecentUsage;
-use crate::rollout::evidence::EvidenceKey;
+use crate::rollout::responses::ResponseCounterKey;
 
 /// What a representative reports to its own cell about the other cells.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
@@ -37,7 +37,7 @@
     pub recent_units: Vec<(AccountId, RecentUsage)>,
     /// Answer counters of versions being rolled out, counted like `admitted_units`.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
-    pub evidence: Vec<(EvidenceKey, u64)>,
+    pub evidence: Vec<(ResponseCounterKey, u64)>,
     /// Whether all non-zero counters are included.
     #[serde(rename = "f", default)]
     pub is_complete: bool,
--- a/oxbowbend-core/src/cell/hear.rs
+++ b/oxbowbend-core/src/cell/hear.rs
@@ -9,7 +9,7 @@
 use super::{pace, Cell, PEER_TTL};
 use crate::ids::{AccountId, InstanceId};
 use crate::quota::{admitted_within, RecentUsage};
-use crate::rollout::evidence::EvidenceKey;
+use crate::rollout::responses::ResponseCounterKey;
 
 /// Time without a report after which an instance of this cell is removed.
 const PEER_RETENTION: Duration = Duration::from_secs(30);
@@ -45,7 +45,7 @@
     /// Admitted units by client account.
     pub admitted_units: CounterDeltas<AccountId>,
     /// Answers of versions being rolled out.
-    pub evidence: CounterDeltas<EvidenceKey>,
+    pub evidence: CounterDeltas<ResponseCounterKey>,
 }
 
 /// Which counters of a report are counted, and from which baseline.
--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -8,7 +8,7 @@
 use super::pace;
 use super::report::Report;
 use crate::ids::{AccountId, EndpointKey};
-use crate::rollout::evidence::EvidenceKey;
+use crate::rollout::responses::ResponseCounterKey;
 
 /// Last reported values of monotonic counters. Frequent reports omit them.
 #[derive(Clone, Debug)]
@@ -42,7 +42,7 @@
     /// Admitted units by client account.
     pub(super) admitted_units: CounterBaselines<AccountId>,
     /// Answers of versions being rolled out.
-    pub(super) evidence: CounterBaselines<EvidenceKey>,
+    pub(super) evidence: CounterBaselines<ResponseCounterKey>,
     /// Whether a report with all of its own counters, its cell's totals, or the other cells' totals
     /// was received.
     pub(super) has_own_baseline: bool,
--- a/oxbowbend-core/src/cell/report.rs
+++ b/oxbowbend-core/src/cell/report.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 
 use crate::ids::{AccountId, EndpointKey, InstanceId, ServiceId, ZoneId};
-use crate::quarantine::Told;
+use crate::quarantine::QuarantineUpdate;
 use crate::quota::{RecentUsage, WindowUsage};
-use crate::rollout::evidence::EvidenceKey;
-use crate::rollout::ToldRollout;
+use crate::rollout::responses::ResponseCounterKey;
+use crate::rollout::RolloutRecord;
 
 /// State of one instance.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
@@ -110,13 +110,13 @@
     pub has_all_cell_counters: bool,
     /// State of roll-outs.
     #[serde(rename = "R", default, skip_serializing_if = "Vec::is_empty")]
-    pub rollouts: Vec<ToldRollout>,
+    pub rollouts: Vec<RolloutRecord>,
     /// Answer counters of versions being rolled out, in this incarnation.
     #[serde(rename = "V", default, skip_serializing_if = "Vec::is_empty")]
-    pub evidence: Vec<(EvidenceKey, u64)>,
+    pub evidence: Vec<(ResponseCounterKey, u64)>,
     /// Answer counters of the sender's cell, as received in this incarnation. Sent to other cells.
     #[serde(rename = "C", default, skip_serializing_if = "Vec::is_empty")]
-    pub cell_evidence: Vec<(EvidenceKey, u64)>,
+    pub cell_evidence: Vec<(ResponseCounterKey, u64)>,
     /// Units used by client accounts in each of the last seconds, newest first. Sent while the cell
     /// has a new instance.
     #[serde(rename = "W", default, skip_serializing_if = "Vec::is_empty")]
@@ -125,8 +125,8 @@
     #[serde(rename = "B", default, skip_serializing_if = "EndpointNotices::is_empty")]
     pub endpoint_notices: EndpointNotices,
     /// State of the quarantine of requests that crash endpoints.
-    #[serde(rename = "Q", default, skip_serializing_if = "Told::is_empty")]
-    pub quarantine: Told,
+    #[serde(rename = "Q", default, skip_serializing_if = "QuarantineUpdate::is_empty")]
+    pub quarantine: QuarantineUpdate,
     /// Addresses of representatives of other cells, or of all known instances at the first start of
     /// a fleet.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
--- /dev/null
+++ b/oxbowbend-core/src/quarantine/decisions.rs
@@ -0,0 +1,332 @@
+//! Which request is quarantined, and until when.
+
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::time::{Duration, Instant};
+
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+use super::crashes::{Crash, Crashes};
+use super::records::DecisionRecord;
+use super::{age_ms, SendPermission};
+use crate::fingerprint::Fingerprint;
+use crate::ids::{EndpointKey, InstanceId};
+
+/// Ends that a request must be suspected of.
+pub const CRASH_THRESHOLD: usize = 3;
+/// Ends among whose requests it was, whatever had come of its answers, if it is in as many as any other. Streams that
+/// are continued elsewhere three times and come back once were beside six at most.
+const PRESENCE_THRESHOLD: usize = 5;
+/// First time until a trial, and the longest one. A trial that ends its endpoint costs it some 4 s and what runs
+/// there: one in fifteen of an endpoint's time.
+const TRIAL_DELAY_RANGE: (Duration, Duration) =
+    (Duration::from_secs(60), Duration::from_secs(3600));
+/// Time by which instances' trials are apart, so that one has told the others before the next would begin: word
+/// takes 0.01 s within a cell and 0.5 s beyond it.
+const MAX_TRIAL_JITTER: Duration = Duration::from_secs(10);
+/// Decisions that are kept: 0.4 MB. Those go first that are over, then those whose time ends first.
+const MAX_DECISIONS: usize = 4096;
+/// Decisions that one report tells beside the new ones, and the store is given.
+const MAX_RECORDS_PER_UPDATE: usize = 16;
+/// Time after its trial is due, or its end, for which a decision is kept.
+const DECISION_RETENTION: Duration = Duration::from_secs(3600);
+
+/// A request that ended endpoints.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub(super) struct CrashCause {
+    pub(super) fingerprint: Fingerprint,
+    pub(super) crashes: Vec<EndpointKey>,
+}
+
+/// What a decision says.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub(super) enum DecisionOutcome {
+    /// It is held for this long.
+    Quarantined(Duration),
+    /// It may be sent.
+    Released,
+}
+
+#[derive(Clone, Debug)]
+struct Decision {
+    epoch: u32,
+    trials: u32,
+    /// When the next trial is due; none if it is over.
+    trial_due: Option<Instant>,
+    updated_at: Instant,
+    /// Whether this instance came to it.
+    is_local: bool,
+}
+
+/// All decisions.
+#[derive(Debug)]
+pub(super) struct Decisions {
+    decisions: BTreeMap<Fingerprint, Decision>,
+    jitter_seed: u64,
+    /// Where the next full report goes on.
+    sync_cursor: Fingerprint,
+}
+
+impl Decisions {
+    pub(super) fn new(me: &InstanceId) -> Decisions {
+        Decisions {
+            decisions: BTreeMap::new(),
+            jitter_seed: xxh3_64_with_seed(me.as_bytes(), 0),
+            sync_cursor: 0,
+        }
+    }
+
+    fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
+        self.decisions.get(&fingerprint).is_some_and(|v| v.trial_due.is_some())
+    }
+
+    /// Requests in quarantine.
+    pub(super) fn quarantined(&self) -> impl Iterator<Item = Fingerprint> + '_ {
+        self.decisions
+            .iter()
+            .filter(|(_, v)| v.trial_due.is_some())
+            .map(|(fingerprint, _)| *fingerprint)
+    }
+
+    pub(super) fn trials(&self, fingerprint: Fingerprint) -> u32 {
+        self.decisions.get(&fingerprint).map_or(0, |v| v.trials)
+    }
+
+    pub(super) fn blocked_for(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
+        let until = self.decisions.get(&fingerprint)?.trial_due? + self.trial_jitter(fingerprint);
+        (now < until).then(|| until - now)
+    }
+
+    pub(super) fn check_send(&mut self, now: Instant, fingerprint: Fingerprint) -> SendPermission {
+        if let Some(left) = self.blocked_for(now, fingerprint) {
+            return SendPermission::Blocked(left);
+        }
+        match self.decisions.get_mut(&fingerprint).filter(|v| v.trial_due.is_some()) {
+            None => SendPermission::Allowed,
+            Some(verdict) => {
+                verdict.trials += 1;
+                verdict.trial_due = Some(now + trial_delay(verdict.trials));
+                (verdict.updated_at, verdict.is_local) = (now, true);
+                SendPermission::Trial
+            }
+        }
+    }
+
+    /// By how much this instance's trial is later than the first one might be.
+    fn trial_jitter(&self, fingerprint: Fingerprint) -> Duration {
+        let hash = xxh3_64_with_seed(&fingerprint.to_be_bytes(), self.jitter_seed);
+        MAX_TRIAL_JITTER.mul_f64((hash >> 32) as f64 / f64::from(u32::MAX))
+    }
+
+    /// Quarantines a request; returns for how long.
+    pub(super) fn quarantine(&mut self, now: Instant, fingerprint: Fingerprint) -> Duration {
+        self.evict_if_full(now);
+        let epoch = self.decisions.get(&fingerprint).map_or(0, |v| v.epoch) + 1;
+        let until = Some(now + trial_delay(0));
+        let verdict =
+            Decision { epoch, trials: 0, trial_due: until, updated_at: now, is_local: true };
+        self.decisions.insert(fingerprint, verdict);
+        trial_delay(0)
+    }
+
+    /// Ends a quarantine; tells whether there was one.
+    pub(super) fn release(&mut self, now: Instant, fingerprint: Fingerprint) -> bool {
+        let held = self.decisions.get_mut(&fingerprint).filter(|v| v.trial_due.is_some());
+        let Some(verdict) = held else { return false };
+        (verdict.trial_due, verdict.updated_at, verdict.is_local) = (None, now, true);
+        true
+    }
+
+    /// Takes in what another instance or the store tells; returns what it says if that is news.
+    pub(super) fn apply_record(
+        &mut self,
+        now: Instant,
+        told: &DecisionRecord,
+    ) -> Option<DecisionOutcome> {
+        let known = self.decisions.get(&told.fingerprint);
+        let order = |epoch, is_over, trials| (epoch, is_over, trials);
+        let theirs = order(told.epoch, told.remaining_ms.is_none(), told.trials);
+        let is_old =
+            known.is_some_and(|v| order(v.epoch, v.trial_due.is_none(), v.trials) >= theirs);
+        if is_old || (known.is_none() && told.remaining_ms.is_none()) {
+            return None;
+        }
+        self.evict_if_full(now);
+        let left = told
+            .remaining_ms
+            .map(|ms| Duration::from_millis(u64::from(ms)).min(TRIAL_DELAY_RANGE.1));
+        let verdict = Decision {
+            epoch: told.epoch,
+            trials: told.trials,
+            trial_due: left.map(|left| now + left),
+            updated_at: now,
+            is_local: false,
+        };
+        self.decisions.insert(told.fingerprint, verdict);
+        Some(left.map_or(DecisionOutcome::Released, DecisionOutcome::Quarantined))
+    }
+
+    fn evict_if_full(&mut self, now: Instant) {
+        let is_kept = |v: &Decision| {
+            let over = v.trial_due.unwrap_or(v.updated_at).max(v.updated_at);
+            now.saturating_duration_since(over) < DECISION_RETENTION
+        };
+        if self.decisions.len() < MAX_DECISIONS {
+            return;
+        }
+        self.decisions.retain(|_, v| is_kept(v));
+        let first = self
+            .decisions
+            .iter()
+            .min_by_key(|(_, v)| v.trial_due)
+            .map(|(fingerprint, _)| *fingerprint);
+        if self.decisions.len() >= MAX_DECISIONS {
+            first.map(|fingerprint| self.decisions.remove(&fingerprint));
+        }
+    }
+
+    pub(super) fn collect_records(
+        &mut self,
+        now: Instant,
+        lately: Duration,
+        in_full: bool,
+    ) -> Vec<DecisionRecord> {
+        let is_late = |v: &Decision| now.saturating_duration_since(v.updated_at) < lately;
+        let late = self.decisions.iter().filter(|(_, v)| is_late(v)).take(MAX_RECORDS_PER_UPDATE);
+        let mut told: Vec<_> = late.map(|(f, v)| v.to_record(now, *f)).collect();
+        if in_full {
+            let rest = self
+                .decisions
+                .range(self.sync_cursor..)
+                .filter(|(_, v)| !is_late(v))
+                .take(MAX_RECORDS_PER_UPDATE);
+            let rest: Vec<_> = rest.map(|(f, v)| v.to_record(now, *f)).collect();
+            self.sync_cursor = rest.last().map_or(0, |last| last.fingerprint.wrapping_add(1));
+            told.extend(rest);
+        }
+        told
+    }
+
+    pub(super) fn records_to_store(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
+        let is_noted = |v: &Decision| v.trial_due.is_some() && (all || v.is_local);
+        let mut noted: Vec<_> = self.decisions.iter().filter(|(_, v)| is_noted(v)).collect();
+        noted.sort_by_key(|(_, v)| std::cmp::Reverse(v.updated_at));
+        let noted = noted.into_iter().take(MAX_RECORDS_PER_UPDATE);
+        // Whoever reads it does not know how old it is: its time begins anew, and the note stays as it is.
+        let note = |f: Fingerprint, v: &Decision| DecisionRecord {
+            remaining_ms: Some(trial_delay(v.trials).as_millis() as u32),
+            ..v.to_record(now, f)
+        };
+        noted.map(|(f, v)| note(*f, v)).collect()
+    }
+}
+
+impl Decision {
+    fn to_record(&self, now: Instant, fingerprint: Fingerprint) -> DecisionRecord {
+        let left_ms = self.trial_due.map(|until| age_ms(until, now));
+        DecisionRecord {
+            fingerprint,
+            epoch: self.epoch,
+            trials: self.trials,
+            remaining_ms: left_ms,
+        }
+    }
+}
+
+/// Time until the next trial after so many.
+fn trial_delay(trials: u32) -> Duration {
+    (TRIAL_DELAY_RANGE.0 * (1 << trials.min(6))).min(TRIAL_DELAY_RANGE.1)
+}
+
+/// What the ends that are known come to.
+#[derive(Debug)]
+pub(super) struct CrashAnalysis {
+    /// Requests to be held.
+    pub(super) causes: Vec<CrashCause>,
+    /// Requests that are held, and of whose ends each has another culprit.
+    pub(super) cleared: Vec<Fingerprint>,
+}
+
+/// Judges anew by all ends that are known. The request that was at most of them explains these, then the one
+/// that was at most of the rest, and so on: one that was taken for a culprit since it ran beside several of them is
+/// cleared when they are found.
+pub(super) fn analyze_crashes(ends: &Crashes, verdicts: &Decisions) -> CrashAnalysis {
+    let mut known: HashMap<Fingerprint, u32> = HashMap::new();
+    ends.settled().flat_map(Crash::fingerprints).for_each(|f| *known.entry(f).or_default() += 1);
+    let held: Vec<_> = known.keys().copied().filter(|f| verdicts.is_quarantined(*f)).collect();
+    // Of these not enough is known here to judge anew.
+    let mut found: HashSet<_> =
+        held.iter().copied().filter(|f| known[f] < CRASH_THRESHOLD as u32).collect();
+    let mut culprits = Vec::new();
+    loop {
+        let next = most_likely_causes(ends, &found);
+        if next.is_empty() {
+            break;
+        }
+        found.extend(next.iter().map(|culprit| culprit.fingerprint));
+        culprits.extend(next);
+    }
+    let is_explained = |f: &Fingerprint| {
+        let mut mine = ends.settled().filter(|end| end.fingerprints().any(|run| run == *f));
+        !found.contains(f) && mine.all(|end| end.fingerprints().any(|run| found.contains(&run)))
+    };
+    let cleared = held.into_iter().filter(is_explained).collect();
+    culprits.retain(|culprit| !verdicts.is_quarantined(culprit.fingerprint));
+    CrashAnalysis { causes: culprits, cleared }
+}
+
+/// The request that must have ended most endpoints at whose end none of those found was.
+///
+/// It must be suspected of [`CRASH_THRESHOLD`] ends, and no other one may be suspected of all of them too: the two
+/// could not be told apart, and one more end tells. If it does not, both are held. Against requests that end
+/// endpoints late, when something has come of their answers, being at [`PRESENCE_THRESHOLD`] ends is enough.
+fn most_likely_causes(ends: &Crashes, found: &HashSet<Fingerprint>) -> Vec<CrashCause> {
+    let open = ends.settled().filter(|end| !end.fingerprints().any(|f| found.contains(&f)));
+    let (mut suspected, mut beside) = (CrashesByRequest::default(), CrashesByRequest::default());
+    for end in open {
+        end.suspects().for_each(|f| suspected.add(f, end.endpoint));
+        end.fingerprints().for_each(|f| beside.add(f, end.endpoint));
+    }
+    let suspects = suspected.top_causes();
+    let is_certain = suspects.len() == 1;
+    if suspects.first().is_some_and(|s| {
+        s.crashes.len() >= if is_certain { CRASH_THRESHOLD } else { CRASH_THRESHOLD + 1 }
+    }) {
+        return suspects;
+    }
+    let is_enough = |culprit: &CrashCause| culprit.crashes.len() >= PRESENCE_THRESHOLD;
+    beside.top_causes().into_iter().filter(is_enough).collect()
+}
+
+/// Ends by request.
+#[derive(Default)]
+struct CrashesByRequest {
+    crashes: HashMap<Fingerprint, Vec<EndpointKey>>,
+}
+
+impl CrashesByRequest {
+    fn add(&mut self, fingerprint: Fingerprint, endpoint: EndpointKey) {
+        self.crashes.entry(fingerprint).or_default().push(endpoint);
+    }
+
+    /// The request with most ends, with those that were at all of them too. Of several such groups it is a smallest
+    /// one: whoever is alone can be told from the others.
+    fn top_causes(&self) -> Vec<CrashCause> {
+        let most = self.crashes.values().map(Vec::len).max().unwrap_or(0);
+        if most < CRASH_THRESHOLD {
+            return Vec::new();
+        }
+        let groups = self.crashes.values().filter(|ends| ends.len() == most);
+        let groups = groups.map(|ends| self.indistinguishable_from(ends));
+        groups.min_by_key(|group| (group.len(), group[0].fingerprint)).unwrap_or_default()
+    }
+
+    /// Requests that were at all of these ends, in order.
+    fn indistinguishable_from(&self, ends: &[EndpointKey]) -> Vec<CrashCause> {
+        let is_like = |theirs: &&Vec<EndpointKey>| ends.iter().all(|end| theirs.contains(end));
+        let alike = self.crashes.iter().filter(|(_, theirs)| is_like(theirs));
+        let alike = alike.map(|(f, ends)| CrashCause { fingerprint: *f, crashes: ends.clone() });
+        let mut alike: Vec<_> = alike.collect();
+        alike.sort_by_key(|culprit| culprit.fingerprint);
+        alike
+    }
+}
--- a/oxbowbend-core/src/quarantine/told.rs
+++ b/oxbowbend-core/src/quarantine/records.rs
@@ -1,33 +1,33 @@
 //! What instances tell each other, and note in the store.
 
-use super::ends::Run;
+use super::crashes::InterruptedAttempt;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
 
 /// What one report tells. Ages are sent instead of times, since no two clocks agree.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct Told {
+pub struct QuarantineUpdate {
     /// Ends of endpoints.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
-    pub ends: Vec<ToldEnd>,
+    pub crashes: Vec<CrashRecord>,
     /// Decisions.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
-    pub verdicts: Vec<ToldVerdict>,
+    pub decisions: Vec<DecisionRecord>,
     /// Good answers to requests that were suspected.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
-    pub answers: Vec<ToldAnswer>,
+    pub successes: Vec<SuccessRecord>,
 }
 
-impl Told {
+impl QuarantineUpdate {
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
-        self.ends.is_empty() && self.verdicts.is_empty() && self.answers.is_empty()
+        self.crashes.is_empty() && self.decisions.is_empty() && self.successes.is_empty()
     }
 }
 
 /// An end of an endpoint.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct ToldEnd {
+pub struct CrashRecord {
     /// The start that ended.
     #[serde(rename = "k")]
     pub endpoint: EndpointKey,
@@ -36,12 +36,12 @@
     pub age_ms: u32,
     /// What ran there.
     #[serde(rename = "r")]
-    pub runs: Vec<Run>,
+    pub attempts: Vec<InterruptedAttempt>,
 }
 
 /// A decision on a request.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct ToldVerdict {
+pub struct DecisionRecord {
     /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
@@ -53,12 +53,12 @@
     pub trials: u32,
     /// Milliseconds until the next trial; none if the quarantine is over.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
-    pub left_ms: Option<u32>,
+    pub remaining_ms: Option<u32>,
 }
 
 /// A good answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct ToldAnswer {
+pub struct SuccessRecord {
     /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -5,7 +5,7 @@
 //! on one route only. So a roll-out begins as a canary: each instance sends the version a small part of its own
 //! requests, which keeps the fleet within the operator's bound whoever hears whom, and only to as many
 //! endpoints as that part keeps as busy as the others. All instances tell each other what became of both versions'
-//! requests ([`evidence`]), and whoever finds the version worse ([`detector`]) rolls back. Time that is left is time
+//! requests ([`responses`]), and whoever finds the version worse ([`detector`]) rolls back. Time that is left is time
 //! for evidence: only when the rest is needed for what still runs at the other versions does all traffic shift.
 //! Once nothing runs there any more the roll-out is complete, and the platform stops them.
 //!
@@ -16,9 +16,9 @@
 //! evidence from before an instance was first heard is lost.
 
 pub mod detector;
-pub mod evidence;
+mod records;
+pub mod responses;
 mod state;
-mod told;
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -27,31 +27,31 @@
 
 use crate::ids::{EndpointId, ServiceId, VersionId};
 use crate::routes::Endpoint;
-use detector::Finding;
-use evidence::{Answer, EvidenceKey, OrderId, Side, SideCounts};
+use detector::Regression;
+pub use records::{PeerLocation, Phase, RolloutRecord};
+use responses::{GroupCounts, ResponseCounterKey, ResponseOutcome, RolloutId, VersionGroup};
 use state::Rollout;
-pub use told::{Phase, Teller, ToldRollout};
 
 /// Part of the bound on exposure that is used: what is on its way when a version is found to be bad comes on top.
-const USED_SHARE: f64 = 0.8;
+const TARGET_EXPOSURE_FRACTION: f64 = 0.8;
 /// Time after a complete roll-out for which the other versions are left alone: their entries go after three
 /// heartbeats of 1.2 s.
-const RETIRING: Duration = Duration::from_secs(10);
+const RETIRE_DELAY: Duration = Duration::from_secs(10);
 /// Age up to which what an instance tells of its runs counts.
-const TOLD_TTL: Duration = Duration::from_millis(1500);
+const PEER_RECORD_TTL: Duration = Duration::from_millis(1500);
 /// Separates a service's name from the version in the name of the part that is moved to.
-const PART: char = '\u{1f}';
+const VERSION_SEPARATOR: char = '\u{1f}';
 
 /// Bounds of the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RolloutBounds {
+pub struct RolloutLimits {
     /// Largest share of a service's requests that a version may get that turns out to be bad.
-    pub share: f64,
+    pub max_candidate_share: f64,
 }
 
 /// What an operator orders.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Order {
+pub struct RolloutSpec {
     /// The service.
     pub service: ServiceId,
     /// The version to move to.
@@ -60,10 +60,11 @@
     pub duration: Duration,
 }
 
-impl Order {
+impl RolloutSpec {
     /// Its number. The same asked for again is the same order, and what was decided on it stands.
-    pub fn id(&self) -> OrderId {
-        xxh3_64(format!("{}{PART}{}", self.service, self.destination).as_bytes()) as OrderId
+    pub fn id(&self) -> RolloutId {
+        xxh3_64(format!("{}{VERSION_SEPARATOR}{}", self.service, self.destination).as_bytes())
+            as RolloutId
     }
 }
 
@@ -80,11 +81,11 @@
 
 /// Why a roll-out is in another phase.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Why {
+pub enum PhaseReason {
     /// It was ordered.
     Ordered,
     /// The version answers worse.
-    Worse(Finding),
+    Worse(Regression),
     /// The time of the phase before is over.
     Time,
     /// The deadline has come, and there was nothing to move to.
@@ -99,7 +100,7 @@
 
 /// A roll-out is in another phase, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct PhaseChange {
     /// The service.
     pub service: ServiceId,
     /// The version.
@@ -107,144 +108,158 @@
     /// The phase.
     pub phase: Phase,
     /// Why.
-    pub why: Why,
+    pub reason: PhaseReason,
     /// Since the order.
     pub age: Duration,
     /// What is known of both versions' answers.
-    pub answers: SideCounts,
+    pub responses: GroupCounts,
 }
 
 /// Where an endpoint of a service stands in its roll-out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum EndpointRole {
     /// It serves what is sent to the service.
     Service,
     /// It serves what is sent to this name.
     Version(ServiceId),
     /// It is sent nothing.
-    None,
+    Excluded,
 }
 
 /// All roll-outs as one instance sees them.
 #[derive(Debug)]
 pub struct Rollouts {
-    bounds: RolloutBounds,
-    all: BTreeMap<ServiceId, Rollout>,
+    limits: RolloutLimits,
+    rollouts: BTreeMap<ServiceId, Rollout>,
     /// Answers that this instance saw, those that its cell told of, and those of other cells.
-    own: BTreeMap<EvidenceKey, u64>,
-    near: BTreeMap<EvidenceKey, u64>,
-    far: BTreeMap<EvidenceKey, u64>,
-    changes: Vec<Change>,
+    local_counters: BTreeMap<ResponseCounterKey, u64>,
+    peer_counters: BTreeMap<ResponseCounterKey, u64>,
+    remote_counters: BTreeMap<ResponseCounterKey, u64>,
+    changes: Vec<PhaseChange>,
 }
 
 impl Rollouts {
     /// None yet.
-    pub fn new(bounds: RolloutBounds) -> Rollouts {
+    pub fn new(bounds: RolloutLimits) -> Rollouts {
         Rollouts {
-            bounds,
-            all: BTreeMap::new(),
-            own: BTreeMap::new(),
-            near: BTreeMap::new(),
-            far: BTreeMap::new(),
+            limits: bounds,
+            rollouts: BTreeMap::new(),
+            local_counters: BTreeMap::new(),
+            peer_counters: BTreeMap::new(),
+            remote_counters: BTreeMap::new(),
             changes: Vec::new(),
         }
     }
 
     /// Takes in an order. `longest` is the longest time that a request to the service may take. The same order
     /// again changes nothing; one for another version takes the place of the one before.
-    pub fn ordered(&mut self, now: Instant, order: Order, longest: Duration) {
-        if self.all.get(&order.service).is_some_and(|r| r.id == order.id()) {
+    pub fn start(&mut self, now: Instant, order: RolloutSpec, longest: Duration) {
+        if self.rollouts.get(&order.service).is_some_and(|r| r.id == order.id()) {
             return;
         }
         let deadline = now + order.duration;
-        self.begin(now, order, deadline, longest, Phase::Canary, Why::Ordered);
+        self.insert(now, order, deadline, longest, Phase::Canary, PhaseReason::Ordered);
     }
 
-    fn begin(
+    fn insert(
         &mut self,
         now: Instant,
-        order: Order,
+        order: RolloutSpec,
         deadline: Instant,
         longest: Duration,
         phase: Phase,
-        why: Why,
+        why: PhaseReason,
     ) {
         let service = order.service.clone();
         let rollout = Rollout::new(now, order, deadline, longest, phase);
-        for counters in [&mut self.own, &mut self.near, &mut self.far] {
-            counters.retain(|key, _| key.order == rollout.id);
+        for counters in
+            [&mut self.local_counters, &mut self.peer_counters, &mut self.remote_counters]
+        {
+            counters.retain(|key, _| key.rollout == rollout.id);
         }
-        self.changes.push(rollout.change(now, why));
-        self.all.insert(service, rollout);
+        self.changes.push(rollout.phase_change(now, why));
+        self.rollouts.insert(service, rollout);
     }
 
     /// Takes an order back.
-    pub fn cancelled(&mut self, now: Instant, service: &ServiceId) {
-        if let Some(rollout) = self.all.get_mut(service) {
+    pub fn cancel(&mut self, now: Instant, service: &ServiceId) {
+        if let Some(rollout) = self.rollouts.get_mut(service) {
             if rollout.phase < Phase::RolledBack {
-                self.changes.extend(rollout.enter(now, Phase::RolledBack, Why::Cancelled));
+                self.changes.extend(rollout.enter_phase(
+                    now,
+                    Phase::RolledBack,
+                    PhaseReason::Cancelled,
+                ));
             }
         }
     }
 
     /// Takes in what the store says of an order for a version.
-    pub fn status_read(
+    pub fn apply_stored_status(
         &mut self,
         now: Instant,
         service: &ServiceId,
         destination: &VersionId,
         status: Status,
     ) {
-        let rollout = self.all.get_mut(service).filter(|r| r.order.destination == *destination);
+        let rollout = self.rollouts.get_mut(service).filter(|r| r.spec.destination == *destination);
         let Some(rollout) = rollout else { return };
-        rollout.status = Some(status);
+        rollout.stored_status = Some(status);
         let phase = match status {
             Status::Running => return,
             Status::Complete => Phase::Complete,
             Status::RolledBack => Phase::RolledBack,
         };
         if rollout.phase != phase {
-            self.changes.extend(rollout.enter(now, phase, Why::Told));
+            self.changes.extend(rollout.enter_phase(now, phase, PhaseReason::Told));
         }
     }
 
     /// Forgets what the store said, since it may not hold it any more.
-    pub fn store_restored(&mut self) {
-        self.all.values_mut().for_each(|rollout| rollout.status = None);
+    pub fn forget_stored_statuses(&mut self) {
+        self.rollouts.values_mut().for_each(|rollout| rollout.stored_status = None);
     }
 
     /// What the store should say and does not, as far as is known.
-    pub fn due(&self, now: Instant) -> Vec<(Order, Status)> {
-        let due = self.all.values().filter_map(|rollout| {
-            let status = rollout.due(now)?;
-            (rollout.status != Some(status)).then(|| (rollout.order.clone(), status))
+    pub fn due_status_writes(&self, now: Instant) -> Vec<(RolloutSpec, Status)> {
+        let due = self.rollouts.values().filter_map(|rollout| {
+            let status = rollout.desired_status(now)?;
+            (rollout.stored_status != Some(status)).then(|| (rollout.spec.clone(), status))
         });
         due.collect()
     }
 
     /// Takes in the list of all endpoints; returns where each stands.
-    pub fn set_endpoints(&mut self, now: Instant, endpoints: &[Endpoint]) -> Vec<Part> {
-        for rollout in self.all.values_mut() {
+    pub fn set_endpoints(&mut self, now: Instant, endpoints: &[Endpoint]) -> Vec<EndpointRole> {
+        for rollout in self.rollouts.values_mut() {
             rollout.set_endpoints(now, endpoints);
         }
-        let canaries = self.canaries(endpoints);
-        let part = |endpoint: &Endpoint| match self.all.get(&endpoint.service) {
-            Some(rollout) => rollout.part(endpoint, canaries.contains(&&endpoint.id)),
-            None => Part::Service,
+        let canaries = self.select_canaries(endpoints);
+        let part = |endpoint: &Endpoint| match self.rollouts.get(&endpoint.service) {
+            Some(rollout) => rollout.endpoint_role(endpoint, canaries.contains(&&endpoint.id)),
+            None => EndpointRole::Service,
         };
         endpoints.iter().map(part).collect()
     }
 
     /// Endpoints of versions that are tried: as many as the part of the requests that they get keeps as busy as the
     /// others.
-    fn canaries<'a>(&self, endpoints: &'a [Endpoint]) -> Vec<&'a EndpointId> {
+    fn select_canaries<'a>(&self, endpoints: &'a [Endpoint]) -> Vec<&'a EndpointId> {
         let mut canaries = Vec::new();
-        for rollout in self.all.values().filter(|r| r.phase == Phase::Canary) {
-            let new = endpoints.iter().filter(|e| rollout.side(e) == Some(Side::New) && !e.leaving);
+        for rollout in self.rollouts.values().filter(|r| r.phase == Phase::Canary) {
+            let new = endpoints
+                .iter()
+                .filter(|e| rollout.group(e) == Some(VersionGroup::Candidate) && !e.leaving);
             let mut new: Vec<_> = new.map(|e| &e.id).collect();
             new.sort_by_key(|id| xxh3_64(id.as_bytes()));
-            let part = rollout.sides.old.max(new.len()) as f64 * self.bounds.share * USED_SHARE;
-            let tried = if rollout.sides.old == 0 { new.len() } else { part.ceil() as usize };
+            let part = rollout.endpoint_counts.baseline.max(new.len()) as f64
+                * self.limits.max_candidate_share
+                * TARGET_EXPOSURE_FRACTION;
+            let tried = if rollout.endpoint_counts.baseline == 0 {
+                new.len()
+            } else {
+                part.ceil() as usize
+            };
             canaries.extend(new.into_iter().take(tried));
         }
         canaries
@@ -253,96 +268,119 @@
     /// Where to send a request to a service, by name of the part; counts it. `has_new` if this instance has
     /// endpoints of the new version, `is_first` if the request was sent nowhere before: one that has failed is not
     /// tried out again.
-    pub fn deal(&mut self, service: &ServiceId, has_new: bool, is_first: bool) -> ServiceId {
-        let share = self.bounds.share * USED_SHARE;
-        let Some(rollout) = self.all.get_mut(service) else { return service.clone() };
-        match rollout.deal(share, has_new, is_first) {
-            Side::Old => service.clone(),
-            Side::New => rollout.part_name(),
+    pub fn assign_request(
+        &mut self,
+        service: &ServiceId,
+        has_new: bool,
+        is_first: bool,
+    ) -> ServiceId {
+        let share = self.limits.max_candidate_share * TARGET_EXPOSURE_FRACTION;
+        let Some(rollout) = self.rollouts.get_mut(service) else { return service.clone() };
+        match rollout.assign_request(share, has_new, is_first) {
+            VersionGroup::Baseline => service.clone(),
+            VersionGroup::Candidate => rollout.candidate_service(),
         }
     }
 
     /// Name of the part of a service that is moved to, if there is one.
-    pub fn part_name(&self, service: &ServiceId) -> Option<ServiceId> {
-        self.all.get(service).map(Rollout::part_name)
+    pub fn candidate_service(&self, service: &ServiceId) -> Option<ServiceId> {
+        self.rollouts.get(service).map(Rollout::candidate_service)
     }
 
     /// Notes that a request began to run at an endpoint.
-    pub fn began(&mut self, endpoint: &Endpoint) {
-        if let Some(rollout) = self.all.get_mut(base(&endpoint.service)) {
-            if rollout.side(endpoint) == Some(Side::Old) {
-                rollout.running += 1;
+    pub fn request_started(&mut self, endpoint: &Endpoint) {
+        if let Some(rollout) = self.rollouts.get_mut(base(&endpoint.service)) {
+            if rollout.group(endpoint) == Some(VersionGroup::Baseline) {
+                rollout.baseline_in_flight += 1;
             }
         }
     }
 
     /// Notes that a request ended at an endpoint, and with what answer if that says something of the endpoint.
-    pub fn ended(
+    pub fn request_finished(
         &mut self,
         now: Instant,
         endpoint: &Endpoint,
         route: &str,
-        answer: Option<Answer>,
+        answer: Option<ResponseOutcome>,
     ) {
-        let Some(rollout) = self.all.get_mut(base(&endpoint.service)) else { return };
-        let Some(side) = rollout.side(endpoint) else { return };
-        if side == Side::Old {
-            rollout.running = rollout.running.saturating_sub(1);
+        let Some(rollout) = self.rollouts.get_mut(base(&endpoint.service)) else { return };
+        let Some(side) = rollout.group(endpoint) else { return };
+        if side == VersionGroup::Baseline {
+            rollout.baseline_in_flight = rollout.baseline_in_flight.saturating_sub(1);
         }
         let Some(answer) = answer.filter(|_| rollout.phase < Phase::RolledBack) else { return };
-        let key = EvidenceKey::new(rollout.id, route, side, answer);
-        rollout.evidence.add(now, key, 1);
-        *self.own.entry(key).or_default() += 1;
+        let key = ResponseCounterKey::new(rollout.id, route, side, answer);
+        rollout.responses.add(now, key, 1);
+        *self.local_counters.entry(key).or_default() += 1;
     }
 
     /// Adds answers that another instance told of, or another cell.
-    pub fn draw(&mut self, now: Instant, key: EvidenceKey, n: u64, is_near: bool) {
-        let Some(rollout) = self.all.values_mut().find(|r| r.id == key.order) else { return };
-        rollout.evidence.add(now, key, n);
-        let counters = if is_near { &mut self.near } else { &mut self.far };
+    pub fn add_peer_responses(
+        &mut self,
+        now: Instant,
+        key: ResponseCounterKey,
+        n: u64,
+        is_near: bool,
+    ) {
+        let Some(rollout) = self.rollouts.values_mut().find(|r| r.id == key.rollout) else {
+            return;
+        };
+        rollout.responses.add(now, key, n);
+        let counters = if is_near { &mut self.peer_counters } else { &mut self.remote_counters };
         *counters.entry(key).or_default() += n;
     }
 
     /// Answers that this instance saw.
-    pub fn counters(&self) -> impl Iterator<Item = (&EvidenceKey, u64)> {
-        self.own.iter().map(|(key, n)| (key, *n))
+    pub fn local_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
+        self.local_counters.iter().map(|(key, n)| (key, *n))
     }
 
     /// Answers that this cell saw, as far as it has heard.
-    pub fn cell_counters(&self) -> impl Iterator<Item = (&EvidenceKey, u64)> {
-        let keys = self.own.keys().chain(self.near.keys().filter(|k| !self.own.contains_key(k)));
-        let n = |counters: &BTreeMap<EvidenceKey, u64>, key| counters.get(key).copied();
-        keys.map(move |key| (key, n(&self.own, key).unwrap_or(0) + n(&self.near, key).unwrap_or(0)))
+    pub fn cell_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
+        let keys = self
+            .local_counters
+            .keys()
+            .chain(self.peer_counters.keys().filter(|k| !self.local_counters.contains_key(k)));
+        let n = |counters: &BTreeMap<ResponseCounterKey, u64>, key| counters.get(key).copied();
+        keys.map(move |key| {
+            (
+                key,
+                n(&self.local_counters, key).unwrap_or(0)
+                    + n(&self.peer_counters, key).unwrap_or(0),
+            )
+        })
     }
 
     /// Answers that other cells saw, likewise.
-    pub fn far_counters(&self) -> impl Iterator<Item = (&EvidenceKey, u64)> {
-        self.far.iter().map(|(key, n)| (key, *n))
+    pub fn remote_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
+        self.remote_counters.iter().map(|(key, n)| (key, *n))
     }
 
     /// Decides what time and evidence bring.
     pub fn settle(&mut self, now: Instant) {
-        for rollout in self.all.values_mut() {
-            self.changes.extend(rollout.settle(now));
+        for rollout in self.rollouts.values_mut() {
+            self.changes.extend(rollout.advance(now));
         }
-        let is_over = |r: &Rollout| r.phase == Phase::Complete && now >= r.phase_at + RETIRING;
-        for rollout in self.all.values_mut().filter(|r| is_over(r)) {
-            self.changes.extend(rollout.enter(now, Phase::Retired, Why::Time));
+        let is_over =
+            |r: &Rollout| r.phase == Phase::Complete && now >= r.phase_entered_at + RETIRE_DELAY;
+        for rollout in self.rollouts.values_mut().filter(|r| is_over(r)) {
+            self.changes.extend(rollout.enter_phase(now, Phase::Retired, PhaseReason::Time));
         }
     }
 
     /// Roll-outs in progress.
     pub fn in_progress(&self) -> usize {
-        self.all.values().filter(|r| r.phase < Phase::RolledBack).count()
+        self.rollouts.values().filter(|r| r.phase < Phase::RolledBack).count()
     }
 
     /// What has changed since the last call.
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<PhaseChange> {
         std::mem::take(&mut self.changes)
     }
 }
 
 /// A service's name without that of a part.
 fn base(service: &ServiceId) -> &str {
-    service.split(PART).next().unwrap_or(service)
+    service.split(VERSION_SEPARATOR).next().unwrap_or(service)
 }
--- a/oxbowbend-core/src/rollout/evidence.rs
+++ b/oxbowbend-core/src/rollout/responses.rs
@@ -10,19 +10,19 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Number of an order: a hash of what it asks for.
-pub type OrderId = u32;
+pub type RolloutId = u32;
 /// Number of a route: a hash of its name.
 pub type RouteKey = u16;
 
 /// Classes of time, each up to twice that of the one before. Engines differ by 4.4, and answers of a bad version are
 /// several times slower.
-const TIMES: usize = 14;
+const LATENCY_BUCKETS: usize = 14;
 /// Class of failures.
-const FAILED: u8 = TIMES as u8;
+const FAILURE_BUCKET: u8 = LATENCY_BUCKETS as u8;
 /// Nanoseconds for a unit of work up to which an answer is in the first class.
-const FASTEST_NS: f64 = 1_000.0;
+const FIRST_BUCKET_MAX_NS: f64 = 1_000.0;
 /// Time for which answers are added up.
-const SLOT: Duration = Duration::from_millis(500);
+const SLOT_DURATION: Duration = Duration::from_millis(500);
 /// Times that are kept: what is older says nothing of a version that has turned bad since.
 const MAX_SLOTS: usize = 240;
 
@@ -30,74 +30,84 @@
 #[derive(
     Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
 )]
-pub enum Side {
+pub enum VersionGroup {
     /// Any version but the one that is ordered.
     #[serde(rename = "o")]
-    Old,
+    Baseline,
     /// The one that is ordered.
     #[serde(rename = "n")]
-    New,
+    Candidate,
 }
 
 /// What an endpoint made of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum ResponseOutcome {
     /// A good answer that took so many nanoseconds for a unit of work.
-    Good {
+    Success {
         /// Nanoseconds.
         ns_per_unit: f64,
     },
     /// An error of its own, a broken answer, or none.
-    Failed,
+    Failure,
 }
 
 /// What a counter counts.
 #[derive(
     Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
 )]
-pub struct EvidenceKey {
+pub struct ResponseCounterKey {
     /// The order.
     #[serde(rename = "o")]
-    pub order: OrderId,
+    pub rollout: RolloutId,
     /// The route.
     #[serde(rename = "r")]
     pub route: RouteKey,
     /// The version.
     #[serde(rename = "s")]
-    pub side: Side,
+    pub group: VersionGroup,
     /// Class of time, or failures.
     #[serde(rename = "c")]
-    class: u8,
+    bucket: u8,
 }
 
-impl EvidenceKey {
+impl ResponseCounterKey {
     /// The counter for an answer.
-    pub fn new(order: OrderId, route: &str, side: Side, answer: Answer) -> EvidenceKey {
+    pub fn new(
+        order: RolloutId,
+        route: &str,
+        side: VersionGroup,
+        answer: ResponseOutcome,
+    ) -> ResponseCounterKey {
         let class = match answer {
-            Answer::Failed => FAILED,
-            Answer::Good { ns_per_unit } => time_class(ns_per_unit),
+            ResponseOutcome::Failure => FAILURE_BUCKET,
+            ResponseOutcome::Success { ns_per_unit } => latency_bucket(ns_per_unit),
         };
-        EvidenceKey { order, route: xxh3_64(route.as_bytes()) as RouteKey, side, class }
+        ResponseCounterKey {
+            rollout: order,
+            route: xxh3_64(route.as_bytes()) as RouteKey,
+            group: side,
+            bucket: class,
+        }
     }
 }
 
-fn time_class(ns_per_unit: f64) -> u8 {
-    let times = (ns_per_unit / FASTEST_NS).max(1.0).log2();
-    (times as usize).min(TIMES - 1) as u8
+fn latency_bucket(ns_per_unit: f64) -> u8 {
+    let times = (ns_per_unit / FIRST_BUCKET_MAX_NS).max(1.0).log2();
+    (times as usize).min(LATENCY_BUCKETS - 1) as u8
 }
 
 /// Answers of one version on one route.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Counts {
+pub struct ResponseCounts {
     /// Good answers by class of time.
-    times: [u32; TIMES],
+    by_latency: [u32; LATENCY_BUCKETS],
     failed: u32,
 }
 
-impl Counts {
+impl ResponseCounts {
     /// All answers.
-    pub fn all(&self) -> u32 {
-        self.times.iter().sum::<u32>() + self.failed
+    pub fn total(&self) -> u32 {
+        self.by_latency.iter().sum::<u32>() + self.failed
     }
 
     /// Failures.
@@ -107,124 +117,124 @@
 
     /// Failures, and good answers of a class of time or a slower one.
     pub fn failed_or_slow(&self, class: usize) -> u32 {
-        self.failed + self.times.iter().skip(class).sum::<u32>()
+        self.failed + self.by_latency.iter().skip(class).sum::<u32>()
     }
 
     fn add(&mut self, class: u8, n: u32) {
-        match self.times.get_mut(usize::from(class)) {
+        match self.by_latency.get_mut(usize::from(class)) {
             Some(count) => *count += n,
             None => self.failed += n,
         }
     }
 
-    fn merge(&mut self, other: &Counts) {
-        self.times.iter_mut().zip(other.times).for_each(|(sum, n)| *sum += n);
+    fn merge(&mut self, other: &ResponseCounts) {
+        self.by_latency.iter_mut().zip(other.by_latency).for_each(|(sum, n)| *sum += n);
         self.failed += other.failed;
     }
 }
 
 /// Classes of time, slower ones later.
-pub(super) fn classes() -> std::ops::Range<usize> {
-    1..TIMES
+pub(super) fn slow_buckets() -> std::ops::Range<usize> {
+    1..LATENCY_BUCKETS
 }
 
 /// Answers of both versions.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct SideCounts {
+pub struct GroupCounts {
     /// Of the versions that run.
-    pub old: Counts,
+    pub baseline: ResponseCounts,
     /// Of the one that is ordered.
-    pub new: Counts,
+    pub candidate: ResponseCounts,
 }
 
 /// Answers of both versions in a span.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Comparison {
     /// All of them.
-    pub all: SideCounts,
+    pub total: GroupCounts,
     /// Those of moments in which the versions that run have answered at least as often. At other moments, as
     /// after the shift, nothing tells a slow version from slow machines.
-    pub controlled: SideCounts,
+    pub controlled: GroupCounts,
     /// Of these, those of the new version in its two worst slots that failed or were of a class of time or a slower one.
-    worst: [(u32, u32); TIMES],
+    worst_slots: [(u32, u32); LATENCY_BUCKETS],
 }
 
 impl Comparison {
-    fn add(&mut self, slot: &SideCounts) {
-        self.all.merge(slot);
-        if slot.old.all() < slot.new.all() {
+    fn add(&mut self, slot: &GroupCounts) {
+        self.total.merge(slot);
+        if slot.baseline.total() < slot.candidate.total() {
             return;
         }
         self.controlled.merge(slot);
-        for class in classes() {
-            let (first, second) = self.worst[class];
-            let bad = slot.new.failed_or_slow(class);
-            self.worst[class] = (first.max(bad), second.max(first.min(bad)));
+        for class in slow_buckets() {
+            let (first, second) = self.worst_slots[class];
+            let bad = slot.candidate.failed_or_slow(class);
+            self.worst_slots[class] = (first.max(bad), second.max(first.min(bad)));
         }
     }
 
     /// Answers of the new version in its two worst moments that failed or were of a class of time or a slower one.
     pub fn worst_failed_or_slow(&self, class: usize) -> u32 {
-        self.worst[class].0 + self.worst[class].1
+        self.worst_slots[class].0 + self.worst_slots[class].1
     }
 }
 
-impl SideCounts {
-    fn side(&mut self, side: Side) -> &mut Counts {
+impl GroupCounts {
+    fn group_mut(&mut self, side: VersionGroup) -> &mut ResponseCounts {
         match side {
-            Side::Old => &mut self.old,
-            Side::New => &mut self.new,
+            VersionGroup::Baseline => &mut self.baseline,
+            VersionGroup::Candidate => &mut self.candidate,
         }
     }
 
-    fn merge(&mut self, other: &SideCounts) {
-        self.old.merge(&other.old);
-        self.new.merge(&other.new);
+    fn merge(&mut self, other: &GroupCounts) {
+        self.baseline.merge(&other.baseline);
+        self.candidate.merge(&other.candidate);
     }
 }
 
 #[derive(Debug)]
-struct Slot {
-    at: Instant,
-    routes: BTreeMap<RouteKey, SideCounts>,
+struct TimeSlot {
+    start: Instant,
+    routes: BTreeMap<RouteKey, GroupCounts>,
 }
 
 /// Answers of all instances, by time.
 #[derive(Debug, Default)]
-pub struct Evidence {
-    slots: VecDeque<Slot>,
+pub struct ResponseHistory {
+    slots: VecDeque<TimeSlot>,
 }
 
-impl Evidence {
+impl ResponseHistory {
     /// Adds answers.
-    pub fn add(&mut self, now: Instant, key: EvidenceKey, n: u64) {
+    pub fn add(&mut self, now: Instant, key: ResponseCounterKey, n: u64) {
         let n = n.min(u64::from(u32::MAX)) as u32;
-        let is_open = |slot: &Slot| now.saturating_duration_since(slot.at) < SLOT;
+        let is_open = |slot: &TimeSlot| now.saturating_duration_since(slot.start) < SLOT_DURATION;
         if !self.slots.back().is_some_and(is_open) {
-            self.slots.push_back(Slot { at: now, routes: BTreeMap::new() });
+            self.slots.push_back(TimeSlot { start: now, routes: BTreeMap::new() });
             if self.slots.len() > MAX_SLOTS {
                 self.slots.pop_front();
             }
         }
         if let Some(slot) = self.slots.back_mut() {
-            slot.routes.entry(key.route).or_default().side(key.side).add(key.class, n);
+            slot.routes.entry(key.route).or_default().group_mut(key.group).add(key.bucket, n);
         }
     }
 
     /// Answers of the last seconds, of all of them, and of spans between: each of twice as many slots as the one
     /// before. Each with routes by themselves and all routes together.
-    pub fn spans(&self) -> impl Iterator<Item = Vec<Comparison>> + '_ {
+    pub fn windows(&self) -> impl Iterator<Item = Vec<Comparison>> + '_ {
         let all = self.slots.len();
         let lengths = std::iter::successors(Some(1_usize), |n| Some(n * 2));
         let lengths = lengths.take_while(move |n| *n < all * 2).map(move |n| n.min(all));
-        lengths.map(|length| self.span(length))
+        lengths.map(|length| self.window(length))
     }
 
-    fn span(&self, slots: usize) -> Vec<Comparison> {
+    fn window(&self, slots: usize) -> Vec<Comparison> {
         let mut routes: BTreeMap<RouteKey, Comparison> = BTreeMap::new();
         let mut whole = Comparison::default();
         for slot in self.slots.iter().rev().take(slots) {
-            let mut together = SideCounts::default();
+            let mut together = GroupCounts::default();
             for (route, sides) in &slot.routes {
                 routes.entry(*route).or_default().add(sides);
                 together.merge(sides);
@@ -235,7 +245,7 @@
     }
 
     /// All answers so far, of all routes.
-    pub fn whole(&self) -> SideCounts {
-        self.span(self.slots.len()).pop().unwrap_or_default().all
+    pub fn totals(&self) -> GroupCounts {
+        self.window(self.slots.len()).pop().unwrap_or_default().total
     }
 }
--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -4,7 +4,10 @@
 
 use oxbowbend_core::cell::ReportDetail;
 use oxbowbend_core::ids::EndpointKey;
-use oxbowbend_core::quarantine::{Change, Gate, Quarantine, Run, ToldVerdict, ENDS, SETTLE};
+use oxbowbend_core::quarantine::{
+    DecisionRecord, InterruptedAttempt, Quarantine, QuarantineEvent, SendPermission,
+    CRASH_SETTLING_TIME, CRASH_THRESHOLD,
+};
 
 /// A request that ends endpoints, and others.
 const BAD: u64 = 7;
@@ -23,25 +26,27 @@
 
 /// An endpoint ends, at which these ran for one instance; of those under `begun` something had come.
 fn end(q: &mut Quarantine, now: Instant, key: EndpointKey, quiet: &[u64], begun: &[u64]) {
-    let quiet = quiet.iter().map(|f| Run { fingerprint: *f, is_quiet: true });
-    let begun = begun.iter().map(|f| Run { fingerprint: *f, is_quiet: false });
-    quiet.chain(begun).for_each(|run| q.broke_off(now, &"e".into(), key, run));
-    q.ended(now, key);
-    q.settle(now + SETTLE);
+    let quiet =
+        quiet.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: true });
+    let begun =
+        begun.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: false });
+    quiet.chain(begun).for_each(|run| q.attempt_interrupted(now, &"e".into(), key, run));
+    q.endpoint_crashed(now, key);
+    q.evaluate(now + CRASH_SETTLING_TIME);
 }
 
 fn is_closed(q: &Quarantine, now: Instant, fingerprint: u64) -> bool {
-    q.closed_for(now, fingerprint).is_some()
+    q.blocked_for(now, fingerprint).is_some()
 }
 
 /// Everything is told both ways.
 fn exchange(now: Instant, a: &mut Quarantine, b: &mut Quarantine) {
-    let told = a.tell(now, ReportDetail::Full, true);
-    b.hear(now, &told);
-    let told = b.tell(now, ReportDetail::Full, true);
-    a.hear(now, &told);
-    a.settle(now + SETTLE);
-    b.settle(now + SETTLE);
+    let told = a.make_update(now, ReportDetail::Full, true);
+    b.apply_update(now, &told);
+    let told = b.make_update(now, ReportDetail::Full, true);
+    a.apply_update(now, &told);
+    a.evaluate(now + CRASH_SETTLING_TIME);
+    b.evaluate(now + CRASH_SETTLING_TIME);
 }
 
 #[test]
@@ -104,25 +109,30 @@
 #[test]
 fn a_broken_connection_is_no_end() {
     let (mut q, now) = (instance("a"), Instant::now());
-    let run = Run { fingerprint: BAD, is_quiet: true };
+    let run = InterruptedAttempt { fingerprint: BAD, awaiting_response: true };
     for key in 0..10 {
-        q.broke_off(now, &"e".into(), key, run);
+        q.attempt_interrupted(now, &"e".into(), key, run);
     }
     assert!(!is_closed(&q, now, BAD));
     // Word that comes long after speaks of something else.
-    (0..10).for_each(|key| q.ended(after(now, 6000), key));
+    (0..10).for_each(|key| q.endpoint_crashed(after(now, 6000), key));
     assert!(!is_closed(&q, after(now, 6000), BAD));
 }
 
 #[test]
 fn an_entry_that_goes_soon_after_tells_of_an_end() {
     let (mut q, now) = (instance("a"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         let endpoint = format!("e-{key}").as_str().into();
-        q.broke_off(now, &endpoint, key, Run { fingerprint: BAD, is_quiet: true });
-        q.entry_changed(after(now, 1500), &endpoint);
+        q.attempt_interrupted(
+            now,
+            &endpoint,
+            key,
+            InterruptedAttempt { fingerprint: BAD, awaiting_response: true },
+        );
+        q.endpoint_entry_changed(after(now, 1500), &endpoint);
     }
-    q.settle(after(now, 1500) + SETTLE);
+    q.evaluate(after(now, 1500) + CRASH_SETTLING_TIME);
     assert!(is_closed(&q, after(now, 1500), BAD));
 }
 
@@ -132,13 +142,13 @@
     for (answered, is_held) in [(0, true), (2000, false), (4900, false), (5500, false)] {
         let (mut a, mut b) = (instance("a"), instance("b"));
         if answered <= 5000 {
-            b.answered(after(now, answered), BAD);
+            b.request_succeeded(after(now, answered), BAD);
         }
-        for key in 0..ENDS as u32 {
+        for key in 0..CRASH_THRESHOLD as u32 {
             end(&mut a, after(now, 5000), key, &[BAD], &[]);
         }
         if answered > 5000 {
-            b.answered(after(now, answered), BAD);
+            b.request_succeeded(after(now, answered), BAD);
         }
         exchange(after(now, 5600), &mut a, &mut b);
         exchange(after(now, 5700), &mut a, &mut b);
@@ -150,13 +160,13 @@
 #[test]
 fn word_of_a_good_answer_takes_ends_off_where_nothing_is_decided_yet() {
     let (mut a, mut b, now) = (instance("a"), instance("b"), Instant::now());
-    b.answered(now, GOOD);
+    b.request_succeeded(now, GOOD);
     end(&mut a, after(now, 100), 0, &[GOOD], &[]);
     end(&mut a, after(now, 200), 1, &[GOOD], &[]);
-    let told = a.tell(after(now, 210), ReportDetail::Changes, true);
-    b.hear(after(now, 210), &told);
-    let told = b.tell(after(now, 220), ReportDetail::Changes, true);
-    a.hear(after(now, 220), &told);
+    let told = a.make_update(after(now, 210), ReportDetail::Changes, true);
+    b.apply_update(after(now, 210), &told);
+    let told = b.make_update(after(now, 220), ReportDetail::Changes, true);
+    a.apply_update(after(now, 220), &told);
     end(&mut a, after(now, 9000), 2, &[GOOD], &[]);
     assert!(!is_closed(&a, after(now, 9200), GOOD));
 }
@@ -164,20 +174,20 @@
 #[test]
 fn a_good_answer_of_what_was_sent_before_ends_a_quarantine_everywhere() {
     let (mut a, mut b, mut c, now) = (instance("a"), instance("b"), instance("c"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut a, now, key, &[GOOD], &[]);
     }
     exchange(now, &mut a, &mut b);
     exchange(now, &mut b, &mut c);
     assert!(is_closed(&c, now, GOOD));
-    let old = c.tell(now, ReportDetail::Full, true);
-    let noted = c.notes(now, true);
+    let old = c.make_update(now, ReportDetail::Full, true);
+    let noted = c.decisions_to_store(now, true);
     let now = after(now, 200);
-    b.answered(now, GOOD);
+    b.request_succeeded(now, GOOD);
     exchange(now, &mut a, &mut b);
     // What was said before comes late.
-    a.hear(now, &old);
-    a.hear_verdicts(now, &noted);
+    a.apply_update(now, &old);
+    a.apply_decisions(now, &noted);
     assert!(!is_closed(&a, now, GOOD) && !is_closed(&b, now, GOOD));
     exchange(now, &mut a, &mut c);
     assert!(!is_closed(&c, now, GOOD));
@@ -186,7 +196,7 @@
 #[test]
 fn one_trial_at_a_time_each_later_than_the_last() {
     let (mut a, mut b, mut now) = (instance("a"), instance("b"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut a, now, key, &[BAD], &[]);
     }
     exchange(now, &mut a, &mut b);
@@ -194,7 +204,7 @@
     let mut trials = Vec::new();
     while now < start + Duration::from_secs(500) {
         for q in [&mut a, &mut b] {
-            if q.gate(now, BAD) == Gate::Trial {
+            if q.check_send(now, BAD) == SendPermission::Trial {
                 trials.push(now - start);
                 end(q, now, 100 + trials.len() as u32, &[BAD], &[]);
             }
@@ -213,68 +223,69 @@
 #[test]
 fn a_trial_that_is_answered_ends_the_quarantine() {
     let (mut q, now) = (instance("a"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut q, now, key, &[GOOD], &[]);
     }
-    assert_eq!(q.gate(now + TRIAL, GOOD), Gate::Trial);
-    assert!(matches!(q.gate(now + TRIAL, GOOD), Gate::Closed(_)));
-    q.answered(now + TRIAL, GOOD);
-    assert_eq!(q.gate(now + TRIAL, GOOD), Gate::Open);
+    assert_eq!(q.check_send(now + TRIAL, GOOD), SendPermission::Trial);
+    assert!(matches!(q.check_send(now + TRIAL, GOOD), SendPermission::Blocked(_)));
+    q.request_succeeded(now + TRIAL, GOOD);
+    assert_eq!(q.check_send(now + TRIAL, GOOD), SendPermission::Allowed);
     // It takes as many ends again.
     end(&mut q, now + TRIAL + Duration::from_secs(9), 90, &[GOOD], &[]);
-    assert_eq!(q.gate(now + TRIAL + Duration::from_secs(9), GOOD), Gate::Open);
+    assert_eq!(q.check_send(now + TRIAL + Duration::from_secs(9), GOOD), SendPermission::Allowed);
 }
 
 #[test]
 fn what_was_noted_outlasts_all_instances() {
     let (mut a, now) = (instance("a"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut a, now, key, &[BAD], &[]);
     }
-    let noted = a.notes(now, false);
-    assert_eq!(noted, a.notes(after(now, 5000), false), "a note is written once");
+    let noted = a.decisions_to_store(now, false);
+    assert_eq!(noted, a.decisions_to_store(after(now, 5000), false), "a note is written once");
     let mut next = instance("a");
-    next.hear_verdicts(now, &noted);
+    next.apply_decisions(now, &noted);
     assert!(is_closed(&next, now, BAD));
-    assert!(next.notes(now, false).is_empty(), "whoever was told notes only for all");
-    assert_eq!(next.notes(now, true), noted);
+    assert!(next.decisions_to_store(now, false).is_empty(), "whoever was told notes only for all");
+    assert_eq!(next.decisions_to_store(now, true), noted);
 }
 
 #[test]
 fn what_is_known_is_bounded_and_held_requests_stay() {
     let (mut q, now) = (instance("a"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut q, now, key, &[BAD], &[]);
     }
     for n in 0..3_000_u64 {
         end(&mut q, after(now, n), 1000 + n as u32, &[100_000 + n, 200_000 + n / 2], &[]);
     }
     let verdict =
-        |fingerprint| ToldVerdict { fingerprint, epoch: 1, trials: 0, left_ms: Some(9000) };
+        |fingerprint| DecisionRecord { fingerprint, epoch: 1, trials: 0, remaining_ms: Some(9000) };
     let told: Vec<_> = (300_000..310_000).map(verdict).collect();
-    q.hear_verdicts(after(now, 3_000), &told);
+    q.apply_decisions(after(now, 3_000), &told);
     assert!(is_closed(&q, after(now, 3_000), BAD), "it is held longer than those");
-    assert!(q.held() <= 4096, "{}", q.held());
-    assert!(q.tell(after(now, 3_000), ReportDetail::Full, true).verdicts.len() <= 32);
+    assert!(q.quarantined_count() <= 4096, "{}", q.quarantined_count());
+    assert!(q.make_update(after(now, 3_000), ReportDetail::Full, true).decisions.len() <= 32);
 }
 
 #[test]
 fn each_change_is_told_to_the_log_once() {
     let (mut a, mut b, now) = (instance("a"), instance("b"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         end(&mut a, now, key, &[BAD, WORSE], &[GOOD]);
         end(&mut a, now, 10 + key, &[WORSE], &[]);
     }
-    let changes = a.take_changes();
-    let held = |c: &&Change| matches!(c, Change::Quarantined { ends, .. } if ends.len() >= ENDS);
-    let ended = |c: &&Change| matches!(c, Change::Ended { is_own: true, .. });
+    let changes = a.take_events();
+    let held = |c: &&QuarantineEvent| matches!(c, QuarantineEvent::Quarantined { crashes: ends, .. } if ends.len() >= CRASH_THRESHOLD);
+    let ended =
+        |c: &&QuarantineEvent| matches!(c, QuarantineEvent::EndpointCrashed { is_local: true, .. });
     assert_eq!(changes.iter().filter(held).count(), 1, "{changes:?}");
-    assert_eq!(changes.iter().filter(ended).count(), 2 * ENDS, "{changes:?}");
+    assert_eq!(changes.iter().filter(ended).count(), 2 * CRASH_THRESHOLD, "{changes:?}");
     exchange(now, &mut a, &mut b);
     exchange(now, &mut a, &mut b);
-    let told = b.take_changes();
-    assert_eq!(told.len(), 1 + 2 * ENDS, "{told:?}");
-    assert_eq!(a.take_changes(), []);
+    let told = b.take_events();
+    assert_eq!(told.len(), 1 + 2 * CRASH_THRESHOLD, "{told:?}");
+    assert_eq!(a.take_events(), []);
 }
 
 #[test]
@@ -283,7 +294,8 @@
     for key in 0..20 {
         end(&mut q, now, key, &[1000 + u64::from(key)], &[]);
     }
-    let told = |q: &mut Quarantine, ms, extent| q.tell(after(now, ms), extent, false).ends.len();
+    let told =
+        |q: &mut Quarantine, ms, extent| q.make_update(after(now, ms), extent, false).crashes.len();
     assert_eq!(told(&mut q, 10, ReportDetail::Loads), 8);
     assert_eq!(told(&mut q, 30, ReportDetail::Loads), 0);
     assert_eq!(told(&mut q, 900, ReportDetail::Changes), 8);
@@ -293,31 +305,37 @@
     assert_eq!(told(&mut q, 9000, ReportDetail::Full), 2);
     assert_eq!(told(&mut q, 9000, ReportDetail::Changes), 0);
     // Those of others are told on by some.
-    let (mut other, told) = (instance("b"), q.tell(now, ReportDetail::Changes, false));
-    other.hear(now, &told);
-    assert!(other.tell(now, ReportDetail::Full, false).is_empty());
-    assert_eq!(other.tell(now, ReportDetail::Full, true).ends.len(), told.ends.len());
+    let (mut other, told) = (instance("b"), q.make_update(now, ReportDetail::Changes, false));
+    other.apply_update(now, &told);
+    assert!(other.make_update(now, ReportDetail::Full, false).is_empty());
+    assert_eq!(other.make_update(now, ReportDetail::Full, true).crashes.len(), told.crashes.len());
 }
 
 #[test]
 fn nobody_is_judged_before_others_have_told_what_ran_there() {
     let (mut a, mut b, now) = (instance("a"), instance("b"), Instant::now());
-    for key in 0..ENDS as u32 {
+    for key in 0..CRASH_THRESHOLD as u32 {
         let at = after(now, u64::from(key) * 100);
-        let good = Run { fingerprint: GOOD, is_quiet: true };
-        a.broke_off(at, &"e".into(), key, good);
-        a.ended(at, key);
-        a.settle(at + Duration::from_millis(10));
-        b.broke_off(at, &"e".into(), key, Run { fingerprint: BAD, is_quiet: true });
-        b.ended(at, key);
+        let good = InterruptedAttempt { fingerprint: GOOD, awaiting_response: true };
+        a.attempt_interrupted(at, &"e".into(), key, good);
+        a.endpoint_crashed(at, key);
+        a.evaluate(at + Duration::from_millis(10));
+        b.attempt_interrupted(
+            at,
+            &"e".into(),
+            key,
+            InterruptedAttempt { fingerprint: BAD, awaiting_response: true },
+        );
+        b.endpoint_crashed(at, key);
     }
     // It is at one more end, without the other one.
     end(&mut b, after(now, 210), 9, &[BAD], &[]);
-    let told = b.tell(after(now, 230), ReportDetail::Changes, true);
-    a.hear(after(now, 230), &told);
-    a.settle(after(now, 420));
+    let told = b.make_update(after(now, 230), ReportDetail::Changes, true);
+    a.apply_update(after(now, 230), &told);
+    a.evaluate(after(now, 420));
     let held = [GOOD, BAD].map(|f| is_closed(&a, after(now, 420), f));
     assert_eq!(held, [false, true]);
-    let was_held = |c: &Change| matches!(c, Change::Quarantined { fingerprint: GOOD, .. });
-    assert!(!a.take_changes().iter().any(was_held), "it was held meanwhile");
+    let was_held =
+        |c: &QuarantineEvent| matches!(c, QuarantineEvent::Quarantined { fingerprint: GOOD, .. });
+    assert!(!a.take_events().iter().any(was_held), "it was held meanwhile");
 }
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -6,7 +6,9 @@
 use std::time::{Duration, Instant};
 
 use oxbowbend_core::cell::ReportDetail;
-use oxbowbend_core::quarantine::{Quarantine, Run, ToldVerdict, ENDS, SETTLE};
+use oxbowbend_core::quarantine::{
+    DecisionRecord, InterruptedAttempt, Quarantine, CRASH_SETTLING_TIME, CRASH_THRESHOLD,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -58,7 +60,7 @@
     is_cut: bool,
     /// Ends that an instance has seen in this life, and whether the other request was beside.
     seen: Vec<(usize, bool)>,
-    noted: Vec<ToldVerdict>,
+    noted: Vec<DecisionRecord>,
     /// Whether the request was held by somebody when notes were last written.
     is_noted: bool,
     next: u32,
@@ -82,14 +84,14 @@
         match step {
             Step::End(at) => self.end(at, false),
             Step::EndBeside(at) => self.end(at, true),
-            Step::Answer(at) => self.instances[at].answered(self.now, GOOD),
+            Step::Answer(at) => self.instances[at].request_succeeded(self.now, GOOD),
             Step::Talk => self.talk(),
             Step::Cut => self.is_cut = !self.is_cut,
             Step::Die => {
                 self.instances = instances();
                 self.seen.clear();
                 for q in &mut self.instances {
-                    q.hear_verdicts(self.now, &self.noted);
+                    q.apply_decisions(self.now, &self.noted);
                 }
             }
         }
@@ -97,31 +99,31 @@
 
     fn end(&mut self, at: usize, is_beside: bool) {
         // It is sent only where the gate is open.
-        if self.instances[at].closed_for(self.now, BAD).is_some() {
+        if self.instances[at].blocked_for(self.now, BAD).is_some() {
             return;
         }
         self.next += 1;
         let q = &mut self.instances[at];
         let others = is_beside.then_some(GOOD);
         for fingerprint in [BAD].into_iter().chain(others) {
-            let run = Run { fingerprint, is_quiet: true };
-            q.broke_off(self.now, &"e".into(), self.next, run);
+            let run = InterruptedAttempt { fingerprint, awaiting_response: true };
+            q.attempt_interrupted(self.now, &"e".into(), self.next, run);
         }
-        q.ended(self.now, self.next);
+        q.endpoint_crashed(self.now, self.next);
         self.seen.push((at, is_beside));
     }
 
     fn talk(&mut self) {
         for from in 0..INSTANCES {
-            let told = self.instances[from].tell(self.now, ReportDetail::Full, true);
+            let told = self.instances[from].make_update(self.now, ReportDetail::Full, true);
             for to in (0..INSTANCES).filter(|to| *to != from) {
                 if !(self.is_cut && (from == LONER || to == LONER)) {
-                    self.instances[to].hear(self.now, &told);
+                    self.instances[to].apply_update(self.now, &told);
                 }
             }
         }
-        self.instances.iter_mut().for_each(|q| q.settle(self.now + SETTLE));
-        let noted = self.instances.iter().flat_map(|q| q.notes(self.now, true));
+        self.instances.iter_mut().for_each(|q| q.evaluate(self.now + CRASH_SETTLING_TIME));
+        let noted = self.instances.iter().flat_map(|q| q.decisions_to_store(self.now, true));
         self.noted = noted.collect();
         self.is_noted = self.noted.iter().any(|v| v.fingerprint == BAD);
     }
@@ -136,24 +138,27 @@
         for at in 0..INSTANCES {
             let heard: Vec<_> = self.seen.iter().filter(|(by, _)| side(*by) == side(at)).collect();
             let alone = heard.iter().filter(|(_, is_beside)| !is_beside).count();
-            let is_told = heard.len() > ENDS || (heard.len() == ENDS && alone > 0);
-            let is_closed = |f| self.instances[at].closed_for(self.now, f).is_some();
+            let is_told =
+                heard.len() > CRASH_THRESHOLD || (heard.len() == CRASH_THRESHOLD && alone > 0);
+            let is_closed = |f| self.instances[at].blocked_for(self.now, f).is_some();
             if (is_told || (was_noted && self.seen.is_empty())) && !is_closed(BAD) {
                 broken.push(format!("{at} lets it pass, having heard of {heard:?}"));
             }
             let beside = self.seen.iter().filter(|(_, is_beside)| *is_beside).count();
-            if beside < ENDS && self.noted.iter().all(|v| v.fingerprint != GOOD) && is_closed(GOOD)
+            if beside < CRASH_THRESHOLD
+                && self.noted.iter().all(|v| v.fingerprint != GOOD)
+                && is_closed(GOOD)
             {
                 broken.push(format!("{at} holds the other one, beside {beside} ends"));
             }
         }
         // One answer, and the other request is served wherever that is heard.
         self.now += Duration::from_millis(10);
-        self.instances[0].answered(self.now, GOOD);
+        self.instances[0].request_succeeded(self.now, GOOD);
         self.talk();
         self.talk();
         for at in (0..INSTANCES).filter(|at| !side_of(self.is_cut, *at)) {
-            if self.instances[at].closed_for(self.now, GOOD).is_some() {
+            if self.instances[at].blocked_for(self.now, GOOD).is_some() {
                 broken.push(format!("{at} holds the other one after an answer"));
             }
         }
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -2,10 +2,13 @@
 
 use std::time::{Duration, Instant};
 
-use oxbowbend_core::rollout::detector::find;
-use oxbowbend_core::rollout::evidence::{Answer, Evidence, EvidenceKey, Side};
+use oxbowbend_core::rollout::detector::find_regression;
+use oxbowbend_core::rollout::responses::{
+    ResponseCounterKey, ResponseHistory, ResponseOutcome, VersionGroup,
+};
 use oxbowbend_core::rollout::{
-    Order, Part, Phase, RolloutBounds, Rollouts, Status, Teller, ToldRollout, Why,
+    EndpointRole, PeerLocation, Phase, PhaseReason, RolloutLimits, RolloutRecord, RolloutSpec,
+    Rollouts, Status,
 };
 use oxbowbend_core::routes::Endpoint;
 use rand::{Rng, SeedableRng};
@@ -13,14 +16,14 @@
 
 const MS: Duration = Duration::from_millis(1);
 const S: Duration = Duration::from_secs(1);
-const BOUNDS: RolloutBounds = RolloutBounds { share: 0.1 };
+const BOUNDS: RolloutLimits = RolloutLimits { max_candidate_share: 0.1 };
 const DURATION: Duration = Duration::from_secs(20);
 const LONGEST: Duration = Duration::from_secs(4);
 /// The order of the simulated evidence.
 const ORDER: u32 = 1;
 
-fn order(destination: &str) -> Order {
-    Order { service: "s".into(), destination: destination.into(), duration: DURATION }
+fn order(destination: &str) -> RolloutSpec {
+    RolloutSpec { service: "s".into(), destination: destination.into(), duration: DURATION }
 }
 
 fn endpoint(id: &str, version: &str) -> Endpoint {
@@ -45,13 +48,13 @@
 
 fn ordered(now: Instant) -> Rollouts {
     let mut rollouts = Rollouts::new(BOUNDS);
-    rollouts.ordered(now, order("2"), LONGEST);
+    rollouts.start(now, order("2"), LONGEST);
     rollouts.set_endpoints(now, &endpoints());
     rollouts
 }
 
 fn phase(rollouts: &mut Rollouts, now: Instant) -> Phase {
-    rollouts.tell(now, Teller::Near)[0].phase
+    rollouts.make_records(now, PeerLocation::SameCell)[0].phase
 }
 
 /// How a version answers.
@@ -92,7 +95,7 @@
 /// when that is found to be bad.
 fn detected(seed: u64, per_s: u32, version: Answers, around: Around) -> Option<Duration> {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let (start, mut evidence) = (Instant::now(), Evidence::default());
+    let (start, mut evidence) = (Instant::now(), ResponseHistory::default());
     for tick in 0..80_u32 {
         let now = start + tick * 250 * MS;
         let may_stall = if matches!(around, Around::Stalls) { 0.08 } else { 0.0 };
@@ -100,10 +103,11 @@
         for n in 0..per_s / 4 {
             let is_shifted = matches!(around, Around::CrestAfterShift) && tick >= SHIFT;
             let is_new = is_shifted || (n + tick).is_multiple_of(13);
-            let side = if is_new { Side::New } else { Side::Old };
+            let side = if is_new { VersionGroup::Candidate } else { VersionGroup::Baseline };
             let route = rng.random_range(0..6_u16);
-            let is_bad_here =
-                side == Side::New && u64::from(tick) >= version.from * 4 && route < version.routes;
+            let is_bad_here = side == VersionGroup::Candidate
+                && u64::from(tick) >= version.from * 4
+                && route < version.routes;
             let answers = if is_bad_here { version } else { WELL };
             let is_trouble = (24..36).contains(&tick);
             let failing = match around {
@@ -111,9 +115,14 @@
                 _ => answers.failing,
             };
             // A third of the endpoints is 4.4 times slower, and prompts differ.
-            let is_slow_canary = side == Side::New && matches!(around, Around::SlowCanary);
+            let is_slow_canary =
+                side == VersionGroup::Candidate && matches!(around, Around::SlowCanary);
             let engine = if is_slow_canary || rng.random_bool(1.0 / 3.0) { 4.4 } else { 1.0 };
-            let stalled = if side == Side::New { stalls[0] } else { stalls[1 + n as usize % 10] };
+            let stalled = if side == VersionGroup::Candidate {
+                stalls[0]
+            } else {
+                stalls[1 + n as usize % 10]
+            };
             let stall = if stalled { 20.0 } else { 1.0 };
             let is_crest = match around {
                 Around::Crest => is_trouble,
@@ -124,12 +133,12 @@
             let slow = if rng.random_bool(answers.slow) { answers.times } else { 1.0 };
             let ns_per_unit = 20_000.0 * engine * crest * slow * stall * rng.random_range(0.5..2.0);
             let answer = match rng.random_bool(failing) {
-                true => Answer::Failed,
-                false => Answer::Good { ns_per_unit },
+                true => ResponseOutcome::Failure,
+                false => ResponseOutcome::Success { ns_per_unit },
             };
-            evidence.add(now, EvidenceKey::new(ORDER, &route.to_string(), side, answer), 1);
+            evidence.add(now, ResponseCounterKey::new(ORDER, &route.to_string(), side, answer), 1);
         }
-        if find(&evidence).is_some() {
+        if find_regression(&evidence).is_some() {
             return Some(now - start);
         }
     }
@@ -195,14 +204,14 @@
     let mut rollouts = ordered(now);
     let mut new = 0;
     for n in 1..=5000_u32 {
-        new += u32::from(rollouts.deal(&"s".into(), true, true) != "s".into());
-        assert!(f64::from(new) <= f64::from(n) * BOUNDS.share, "{new} of {n}");
+        new += u32::from(rollouts.assign_request(&"s".into(), true, true) != "s".into());
+        assert!(f64::from(new) <= f64::from(n) * BOUNDS.max_candidate_share, "{new} of {n}");
     }
     assert!(new > 350, "{new}");
     // What has failed once is not tried out, nor is anything without an endpoint for it.
-    assert_eq!(rollouts.deal(&"s".into(), true, false), "s".into());
-    assert_eq!(rollouts.deal(&"s".into(), false, true), "s".into());
-    assert_eq!(rollouts.deal(&"other".into(), true, true), "other".into());
+    assert_eq!(rollouts.assign_request(&"s".into(), true, false), "s".into());
+    assert_eq!(rollouts.assign_request(&"s".into(), false, true), "s".into());
+    assert_eq!(rollouts.assign_request(&"other".into(), true, true), "other".into());
 }
 
 #[test]
@@ -210,11 +219,11 @@
     let now = Instant::now();
     let mut rollouts = ordered(now);
     let parts = rollouts.set_endpoints(now, &endpoints());
-    let count = |wanted: fn(&Part) -> bool| parts.iter().filter(|p| wanted(p)).count();
-    assert_eq!(count(|p| *p == Part::Service), 20);
+    let count = |wanted: fn(&EndpointRole) -> bool| parts.iter().filter(|p| wanted(p)).count();
+    assert_eq!(count(|p| *p == EndpointRole::Service), 20);
     // Eight of a hundred requests for twenty endpoints are the share of two.
-    assert_eq!(count(|p| matches!(p, Part::Version(_))), 2);
-    assert_eq!(count(|p| *p == Part::None), 18);
+    assert_eq!(count(|p| matches!(p, EndpointRole::Version(_))), 2);
+    assert_eq!(count(|p| *p == EndpointRole::Excluded), 18);
 }
 
 /// A good version: canary, shift, complete once nothing runs at the others, and these are left alone afterwards.
@@ -223,30 +232,33 @@
     let now = Instant::now();
     let mut rollouts = ordered(now);
     let old = endpoint("e1-0", "1");
-    rollouts.began(&old);
+    rollouts.request_started(&old);
     let mut complete = None;
     for tick in 0..200_u32 {
         let at = now + tick * 100 * MS;
         rollouts.settle(at);
         let shifted = phase(&mut rollouts, at) == Phase::Shift;
         if shifted && tick % 160 == 0 {
-            rollouts.ended(at, &old, "r", None);
+            rollouts.request_finished(at, &old, "r", None);
         }
-        let due = rollouts.due(at);
+        let due = rollouts.due_status_writes(at);
         if due.iter().any(|(_, status)| *status == Status::Complete) {
             complete.get_or_insert(at);
-            rollouts.status_read(at, &"s".into(), &"2".into(), Status::Complete);
+            rollouts.apply_stored_status(at, &"s".into(), &"2".into(), Status::Complete);
         }
     }
     let complete = complete.expect("it is complete");
     // What runs at the others is waited for up to a moment before the deadline.
     assert!(complete > now + 16 * S && complete < now + DURATION, "{:?}", complete - now);
     let parts = rollouts.set_endpoints(complete, &endpoints());
-    assert!(parts[..20].iter().all(|p| *p == Part::None));
-    assert!(parts[20..].iter().all(|p| matches!(p, Part::Version(_))));
+    assert!(parts[..20].iter().all(|p| *p == EndpointRole::Excluded));
+    assert!(parts[20..].iter().all(|p| matches!(p, EndpointRole::Version(_))));
     rollouts.settle(complete + 11 * S);
-    assert!(rollouts.set_endpoints(complete, &endpoints()).iter().all(|p| *p == Part::Service));
-    assert_eq!(rollouts.deal(&"s".into(), true, true), "s".into());
+    assert!(rollouts
+        .set_endpoints(complete, &endpoints())
+        .iter()
+        .all(|p| *p == EndpointRole::Service));
+    assert_eq!(rollouts.assign_request(&"s".into(), true, true), "s".into());
 }
 
 #[test]
@@ -255,22 +267,22 @@
     let mut rollouts = ordered(now);
     let (old, new) = (endpoint("e1-0", "1"), endpoint("e2-0", "2"));
     for n in 0..400 {
-        let answer = Answer::Good { ns_per_unit: 20_000.0 };
-        rollouts.ended(now, &old, "r", Some(answer));
+        let answer = ResponseOutcome::Success { ns_per_unit: 20_000.0 };
+        rollouts.request_finished(now, &old, "r", Some(answer));
         if n % 13 == 0 {
-            rollouts.ended(now, &new, "r", Some(Answer::Failed));
+            rollouts.request_finished(now, &new, "r", Some(ResponseOutcome::Failure));
         }
     }
     rollouts.settle(now);
     let changes = rollouts.take_changes();
-    assert!(matches!(changes.last().map(|c| c.why), Some(Why::Worse(_))), "{changes:?}");
-    for again in [order("2"), Order { duration: S, ..order("2") }] {
-        rollouts.ordered(now, again, LONGEST);
-        assert_eq!(rollouts.deal(&"s".into(), true, true), "s".into());
-        assert_eq!(rollouts.due(now)[0].1, Status::RolledBack);
+    assert!(matches!(changes.last().map(|c| c.reason), Some(PhaseReason::Worse(_))), "{changes:?}");
+    for again in [order("2"), RolloutSpec { duration: S, ..order("2") }] {
+        rollouts.start(now, again, LONGEST);
+        assert_eq!(rollouts.assign_request(&"s".into(), true, true), "s".into());
+        assert_eq!(rollouts.due_status_writes(now)[0].1, Status::RolledBack);
     }
     // Another version is another order.
-    rollouts.ordered(now, order("3"), LONGEST);
+    rollouts.start(now, order("3"), LONGEST);
     assert_eq!(phase(&mut rollouts, now), Phase::Canary);
 }
 
@@ -278,28 +290,31 @@
 fn an_order_for_the_version_that_runs_is_complete_by_itself() {
     let now = Instant::now();
     let mut rollouts = Rollouts::new(BOUNDS);
-    rollouts.ordered(now, order("1"), LONGEST);
+    rollouts.start(now, order("1"), LONGEST);
     let all = [endpoint("a", "1"), endpoint("b", "1")];
     let parts = rollouts.set_endpoints(now, &all);
     // Meanwhile all of it is served by all of them.
-    assert!(parts.iter().all(|part| matches!(part, Part::Version(_))), "{parts:?}");
-    (0..20).for_each(|_| assert_ne!(rollouts.deal(&"s".into(), true, true), "s".into()));
+    assert!(parts.iter().all(|part| matches!(part, EndpointRole::Version(_))), "{parts:?}");
+    (0..20).for_each(|_| assert_ne!(rollouts.assign_request(&"s".into(), true, true), "s".into()));
     rollouts.settle(now);
-    assert_eq!(rollouts.due(now)[0].1, Status::Running);
+    assert_eq!(rollouts.due_status_writes(now)[0].1, Status::Running);
     rollouts.settle(now + 4 * S);
-    assert_eq!(rollouts.due(now + 4 * S)[0].1, Status::Complete);
+    assert_eq!(rollouts.due_status_writes(now + 4 * S)[0].1, Status::Complete);
 }
 
 #[test]
 fn an_order_without_endpoints_does_no_harm() {
     let now = Instant::now();
     let mut rollouts = Rollouts::new(BOUNDS);
-    rollouts.ordered(now, order("2"), LONGEST);
+    rollouts.start(now, order("2"), LONGEST);
     rollouts.settle(now + DURATION);
-    assert!(rollouts.due(now + DURATION).is_empty(), "of an unknown service nothing is told");
+    assert!(
+        rollouts.due_status_writes(now + DURATION).is_empty(),
+        "of an unknown service nothing is told"
+    );
     rollouts.set_endpoints(now, &[endpoint("a", "1")]);
     rollouts.settle(now + DURATION);
-    assert_eq!(rollouts.due(now + DURATION)[0].1, Status::RolledBack);
+    assert_eq!(rollouts.due_status_writes(now + DURATION)[0].1, Status::RolledBack);
 }
 
 /// What can happen to three instances.
@@ -350,20 +365,29 @@
         let now = self.now;
         match event {
             Event::Order(n) => {
-                self.instances[n].ordered(now, order("2"), LONGEST);
+                self.instances[n].start(now, order("2"), LONGEST);
                 self.instances[n].set_endpoints(now, &endpoints());
             }
             Event::Bad(n) => {
                 let (old, new) = (endpoint("e1-0", "1"), endpoint("e2-0", "2"));
-                let good = Answer::Good { ns_per_unit: 20_000.0 };
-                (0..60).for_each(|_| self.instances[n].ended(now, &old, "r", Some(good)));
-                (0..9).for_each(|_| self.instances[n].ended(now, &new, "r", Some(Answer::Failed)));
+                let good = ResponseOutcome::Success { ns_per_unit: 20_000.0 };
+                (0..60)
+                    .for_each(|_| self.instances[n].request_finished(now, &old, "r", Some(good)));
+                (0..9).for_each(|_| {
+                    self.instances[n].request_finished(
+                        now,
+                        &new,
+                        "r",
+                        Some(ResponseOutcome::Failure),
+                    )
+                });
                 self.instances[n].settle(now);
             }
             Event::Tell(from, to) => {
-                let told = self.instances[from].tell(now, Teller::Near);
+                let told = self.instances[from].make_records(now, PeerLocation::SameCell);
                 let name = format!("i{from}").as_str().into();
-                self.instances[to].hear(now, &name, Teller::Near, &told, |_| LONGEST);
+                self.instances[to]
+                    .apply_records(now, &name, PeerLocation::SameCell, &told, |_| LONGEST);
                 self.instances[to].set_endpoints(now, &endpoints());
             }
             Event::Time => {
@@ -378,13 +402,15 @@
             Event::Restore => {
                 self.status = None;
                 self.finals.clear();
-                self.instances.iter_mut().for_each(Rollouts::store_restored);
+                self.instances.iter_mut().for_each(Rollouts::forget_stored_statuses);
             }
         }
     }
 
     fn write(&mut self, n: usize) {
-        let Some((order, status)) = self.instances[n].due(self.now).pop() else { return };
+        let Some((order, status)) = self.instances[n].due_status_writes(self.now).pop() else {
+            return;
+        };
         let known = match self.status {
             Some(Status::Complete | Status::RolledBack) => self.status.unwrap_or(status),
             _ => status,
@@ -393,14 +419,16 @@
             self.finals.push(known);
         }
         self.status = Some(known);
-        self.instances[n].status_read(self.now, &order.service, &order.destination, known);
+        self.instances[n].apply_stored_status(self.now, &order.service, &order.destination, known);
     }
 
     fn check(&mut self, history: &[Event]) {
         assert!(self.finals.len() <= 1, "{history:?}: {:?}", self.finals);
         for instance in &mut self.instances {
-            for ToldRollout { phase, .. } in instance.tell(self.now, Teller::Near) {
-                let dealt = instance.deal(&"s".into(), true, false);
+            for RolloutRecord { phase, .. } in
+                instance.make_records(self.now, PeerLocation::SameCell)
+            {
+                let dealt = instance.assign_request(&"s".into(), true, false);
                 let is_new = dealt != "s".into();
                 let may = matches!(phase, Phase::Shift | Phase::Complete);
                 assert_eq!(is_new, may, "{history:?}: {phase:?}");
@@ -441,10 +469,11 @@
     for first in all {
         for second in all {
             let mut rollouts = ordered(now);
-            let mut told = rollouts.tell(now, Teller::Near);
+            let mut told = rollouts.make_records(now, PeerLocation::SameCell);
             for phase in [first, second] {
                 told[0].phase = phase;
-                rollouts.hear(now, &"i".into(), Teller::Near, &told, |_| LONGEST);
+                rollouts
+                    .apply_records(now, &"i".into(), PeerLocation::SameCell, &told, |_| LONGEST);
             }
             assert_eq!(phase(&mut rollouts, now), first.max(second));
         }
--- a/oxbowbend-gateway/src/gateway.rs
+++ b/oxbowbend-gateway/src/gateway.rs
@@ -15,7 +15,7 @@
 use oxbowbend_core::ids::{InstanceId, ZoneId};
 use oxbowbend_core::quota::QuotaPolicy;
 use oxbowbend_core::retries::{RetryLimit, RetryLimiter};
-use oxbowbend_core::rollout::{RolloutBounds, Rollouts};
+use oxbowbend_core::rollout::{RolloutLimits, Rollouts};
 use oxbowbend_http::h1;
 use thiserror::Error;
 
@@ -71,7 +71,7 @@
     /// Bound on repeats over all instances.
     pub repeats: RetryLimit,
     /// Bounds of roll-outs over all instances.
-    pub rollouts: RolloutBounds,
+    pub rollouts: RolloutLimits,
     /// Bounds of quotas over all instances.
     pub quotas: QuotaPolicy,
     /// Instances of a cell at most.
--- a/oxbowbend-gateway/src/peers.rs
+++ b/oxbowbend-gateway/src/peers.rs
@@ -23,7 +23,7 @@
 use oxbowbend_clock as clock;
 use oxbowbend_core::cell::{FleetSummary, Report};
 use oxbowbend_core::ids::InstanceId;
-use oxbowbend_core::rollout::Teller;
+use oxbowbend_core::rollout::PeerLocation;
 use oxbowbend_http::h1;
 
 use crate::audience::{changed, known, Audience, Reach, ToldAll};
@@ -147,23 +147,23 @@
         let quotas = &state.admission.quotas;
         if reach != Reach::Cell || quotas.is_near_limit() {
             report.admitted_units = changed(quotas.local_totals(), &told.spent.near, reach);
-            report.evidence = changed(state.rollouts.counters(), &told.evidence.near, reach);
+            report.evidence = changed(state.rollouts.local_counters(), &told.evidence.near, reach);
             report.fleet_summary = report.is_representative.then(|| FleetSummary {
                 remote_instances: state.beyond(now),
                 admitted_units: changed(quotas.other_cells_totals(), &told.spent.fleet, reach),
                 recent_units: told.lately(now, || quotas.other_cells_recent(now)),
-                evidence: changed(state.rollouts.far_counters(), &told.evidence.fleet, reach),
+                evidence: changed(state.rollouts.remote_counters(), &told.evidence.fleet, reach),
                 is_complete: reach.is_full() || told.has_just_begun(now),
             });
         }
         if reach != Reach::Cell {
-            report.rollouts = state.rollouts.tell(now, Teller::Near);
+            report.rollouts = state.rollouts.make_records(now, PeerLocation::SameCell);
         }
         if reach != Reach::Cell && state.cell.has_newcomer(now) {
             report.usage_windows = state.admission.quotas.window_usage(now);
         }
         let passes_on = state.group.cell_count <= 1 || report.is_representative;
-        report.quarantine = state.quarantine.tell(now, reach.extent(), passes_on);
+        report.quarantine = state.quarantine.make_update(now, reach.extent(), passes_on);
         if reach.is_full() {
             let others = state.cell.remote_reports(now).filter(|r| r.is_representative);
             report.representative_addresses = others.filter_map(|r| r.address).collect();
@@ -215,7 +215,7 @@
             cell_admitted_units: cell_spent,
             cell_recent_units: told.lately(now, || quotas.cell_recent(now)),
             cell_evidence,
-            rollouts: state.rollouts.tell(now, Teller::Far),
+            rollouts: state.rollouts.make_records(now, PeerLocation::OtherCell),
             quarantine: near.quarantine.clone(),
             endpoint_notices: state.cell.signals_for_other_cells(now),
             representative_addresses: peers,
--- a/oxbowbend-gateway/src/quarantine.rs
+++ b/oxbowbend-gateway/src/quarantine.rs
@@ -6,7 +6,9 @@
 use oxbowbend_core::cell::Outcome;
 use oxbowbend_core::fingerprint::Fingerprint;
 use oxbowbend_core::ids::EndpointKey;
-use oxbowbend_core::quarantine::{Change, Gate, Quarantine, Run, Told};
+use oxbowbend_core::quarantine::{
+    InterruptedAttempt, Quarantine, QuarantineEvent, QuarantineUpdate, SendPermission,
+};
 use oxbowbend_core::routes::Endpoint;
 
 use crate::observe;
@@ -14,10 +16,10 @@
 
 impl Shared {
     /// Whether a request may be sent to an endpoint now.
-    pub(crate) fn gate(&self, fingerprint: Fingerprint) -> Gate {
+    pub(crate) fn gate(&self, fingerprint: Fingerprint) -> SendPermission {
         let mut state = self.lock();
-        let gate = state.quarantine.gate(clock::now(), fingerprint);
-        if gate == Gate::Trial {
+        let gate = state.quarantine.check_send(clock::now(), fingerprint);
+        if gate == SendPermission::Trial {
             log_changes(&mut state.quarantine);
             drop(state);
             self.tell_others();
@@ -28,32 +30,32 @@
     /// Notes that a request had a whole answer.
     pub(crate) fn request_answered(&self, fingerprint: Fingerprint) {
         let mut state = self.lock();
-        state.quarantine.answered(clock::now(), fingerprint);
+        state.quarantine.request_succeeded(clock::now(), fingerprint);
         log_changes(&mut state.quarantine);
     }
 
     /// Notes a run that broke off; tells whether its endpoint must be checked. One that leaves, or has left, may
     /// end without anybody's doing.
-    pub(crate) fn run_broke_off(&self, endpoint: &Endpoint, run: Run) -> bool {
+    pub(crate) fn run_broke_off(&self, endpoint: &Endpoint, run: InterruptedAttempt) -> bool {
         let (now, key) = (clock::now(), endpoint.key());
         let mut state = self.lock();
         let State { world, quarantine, .. } = &mut *state;
         let Some(newest) = world.endpoint(&endpoint.id).filter(|e| !e.leaving) else {
             return false;
         };
-        quarantine.broke_off(now, &endpoint.id, key, run);
+        quarantine.attempt_interrupted(now, &endpoint.id, key, run);
         if newest.key() != key {
-            quarantine.ended(now, key);
+            quarantine.endpoint_crashed(now, key);
         }
         log_changes(quarantine);
-        quarantine.is_pending(key)
+        quarantine.has_pending_attempts(key)
     }
 
     /// Notes that a start of an endpoint has ended.
     pub(crate) fn endpoint_ended(&self, endpoint: &Endpoint) {
         let now = clock::now();
         let mut state = self.lock();
-        state.quarantine.ended(now, endpoint.key());
+        state.quarantine.endpoint_crashed(now, endpoint.key());
         state.set_ended_aside(now, [endpoint.key()]);
         log_changes(&mut state.quarantine);
         drop(state);
@@ -65,7 +67,7 @@
         let mut state = self.lock();
         let State { world, quarantine, .. } = &mut *state;
         for entry in world.instances().values() {
-            quarantine.hear_verdicts(now, &entry.quarantined);
+            quarantine.apply_decisions(now, &entry.quarantined);
         }
         log_changes(quarantine);
     }
@@ -73,18 +75,18 @@
 
 impl State {
     /// Takes in what another instance tells.
-    pub(crate) fn hear_of_ends(&mut self, now: Instant, told: &Told) {
+    pub(crate) fn hear_of_ends(&mut self, now: Instant, told: &QuarantineUpdate) {
         if told.is_empty() {
             return;
         }
-        let ended = self.quarantine.hear(now, told);
+        let ended = self.quarantine.apply_update(now, told);
         self.set_ended_aside(now, ended);
         log_changes(&mut self.quarantine);
     }
 
     /// Judges requests by ends that are known long enough.
     pub(crate) fn judge_ends(&mut self, now: Instant) {
-        self.quarantine.settle(now);
+        self.quarantine.evaluate(now);
         log_changes(&mut self.quarantine);
     }
 
@@ -96,23 +98,23 @@
 
 /// Writes and counts what has newly been believed.
 pub(crate) fn log_changes(quarantine: &mut Quarantine) {
-    let changes = quarantine.take_changes();
+    let changes = quarantine.take_events();
     if changes.is_empty() {
         return;
     }
     changes.iter().for_each(log_change);
-    observe::quarantined(quarantine.held());
+    observe::quarantined(quarantine.quarantined_count());
 }
 
-fn log_change(change: &Change) {
+fn log_change(change: &QuarantineEvent) {
     match change {
-        Change::Ended { endpoint, suspects, is_own } => {
+        QuarantineEvent::EndpointCrashed { endpoint, suspects, is_local: is_own } => {
             observe::endpoint_ended();
             log::warn!(
                 "event=endpoint_ended start={endpoint:08x} own={is_own} suspects={suspects:016x?}"
             );
         }
-        Change::Quarantined { fingerprint, ends, pause } => {
+        QuarantineEvent::Quarantined { fingerprint, crashes: ends, trial_delay: pause } => {
             observe::quarantine_changed("quarantined");
             let from = if ends.is_empty() { "told" } else { "evidence" };
             log::warn!(
@@ -121,11 +123,11 @@
                 pause.as_millis()
             );
         }
-        Change::Trial { fingerprint, trials } => {
+        QuarantineEvent::TrialStarted { fingerprint, trials } => {
             observe::quarantine_changed("trial");
             log::warn!("event=quarantine_trial fingerprint={fingerprint:016x} trials={trials}");
         }
-        Change::Released { fingerprint } => {
+        QuarantineEvent::Released { fingerprint } => {
             observe::quarantine_changed("released");
             log::warn!("event=request_released fingerprint={fingerprint:016x}");
         }
--- a/oxbowbend-gateway/src/relay/admit.rs
+++ b/oxbowbend-gateway/src/relay/admit.rs
@@ -106,7 +106,7 @@
         let quota_units = account.map_or(0, |a| quota_units(a, &metadata));
         let fingerprint = request_fingerprint(account, &head, &body);
         let mut state = self.shared.lock();
-        if let Some(remaining) = state.quarantine.closed_for(arrived_at, fingerprint) {
+        if let Some(remaining) = state.quarantine.blocked_for(arrived_at, fingerprint) {
             return Err(Refusal::Quarantined { fingerprint, retry_after: remaining });
         }
         let admitted = match account {
--- a/oxbowbend-gateway/src/relay/quarantine.rs
+++ b/oxbowbend-gateway/src/relay/quarantine.rs
@@ -4,7 +4,7 @@
 
 use async_std::{future, task};
 use oxbowbend_clock as clock;
-use oxbowbend_core::quarantine::{Gate, Run};
+use oxbowbend_core::quarantine::{InterruptedAttempt, SendPermission};
 use oxbowbend_core::routes::Endpoint;
 use oxbowbend_http::h1;
 
@@ -31,7 +31,7 @@
             return Err(AttemptError::DeadlineExceeded);
         }
         let permission = self.shared.gate(request.fingerprint);
-        if let Gate::Closed(remaining) = permission {
+        if let SendPermission::Blocked(remaining) = permission {
             observe::send_held();
             log::info!(
                 "event=send_held id={} fingerprint={:016x} left_ms={}",
@@ -41,7 +41,7 @@
             );
             return Err(AttemptError::Quarantined(remaining));
         }
-        Ok(permission == Gate::Trial)
+        Ok(permission == SendPermission::Trial)
     }
 
     /// Records that a request was answered completely and thus did not crash the endpoint.
@@ -60,7 +60,8 @@
         endpoint: &Endpoint,
         is_quiet: bool,
     ) {
-        let run = Run { fingerprint: request.fingerprint, is_quiet };
+        let run =
+            InterruptedAttempt { fingerprint: request.fingerprint, awaiting_response: is_quiet };
         if self.shared.run_broke_off(endpoint, run) {
             let (shared, pool) = (self.shared.clone(), self.pool.clone());
             task::spawn(probe_endpoint(shared, pool, endpoint.clone())).await;
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use oxbowbend_clock as clock;
 use oxbowbend_core::cell::{Assignment, Outcome, FIXED_WORK_UNITS};
-use oxbowbend_core::rollout::evidence::Answer;
+use oxbowbend_core::rollout::responses::ResponseOutcome;
 use oxbowbend_core::routes::{Endpoint, Route};
 use oxbowbend_core::silence::{self, TimeoutAction};
 use oxbowbend_http::h1;
@@ -168,7 +168,7 @@
         let unread_tokens = if self.time_to_first_event.is_zero() { self.prompt_tokens } else { 0 };
         let answer = match outcome {
             Outcome::Good => Some(self.timed_answer()),
-            Outcome::Bad => Some(Answer::Failed),
+            Outcome::Bad => Some(ResponseOutcome::Failure),
             Outcome::Neutral | Outcome::Absent => None,
         };
         self.shared.run_ended(&self.endpoint, &self.route.name, answer);
@@ -176,12 +176,12 @@
     }
 
     /// Returns the time taken so far per unit of work.
-    fn timed_answer(&self) -> Answer {
+    fn timed_answer(&self) -> ResponseOutcome {
         let units =
             self.prompt_tokens.saturating_add(self.backlog_tokens).saturating_add(FIXED_WORK_UNITS);
         let units = units.saturating_add(self.event_count.saturating_mul(WORK_UNITS_PER_EVENT));
         let ns = clock::since(self.started_at).as_nanos() as f64;
-        Answer::Good { ns_per_unit: ns / f64::from(units) }
+        ResponseOutcome::Success { ns_per_unit: ns / f64::from(units) }
     }
 }
 
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -7,8 +7,10 @@
 use oxbowbend_clock as clock;
 use oxbowbend_core::cell::Report;
 use oxbowbend_core::ids::ServiceId;
-use oxbowbend_core::rollout::evidence::{Answer, SideCounts};
-use oxbowbend_core::rollout::{Change, Order, Part, Phase, Status, Teller, ToldRollout, Why};
+use oxbowbend_core::rollout::responses::{GroupCounts, ResponseOutcome};
+use oxbowbend_core::rollout::{
+    EndpointRole, PeerLocation, Phase, PhaseChange, PhaseReason, RolloutRecord, RolloutSpec, Status,
+};
 use oxbowbend_core::routes::{Endpoint, RoutingTable};
 
 use crate::observe;
@@ -28,13 +30,13 @@
             match item {
                 News::Rollout(order) => {
                     let longest = self.longest(&order.service);
-                    self.rollouts.ordered(now, order.clone(), longest);
+                    self.rollouts.start(now, order.clone(), longest);
                 }
-                News::RolloutCancelled(service) => self.rollouts.cancelled(now, service),
+                News::RolloutCancelled(service) => self.rollouts.cancel(now, service),
                 News::RolloutStatus { service, destination, status } => {
-                    self.rollouts.status_read(now, service, destination, *status);
+                    self.rollouts.apply_stored_status(now, service, destination, *status);
                 }
-                News::Restored { .. } => self.rollouts.store_restored(),
+                News::Restored { .. } => self.rollouts.forget_stored_statuses(),
                 _ => {}
             }
         }
@@ -55,10 +57,10 @@
         if report.rollouts.is_empty() {
             return;
         }
-        let teller = if is_near { Teller::Near } else { Teller::Far };
+        let teller = if is_near { PeerLocation::SameCell } else { PeerLocation::OtherCell };
         let table = self.world.table().cloned();
         let longest = |service: &ServiceId| longest(table.as_deref(), service);
-        self.rollouts.hear(now, &report.instance, teller, &report.rollouts, longest);
+        self.rollouts.apply_records(now, &report.instance, teller, &report.rollouts, longest);
         self.follow_rollouts(now);
     }
 
@@ -75,7 +77,7 @@
             return;
         }
         changes.iter().for_each(log_change);
-        for Change { service, phase, .. } in &changes {
+        for PhaseChange { service, phase, .. } in &changes {
             self.move_waiting(service, *phase);
         }
         observe::rollouts(self.rollouts.in_progress());
@@ -84,7 +86,7 @@
 
     /// Lets what waits for the part of a service that is sent nothing any more wait for the other one.
     fn move_waiting(&mut self, service: &ServiceId, phase: Phase) {
-        let Some(part) = self.rollouts.part_name(service) else { return };
+        let Some(part) = self.rollouts.candidate_service(service) else { return };
         match phase {
             Phase::Canary | Phase::Shift => {}
             Phase::RolledBack | Phase::Retired => self.cell.change_service(&part, service),
@@ -97,25 +99,25 @@
         let endpoints: Vec<_> = self.world.endpoints().cloned().collect();
         let parts = self.rollouts.set_endpoints(now, &endpoints);
         let placed = endpoints.into_iter().zip(parts).filter_map(|(endpoint, part)| match part {
-            Part::Service => Some(endpoint),
-            Part::Version(service) => Some(Endpoint { service, ..endpoint }),
-            Part::None => None,
+            EndpointRole::Service => Some(endpoint),
+            EndpointRole::Version(service) => Some(Endpoint { service, ..endpoint }),
+            EndpointRole::Excluded => None,
         });
         placed.collect()
     }
 
     /// The name under which a request to a service waits for a place.
     pub(crate) fn deal(&mut self, service: &ServiceId, is_first: bool) -> ServiceId {
-        let Some(part) = self.rollouts.part_name(service) else { return service.clone() };
+        let Some(part) = self.rollouts.candidate_service(service) else { return service.clone() };
         let has_new = self.cell.serves(&part);
-        self.rollouts.deal(service, has_new, is_first)
+        self.rollouts.assign_request(service, has_new, is_first)
     }
 
     /// What later lives start from.
-    pub(crate) fn rollout_notes(&self, now: Instant) -> Vec<ToldRollout> {
+    pub(crate) fn rollout_notes(&self, now: Instant) -> Vec<RolloutRecord> {
         match self.rollouts.in_progress() {
             0 => Vec::new(),
-            _ => self.rollouts.tell(now, Teller::Near),
+            _ => self.rollouts.make_records(now, PeerLocation::SameCell),
         }
     }
 
@@ -140,18 +142,23 @@
 impl Shared {
     /// Notes that a request began to run at an endpoint.
     pub(crate) fn run_began(&self, endpoint: &Endpoint) {
-        self.lock().rollouts.began(endpoint);
+        self.lock().rollouts.request_started(endpoint);
     }
 
     /// Notes that it ended.
-    pub(crate) fn run_ended(&self, endpoint: &Endpoint, route: &str, answer: Option<Answer>) {
-        self.lock().rollouts.ended(clock::now(), endpoint, route, answer);
+    pub(crate) fn run_ended(
+        &self,
+        endpoint: &Endpoint,
+        route: &str,
+        answer: Option<ResponseOutcome>,
+    ) {
+        self.lock().rollouts.request_finished(clock::now(), endpoint, route, answer);
     }
 
-    fn due_statuses(&self) -> Vec<(Order, Status)> {
+    fn due_statuses(&self) -> Vec<(RolloutSpec, Status)> {
         let now = clock::now();
         let state = self.lock();
-        let due = state.rollouts.due(now);
+        let due = state.rollouts.due_status_writes(now);
         if due.is_empty() || !state.writes_statuses(now) {
             return Vec::new();
         }
@@ -181,7 +188,7 @@
 async fn tell_operator<S: Store>(
     store: &S,
     shared: &Shared,
-    order: &Order,
+    order: &RolloutSpec,
     status: Status,
 ) -> Result<(), StoreError> {
     let noted = store.rollout_status(&order.service).await?;
@@ -203,20 +210,25 @@
     observe::store_call("rollout", "ok");
     let now = clock::now();
     let mut state = shared.lock();
-    state.rollouts.status_read(now, &order.service, &order.destination, known);
+    state.rollouts.apply_stored_status(now, &order.service, &order.destination, known);
     state.follow_rollouts(now);
     drop(state);
     shared.tell_others();
     Ok(())
 }
 
-fn log_change(change: &Change) {
-    let Change { service, destination, phase, why, age, answers } = change;
-    let SideCounts { old, new } = answers;
+fn log_change(change: &PhaseChange) {
+    let PhaseChange { service, destination, phase, reason: why, age, responses: answers } = change;
+    let GroupCounts { baseline: old, candidate: new } = answers;
     let why = match why {
-        Why::Worse(f) => format!(
+        PhaseReason::Worse(f) => format!(
             "worse bad={} of={} old_bad={} old_of={} ratio={:.1} slow_from={:?}",
-            f.new.bad, f.new.all, f.old.bad, f.old.all, f.ratio, f.slow_from
+            f.candidate.bad,
+            f.candidate.total,
+            f.baseline.bad,
+            f.baseline.total,
+            f.log_ratio,
+            f.slow_bucket
         ),
         why => format!("{why:?}"),
     };
@@ -224,9 +236,9 @@
         "event=rollout service={service} destination={destination} phase={phase:?} age_ms={} new={} \
          new_failed={} old={} old_failed={} why=\"{why}\"",
         age.as_millis(),
-        new.all(),
+        new.total(),
         new.failed(),
-        old.all(),
+        old.total(),
         old.failed()
     );
 }
--- a/oxbowbend-gateway/src/seam.rs
+++ b/oxbowbend-gateway/src/seam.rs
@@ -10,9 +10,9 @@
 use oxbowbend_core::ids::{
     AccountId, EndpointId, EndpointKey, InstanceId, ServiceId, VersionId, ZoneId,
 };
-use oxbowbend_core::quarantine::ToldVerdict;
+use oxbowbend_core::quarantine::DecisionRecord;
 use oxbowbend_core::quota::WindowUsage;
-use oxbowbend_core::rollout::{Order, Status, ToldRollout};
+use oxbowbend_core::rollout::{RolloutRecord, RolloutSpec, Status};
 use oxbowbend_core::routes::{Endpoint, RoutingTable};
 use oxbowbend_core::subscription::WatchParams;
 use thiserror::Error;
@@ -143,10 +143,10 @@
     pub epoch: Epoch,
     /// Requests in quarantine, from this instance if it decided that, else likewise.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub quarantined: Vec<ToldVerdict>,
+    pub quarantined: Vec<DecisionRecord>,
     /// Roll-outs in progress, if it is on this instance to note them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub rollouts: Vec<ToldRollout>,
+    pub rollouts: Vec<RolloutRecord>,
 }
 
 /// What the store says of a service's roll-out.
@@ -174,7 +174,7 @@
     /// An instance's entry has gone.
     InstanceGone(InstanceId),
     /// A roll-out that the operator orders.
-    Rollout(Order),
+    Rollout(RolloutSpec),
     /// Its order has gone.
     RolloutGone(ServiceId),
     /// What the operator was told of a roll-out.
@@ -313,7 +313,7 @@
     /// was.
     fn note_rollout(
         &self,
-        order: &Order,
+        order: &RolloutSpec,
         status: Status,
         before: Revision,
     ) -> impl Future<Output = Result<(), StoreError>> + Send;
--- a/oxbowbend-gateway/src/shared.rs
+++ b/oxbowbend-gateway/src/shared.rs
@@ -303,7 +303,7 @@
             *is_restored = true;
             *loaded_at = Some(now);
             let noted = world.instances().values().flat_map(|e| &e.quarantined).cloned();
-            quarantine.hear_verdicts(now, &noted.collect::<Vec<_>>());
+            quarantine.apply_decisions(now, &noted.collect::<Vec<_>>());
             self.loaded.1.close();
             for entry in world.instances().values() {
                 let note =
@@ -319,7 +319,7 @@
         for item in news {
             match item {
                 News::Restarted(Endpoint { id, .. }) | News::EndpointGone(id) => {
-                    quarantine.entry_changed(now, id);
+                    quarantine.endpoint_entry_changed(now, id);
                 }
                 News::Endpoint(endpoint) if endpoint.leaving => {
                     cell.mark_draining(now, endpoint.key());
@@ -367,10 +367,10 @@
         state.draw(now, heard.admitted_units.own_cell, true);
         state.draw(now, heard.admitted_units.other_cells, false);
         for (key, n) in heard.evidence.own_cell {
-            state.rollouts.draw(now, key, n, true);
+            state.rollouts.add_peer_responses(now, key, n, true);
         }
         for (key, n) in heard.evidence.other_cells {
-            state.rollouts.draw(now, key, n, false);
+            state.rollouts.add_peer_responses(now, key, n, false);
         }
         // Without a request that waits, no report gives anybody a place.
         let has_work = state.cell.waiting_count() > 0;
