--- a/oxbowbend-core/src/cell/assign.rs
+++ b/oxbowbend-core/src/cell/assign.rs
@@ -1,445 +1,494 @@
-//! The assignment of waiting requests to free places, the same at every instance of a cell.
+//! Assignment of waiting requests to free endpoint slots.
+//!
+//! Every instance of a cell runs the same deterministic computation over its own waiting requests
+//! and those that its peers report, and dispatches only its own share of the result.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::gate::Rooms;
-use super::{Cell, Stall, Ticket, Want, CLAIM_TTL, FIXED_UNITS};
+use super::gate::Allowances;
+use super::{Cell, PrefillStall, QueuedRequest, Ticket, FIXED_WORK_UNITS, WAITING_TTL};
 use crate::ids::{EndpointId, EndpointKey, ServiceId, ZoneId};
 use crate::routes::Endpoint;
 
-/// Added to the first event's time for each place in use, as a share: a batch slows with its size.
-const CROWDING: f64 = 0.3;
-/// Extra time of an endpoint in another availability zone, also to save the traffic between zones.
-const OTHER_ZONE: Duration = Duration::from_millis(10);
-/// Largest part by which an instance's own taste for an endpoint adds to its time. Reports take 3 to 30 ms
-/// at the users' small machines; with a hundred requests a second in a cell, instances that all prefer
-/// the same place take it twice in a third of the cases (measured: kalemdar-tutanak-grown scale-1). It is
-/// far less than the factor of 4.4 between slow and fast engines.
-const TASTE: f64 = 0.3;
-/// Part of the objective below which it does not matter how soon the first event comes. Without such a
-/// bound the differences of what was measured outweigh all taste.
-const EARLY_SHARE: f64 = 0.15;
-/// Part of a stream's longest pause that the reading of another prompt may take. What is learned of
-/// an endpoint's pace is a little slower than its reading alone.
-const STALL_SHARE: f64 = 0.9;
-/// Part of the objective that must be left for a request to wait for a place where it holds nobody
-/// up. With less, its own time goes before the others' pauses.
-const PATIENT_SHARE: f64 = 0.5;
-/// How much slower than the usual an endpoint may be of which nothing is known. Engines at the users'
-/// sites differ by 3.0 to 0.68.
-const UNKNOWN_TIMES: f64 = 3.0;
-/// Part of the usual at which such an endpoint is taken for a request that would be in time even if
-/// it were so slow: it is tried first, by those whom that costs nothing.
-const TRY_TIMES: f64 = 0.9;
-/// Part of the time left within which that is so.
-const TRY_SHARE: f64 = 0.5;
-/// Nanoseconds for a unit of work where nothing has been measured: 50 tokens in a millisecond.
-const UNKNOWN_NS: f64 = 20_000.0;
-
-/// Units of work of a token of an answer: engines at the users' sites make one in the time in which
-/// they read 190 to 300 tokens.
-const OUTPUT_UNITS: f64 = 250.0;
-/// Times the usual pace up to which endpoints are alike for the length of an answer. What is learned of
-/// equal engines differs by up to a half.
-const ALIKE_TIMES: f64 = 1.5;
-
-/// Time after its arrival for which the others cannot know of a request: 5 ms until the next report,
-/// and the way of that.
-pub const UNHEARD: Duration = Duration::from_millis(10);
-/// Free places of a service up to which a request that the others cannot know of leaves them to
-/// those that wait. With so few left, arrivals within the same 10 ms would all take the same ones
-/// (kalemdar-tutanak-grown scale-1: up to six requests above an endpoint's slots).
-const CONTENDED: u32 = 3;
-/// Age up to which paces are used again. They change little from one request to the next, and working
-/// them out takes longer than all else in an assignment.
-const PACES_AGE: Duration = Duration::from_millis(50);
-
-/// Paces of endpoints, worked out from what all instances have measured.
+/// Relative slowdown of the first event at a fully loaded endpoint, since larger batches run
+/// slower.
+const LOAD_SLOWDOWN: f64 = 0.3;
+/// Cost of sending a request to another availability zone, which includes the price of the traffic.
+const CROSS_ZONE_PENALTY: Duration = Duration::from_millis(10);
+/// Largest relative penalty from [`preference_penalty`]. It must stay well below the difference
+/// between slow and fast endpoints.
+const MAX_PREFERENCE_PENALTY: f64 = 0.3;
+/// Fraction of the objective below which a faster first event brings no advantage, so that
+/// measurement noise does not outweigh [`preference_penalty`].
+const FIRST_EVENT_FLOOR_SHARE: f64 = 0.15;
+/// Fraction of a stream's maximum pause that the prefill of another prompt may take.
+const STALL_TOLERANCE_SHARE: f64 = 0.9;
+/// Minimum fraction of the objective that must be left for a request to wait for a slot where it
+/// stalls no other stream.
+const STALL_WAIT_MIN_SHARE: f64 = 0.5;
+/// Worst-case slowdown of an unmeasured endpoint relative to the median.
+const UNMEASURED_SLOWDOWN: f64 = 3.0;
+/// Factor on the estimate of an unmeasured endpoint for requests that would meet their deadline
+/// even in the worst case. Being below 1, it makes such requests explore unmeasured endpoints
+/// first.
+const EXPLORATION_FACTOR: f64 = 0.9;
+/// Fraction of the remaining time that the worst case may take for a request to explore.
+const EXPLORATION_MAX_SHARE: f64 = 0.5;
+/// Estimate before anything has been measured: 50 tokens per millisecond.
+const DEFAULT_NS_PER_UNIT: f64 = 20_000.0;
+
+/// Work units of one generated token: the number of tokens read in the same time during prefill.
+const WORK_UNITS_PER_OUTPUT_TOKEN: f64 = 250.0;
+/// Slowdown relative to the median up to which endpoints count as equally fast for the length of an
+/// answer; estimates of identical endpoints differ by up to a half.
+const SIMILAR_SPEED_RATIO: f64 = 1.5;
+
+/// Time after its arrival in which peers cannot know of a request: the report interval of 5 ms and
+/// the network delay.
+pub const REPORT_DELAY: Duration = Duration::from_millis(10);
+/// Number of free slots of a service up to which a request waits for [`REPORT_DELAY`] first, since
+/// simultaneous arrivals at several instances would take the same slots.
+const CONTENDED_SLOTS: u32 = 3;
+/// Maximum age of cached estimates. Recomputing them is the most expensive part of an assignment.
+const LATENCY_CACHE_TTL: Duration = Duration::from_millis(50);
+
+/// Latency estimates of all endpoints, combined from the measurements of all instances.
 #[derive(Debug, Default)]
-pub(super) struct KnownPaces {
-    paces: HashMap<EndpointKey, f64>,
-    /// The middle one.
-    usual: f64,
-    at: Option<Instant>,
+pub(super) struct LatencyCache {
+    ns_per_unit: HashMap<EndpointKey, f64>,
+    median_ns: f64,
+    updated_at: Option<Instant>,
 }
 
-/// Place of a request in the order: rank, then the time at which it should be answered and would be
-/// done, so that of equal age the shorter one goes first.
+/// Scheduling priority of a request; smaller values go first. Orders by rank, then by expected
+/// completion, so that of two requests with the same deadline the shorter one goes first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Order {
+pub struct Priority {
     rank: u16,
-    /// What is late already goes after what is not.
-    is_late: bool,
-    done: Instant,
-    due: Instant,
+    /// Requests that have missed their deadline go after all others of their rank.
+    is_overdue: bool,
+    expected_end: Instant,
+    deadline: Instant,
 }
 
-impl Order {
-    fn new(now: Instant, rank: u16, due: Instant, output: u32, usual_ns: f64) -> Order {
-        Order { rank, is_late: due < now, due, done: due + answer_time(output, usual_ns) }
+impl Priority {
+    fn new(
+        now: Instant,
+        rank: u16,
+        deadline: Instant,
+        output_tokens: u32,
+        median_ns: f64,
+    ) -> Priority {
+        Priority {
+            rank,
+            is_overdue: deadline < now,
+            deadline,
+            expected_end: deadline + generation_time(output_tokens, median_ns),
+        }
     }
 }
 
-/// A request that has got a place.
+/// A request that has been assigned a slot.
 #[derive(Clone, Debug)]
 pub struct Assignment {
-    /// The request.
+    /// Identifies the request.
     pub ticket: Ticket,
-    /// Where it goes.
+    /// The endpoint to send it to.
     pub endpoint: Endpoint,
-    /// Requests at the endpoint, this one included.
+    /// Number of requests at the endpoint, including this one.
     pub load: u32,
-    /// Tokens of its prompt.
-    pub prompt: u32,
-    /// Tokens of prompts that the endpoint has to read before.
-    pub backlog: u32,
+    /// Length of the prompt.
+    pub prompt_tokens: u32,
+    /// Prompt tokens queued at the endpoint ahead of this request.
+    pub backlog_tokens: u32,
     /// Expected time to the first event.
-    pub expected: Duration,
-    /// Expected time to the end of the answer; none if the caller gave no estimate.
-    pub whole: Option<Duration>,
-    /// Endpoints of its service that would have had a place and want no request now.
-    pub withheld: u32,
+    pub expected_first_event: Duration,
+    /// Expected time to the end of the answer; `None` if the caller gave no estimate of its length.
+    pub expected_total: Option<Duration>,
+    /// Number of endpoints of the service that have a free slot but are throttled.
+    pub throttled_endpoints: u32,
 }
 
-/// A waiting request of this instance or another one.
+/// A waiting request of this instance or of a peer.
 struct Candidate<'a> {
-    order: Order,
+    priority: Priority,
     ticket: Option<Ticket>,
     arrived: Instant,
     service: &'a ServiceId,
     zone: &'a ZoneId,
-    /// Hash of the instance at which it waits.
-    taste: u64,
+    /// Hash of the name of the instance where it waits.
+    instance_hash: u64,
     objective: Duration,
-    prompt: u32,
-    output: u32,
-    stall: Stall,
+    prompt_tokens: u32,
+    output_tokens: u32,
+    stall: PrefillStall,
     avoid: &'a [EndpointId],
 }
 
 impl Candidate<'_> {
-    /// Whether it waits here and the others cannot know of it yet.
-    fn is_unheard(&self, now: Instant) -> bool {
-        self.ticket.is_some() && now.saturating_duration_since(self.arrived) < UNHEARD
+    /// Whether this is a request of this instance that peers cannot know of yet.
+    fn is_unreported(&self, now: Instant) -> bool {
+        self.ticket.is_some() && now.saturating_duration_since(self.arrived) < REPORT_DELAY
     }
 }
 
-/// An endpoint with what it could still take.
-struct Place<'a> {
+/// An endpoint that can receive requests.
+struct Target<'a> {
     endpoint: &'a Endpoint,
-    /// Hash of the endpoint.
+    /// Hash of the endpoint's id.
     hash: u64,
     load: u32,
-    room: u32,
-    unread: u32,
-    ns: f64,
-    /// Nanoseconds for a unit of work at the usual endpoint.
-    usual_ns: f64,
-    /// Whether the pace is only a guess.
-    is_guess: bool,
-    /// Requests that it wants from this instance, if that is not any number. Others have parts of their own.
-    wanted: Option<u32>,
+    free_slots: u32,
+    pending_tokens: u32,
+    ns_per_unit: f64,
+    /// Median of `ns_per_unit` over all measured endpoints.
+    median_ns: f64,
+    /// Whether `ns_per_unit` is the median for lack of measurements.
+    is_unmeasured: bool,
+    /// Number of requests that this instance may send now; `None` if the endpoint is not throttled.
+    allowance: Option<u32>,
 }
 
 impl Cell {
-    /// Assigns what waits to free places and returns this instance's part of that, which counts
-    /// as running from now on.
+    /// Assigns waiting requests to free slots and returns the assignments of this instance, which
+    /// count as running from now on.
     pub fn assign(&mut self, now: Instant) -> Vec<Assignment> {
-        self.set_failing_aside(now);
+        self.eject_failing_endpoints(now);
         if self.waiting.is_empty() {
             return Vec::new();
         }
-        self.know_paces(now);
-        // An endpoint that names a limit gets no more than that from all instances together, by whatever way a request comes to it.
-        let rooms = self.rooms(now);
-        let assignments = self.work_out(now, &rooms);
+        self.refresh_latency_cache(now);
+        let allowances = self.allowances(now);
+        let assignments = self.compute_assignments(now, &allowances);
         for a in &assignments {
-            self.pass(now, a.endpoint.key());
+            self.record_dispatch(now, a.endpoint.key());
             if let Some(want) = self.waiting.remove(&a.ticket) {
-                self.shedding.placed(now, &want.service, want.rank);
+                self.shedding.record_placed(now, &want.service, want.rank);
             }
-            if let Some(site) = self.sites.get_mut(&a.endpoint.key()) {
+            if let Some(site) = self.endpoints.get_mut(&a.endpoint.key()) {
                 site.running += 1;
-                site.unread += a.prompt;
+                site.pending_prompt_tokens += a.prompt_tokens;
             }
         }
         assignments
     }
 
-    fn work_out(&self, now: Instant, rooms: &Rooms) -> Vec<Assignment> {
-        let mut places = self.places(now, rooms);
-        let withheld = withheld(&places);
-        places.retain(|p| p.wanted != Some(0));
-        places.iter_mut().for_each(|p| p.room = p.room.min(p.wanted.unwrap_or(p.room)));
+    fn compute_assignments(&self, now: Instant, allowances: &Allowances) -> Vec<Assignment> {
+        let mut targets = self.targets(now, allowances);
+        let throttled_by_service = throttled_by_service(&targets);
+        targets.retain(|t| t.allowance != Some(0));
+        targets
+            .iter_mut()
+            .for_each(|t| t.free_slots = t.free_slots.min(t.allowance.unwrap_or(t.free_slots)));
         let mut assignments = Vec::new();
-        // Most reports change no place, and there are many of both when there is most to do.
-        if places.iter().all(|p| p.room == 0) {
+        // Skips sorting the candidates in the common case under load.
+        if targets.iter().all(|t| t.free_slots == 0) {
             return assignments;
         }
-        let free = free(&places);
-        let is_alone = self.heard(now) == 0;
+        let free_slots_by_service = free_slots_by_service(&targets);
+        let is_alone = self.live_peer_count(now) == 0;
         for candidate in self.candidates(now) {
-            let free = free.get(candidate.service).copied().unwrap_or(0);
-            if free == 0 || !is_alone && free <= CONTENDED && candidate.is_unheard(now) {
+            let free_slots = free_slots_by_service.get(candidate.service).copied().unwrap_or(0);
+            if free_slots == 0
+                || !is_alone && free_slots <= CONTENDED_SLOTS && candidate.is_unreported(now)
+            {
                 continue;
             }
-            let Some((place, expected)) = choose(&mut places, &candidate, now) else { continue };
-            place.room -= 1;
-            place.load += 1;
-            let (prompt, backlog) = (candidate.prompt, place.unread);
-            place.unread = place.unread.saturating_add(prompt);
+            let Some((target, expected)) = choose(&mut targets, &candidate, now) else { continue };
+            target.free_slots -= 1;
+            target.load += 1;
+            let (prompt_tokens, backlog_tokens) = (candidate.prompt_tokens, target.pending_tokens);
+            target.pending_tokens = target.pending_tokens.saturating_add(prompt_tokens);
             if let Some(ticket) = candidate.ticket {
-                let (endpoint, load) = (place.endpoint.clone(), place.load);
-                let whole = (candidate.output > 0).then(|| expected + run(place, &candidate));
+                let (endpoint, load) = (target.endpoint.clone(), target.load);
+                let expected_total = (candidate.output_tokens > 0)
+                    .then(|| expected + expected_generation_time(target, &candidate));
                 assignments.push(Assignment {
                     ticket,
                     endpoint,
                     load,
-                    prompt,
-                    backlog,
-                    expected,
-                    whole,
-                    withheld: withheld.get(candidate.service).copied().unwrap_or(0),
+                    prompt_tokens,
+                    backlog_tokens,
+                    expected_first_event: expected,
+                    expected_total,
+                    throttled_endpoints: throttled_by_service
+                        .get(candidate.service)
+                        .copied()
+                        .unwrap_or(0),
                 });
             }
         }
         assignments
     }
 
-    /// Place of a request of this instance.
-    pub(super) fn order(&self, now: Instant, want: &Want) -> Order {
-        let due = want.arrived + want.objective;
-        Order::new(now, want.rank, due, want.output, self.known.usual)
+    /// Returns the priority of a request of this instance.
+    pub(super) fn priority(&self, now: Instant, want: &QueuedRequest) -> Priority {
+        let deadline = want.arrived_at + want.objective;
+        Priority::new(now, want.rank, deadline, want.output_tokens, self.latency_cache.median_ns)
     }
 
     fn candidates(&self, now: Instant) -> Vec<Candidate<'_>> {
-        let taste = xxh3_64(self.me.as_bytes());
-        let mine = self.waiting.iter().map(move |(ticket, want)| Candidate {
-            order: self.order(now, want),
+        let instance_hash = xxh3_64(self.local_id.as_bytes());
+        let own = self.waiting.iter().map(move |(ticket, want)| Candidate {
+            priority: self.priority(now, want),
             ticket: Some(*ticket),
-            arrived: want.arrived,
+            arrived: want.arrived_at,
             service: &want.service,
             zone: &self.zone,
-            taste,
+            instance_hash,
             objective: want.objective,
-            prompt: want.prompt,
-            output: want.output,
+            prompt_tokens: want.prompt_tokens,
+            output_tokens: want.output_tokens,
             stall: want.stall,
-            avoid: &want.avoid,
+            avoid: &want.excluded_endpoints,
         });
-        let others = self.peers.values().filter(|p| p.is_live(now, CLAIM_TTL)).flat_map(|p| {
-            let taste = xxh3_64(p.report.instance.as_bytes());
-            p.report.claims.iter().filter_map(move |claim| {
+        let reported = self.peers.values().filter(|p| p.is_live(now, WAITING_TTL)).flat_map(|p| {
+            let instance_hash = xxh3_64(p.report.instance.as_bytes());
+            p.report.waiting.iter().filter_map(move |claim| {
                 let waited = Duration::from_millis(claim.waited_ms.into());
-                let arrived = p.heard.checked_sub(waited)?;
+                let arrived = p.last_heard.checked_sub(waited)?;
                 let objective = Duration::from_millis(claim.objective_ms.into());
-                let due = arrived + objective;
+                let deadline = arrived + objective;
                 Some(Candidate {
-                    order: Order::new(now, claim.rank, due, claim.output, self.known.usual),
+                    priority: Priority::new(
+                        now,
+                        claim.rank,
+                        deadline,
+                        claim.output_tokens,
+                        self.latency_cache.median_ns,
+                    ),
                     ticket: None,
                     arrived,
                     service: &claim.service,
                     zone: &p.report.zone,
-                    taste,
+                    instance_hash,
                     objective,
-                    prompt: claim.prompt,
-                    output: claim.output,
+                    prompt_tokens: claim.prompt_tokens,
+                    output_tokens: claim.output_tokens,
                     stall: claim.stall,
                     avoid: &[],
                 })
             })
         });
-        let mut all: Vec<_> = mine.chain(others).collect();
-        all.sort_by_key(|c| c.order);
+        let mut all: Vec<_> = own.chain(reported).collect();
+        all.sort_by_key(|c| c.priority);
         all
     }
 
-    fn places(&self, now: Instant, rooms: &Rooms) -> Vec<Place<'_>> {
+    fn targets(&self, now: Instant, allowances: &Allowances) -> Vec<Target<'_>> {
         let mut loads: HashMap<EndpointKey, (u32, u32)> = HashMap::new();
-        for told in self.live_reports(now).flat_map(|r| &r.loads) {
-            let load = loads.entry(told.endpoint).or_default();
-            *load = (load.0 + told.running, load.1.saturating_add(told.unread));
+        for reported in self.live_reports(now).flat_map(|r| &r.loads) {
+            let load = loads.entry(reported.endpoint).or_default();
+            *load =
+                (load.0 + reported.running, load.1.saturating_add(reported.pending_prompt_tokens));
         }
-        let KnownPaces { paces, usual, .. } = &self.known;
-        let open = self.sites.iter().filter(|(key, s)| self.is_open(now, **key, s));
-        let place = |key: &EndpointKey, s: &'_ super::Site| {
-            let (running, unread) = loads.get(key).copied().unwrap_or_default();
+        let LatencyCache { ns_per_unit, median_ns, .. } = &self.latency_cache;
+        let available = self.endpoints.iter().filter(|(key, s)| self.is_available(now, **key, s));
+        let usage = |key: &EndpointKey, s: &'_ super::EndpointState| {
+            let (running, pending_tokens) = loads.get(key).copied().unwrap_or_default();
             let load = s.running + running;
-            let usable = (f64::from(s.endpoint.slots) * self.share).ceil() as u32;
-            let slots = if s.health.is_on_trial() { 1 } else { usable };
-            (load, slots.saturating_sub(load), s.unread.saturating_add(unread))
-        };
-        open.map(|(key, s)| {
-            let (load, room, unread) = place(key, s);
-            let known = paces.get(key).copied();
-            let (ns, is_guess) = (known.unwrap_or(*usual), known.is_none());
-            Place {
-                endpoint: &s.endpoint,
-                hash: s.hash,
+            let usable = (f64::from(s.endpoint.slots) * self.visible_share).ceil() as u32;
+            let slots = if s.health.is_on_probation() { 1 } else { usable };
+            (
                 load,
-                room,
-                unread,
-                ns,
-                usual_ns: *usual,
-                is_guess,
-                wanted: rooms.get(key).copied(),
-            }
-        })
-        .collect()
+                slots.saturating_sub(load),
+                s.pending_prompt_tokens.saturating_add(pending_tokens),
+            )
+        };
+        available
+            .map(|(key, s)| {
+                let (load, free_slots, pending_tokens) = usage(key, s);
+                let measured = ns_per_unit.get(key).copied();
+                let (ns_per_unit, is_unmeasured) =
+                    (measured.unwrap_or(*median_ns), measured.is_none());
+                Target {
+                    endpoint: &s.endpoint,
+                    hash: s.hash,
+                    load,
+                    free_slots,
+                    pending_tokens,
+                    ns_per_unit,
+                    median_ns: *median_ns,
+                    is_unmeasured,
+                    allowance: allowances.get(key).copied(),
+                }
+            })
+            .collect()
     }
 
-    /// Works out the paces anew if they are old, or if there are none.
-    fn know_paces(&mut self, now: Instant) {
-        let is_old = |at: Instant| now.saturating_duration_since(at) >= PACES_AGE;
-        if self.known.paces.is_empty() || self.known.at.is_none_or(is_old) {
-            let paces = self.paces(now);
-            let usual = usual(paces.values().copied());
-            self.known = KnownPaces { paces, usual, at: Some(now) };
+    /// Recomputes the estimates if they have expired or there are none.
+    fn refresh_latency_cache(&mut self, now: Instant) {
+        let is_expired = |at: Instant| now.saturating_duration_since(at) >= LATENCY_CACHE_TTL;
+        if self.latency_cache.ns_per_unit.is_empty()
+            || self.latency_cache.updated_at.is_none_or(is_expired)
+        {
+            let ns_per_unit = self.paces(now);
+            let median_ns = median(ns_per_unit.values().copied());
+            self.latency_cache = LatencyCache { ns_per_unit, median_ns, updated_at: Some(now) };
         }
     }
 
-    /// Sets failing endpoints aside, at most half of a service. Looking at all of them at every report and every
-    /// end of a request took 3 in 100 of an instance's processor time; without a late failure there is
-    /// nothing to find.
-    fn set_failing_aside(&mut self, now: Instant) {
-        let is_old = |at: Instant| now.saturating_duration_since(at) > super::health::WINDOW;
-        if self.last_bad.is_none_or(is_old) {
+    /// Ejects failing endpoints, at most half of each service. Returns early unless there was a
+    /// recent failure, because this runs on every report and at the end of every request.
+    fn eject_failing_endpoints(&mut self, now: Instant) {
+        let is_expired =
+            |at: Instant| now.saturating_duration_since(at) > super::health::OUTCOME_WINDOW;
+        if self.last_failure.is_none_or(is_expired) {
             return;
         }
         let mut services: HashMap<ServiceId, (usize, usize)> = HashMap::new();
-        for (_, site) in self.sites.iter().filter(|(key, s)| !self.is_leaving(**key, s)) {
-            let (all, aside) = services.entry(site.endpoint.service.clone()).or_default();
+        for (_, site) in self.endpoints.iter().filter(|(key, s)| !self.is_draining(**key, s)) {
+            let (all, ejected) = services.entry(site.endpoint.service.clone()).or_default();
             *all += 1;
-            *aside += usize::from(site.health.is_aside(now));
+            *ejected += usize::from(site.health.is_ejected(now));
         }
-        for site in self.sites.values_mut() {
-            if site.health.is_aside(now) || !site.health.is_failing(now) {
+        for site in self.endpoints.values_mut() {
+            if site.health.is_ejected(now) || !site.health.is_failing(now) {
                 continue;
             }
-            let Some((all, aside)) = services.get_mut(&site.endpoint.service) else { continue };
-            if (*aside + 1) * 2 > *all {
+            let Some((all, ejected)) = services.get_mut(&site.endpoint.service) else { continue };
+            if (*ejected + 1) * 2 > *all {
                 continue;
             }
-            *aside += 1;
-            let pause = site.health.set_aside(now);
-            self.news.push(super::SetAside { endpoint: site.endpoint.id.clone(), pause });
+            *ejected += 1;
+            let pause = site.health.eject(now);
+            self.ejections
+                .push(super::Ejection { endpoint: site.endpoint.id.clone(), duration: pause });
         }
     }
 }
 
-/// The best place for a request, if there is one. A request that would miss its time at every free
-/// place, but not at one that is in use now, waits for that one; so does one that would hold up the
-/// streams at every free place, while it has time.
+/// Chooses the best endpoint with a free slot for a request.
+///
+/// Returns `None` if the request should keep waiting: it would miss its deadline at every free
+/// endpoint but not at a busy one, or it would stall other streams at every free endpoint and still
+/// has time.
 fn choose<'a, 'b>(
-    places: &'b mut [Place<'a>],
+    targets: &'b mut [Target<'a>],
     candidate: &Candidate<'_>,
     now: Instant,
-) -> Option<(&'b mut Place<'a>, Duration)> {
-    let left = candidate.order.due.saturating_duration_since(now);
-    let fits = |p: &Place<'_>| {
-        p.endpoint.service == *candidate.service
-            && !candidate.avoid.contains(&p.endpoint.id)
-            && (p.wanted.is_none() || candidate.ticket.is_some())
+) -> Option<(&'b mut Target<'a>, Duration)> {
+    let time_left = candidate.priority.deadline.saturating_duration_since(now);
+    let fits = |t: &Target<'_>| {
+        t.endpoint.service == *candidate.service
+            && !candidate.avoid.contains(&t.endpoint.id)
+            && (t.allowance.is_none() || candidate.ticket.is_some())
     };
-    let in_time = places.iter().any(|p| fits(p) && first(p, candidate) <= left);
-    let is_patient = left > candidate.objective.mul_f64(PATIENT_SHARE)
-        && places.iter().any(|p| fits(p) && !stalls(p, candidate, 1));
-    let free = places.iter_mut().filter(|p| p.room > 0 && fits(p));
-    let best = free.min_by_key(|p| (stalls(p, candidate, p.load), cost(p, candidate, left)))?;
-    let expected = first(best, candidate);
-    if expected > left && in_time || is_patient && stalls(best, candidate, best.load) {
+    let can_meet_deadline =
+        targets.iter().any(|t| fits(t) && time_to_first_event(t, candidate) <= time_left);
+    let can_wait = time_left > candidate.objective.mul_f64(STALL_WAIT_MIN_SHARE)
+        && targets.iter().any(|t| fits(t) && !would_stall(t, candidate, 1));
+    let free = targets.iter_mut().filter(|t| t.free_slots > 0 && fits(t));
+    let best =
+        free.min_by_key(|t| (would_stall(t, candidate, t.load), cost(t, candidate, time_left)))?;
+    let expected_first_event = time_to_first_event(best, candidate);
+    if expected_first_event > time_left && can_meet_deadline
+        || can_wait && would_stall(best, candidate, best.load)
+    {
         return None;
     }
-    Some((best, expected))
+    Some((best, expected_first_event))
 }
 
-/// Whether reading the prompt would hold up so many streams beside it for too long.
-fn stalls(place: &Place<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
-    let Stall { tokens, pause_ms } = candidate.stall;
-    let takes_ms = f64::from(tokens) * place.ns / 1e6;
-    load > 0 && pause_ms > 0 && takes_ms > f64::from(pause_ms) * STALL_SHARE
+/// Whether the prefill of the prompt would pause the `load` other requests at the endpoint for too
+/// long.
+fn would_stall(target: &Target<'_>, candidate: &Candidate<'_>, load: u32) -> bool {
+    let PrefillStall { chunk_tokens: tokens, max_gap_ms: pause_ms } = candidate.stall;
+    let prefill_ms = f64::from(tokens) * target.ns_per_unit / 1e6;
+    load > 0 && pause_ms > 0 && prefill_ms > f64::from(pause_ms) * STALL_TOLERANCE_SHARE
 }
 
-/// Expected time to the first event.
-fn first(place: &Place<'_>, candidate: &Candidate<'_>) -> Duration {
-    let units = f64::from(candidate.prompt + FIXED_UNITS) + f64::from(place.unread);
-    Duration::from_nanos((place.ns * units * crowd(place)) as u64)
+/// Estimates the time to the first event, including the prompts queued ahead.
+fn time_to_first_event(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
+    let units =
+        f64::from(candidate.prompt_tokens + FIXED_WORK_UNITS) + f64::from(target.pending_tokens);
+    Duration::from_nanos((target.ns_per_unit * units * load_factor(target)) as u64)
 }
 
-/// Free places by service.
-fn free<'a>(places: &[Place<'a>]) -> HashMap<&'a ServiceId, u32> {
-    let mut free = HashMap::new();
-    for place in places {
-        *free.entry(&place.endpoint.service).or_default() += place.room;
+fn free_slots_by_service<'a>(targets: &[Target<'a>]) -> HashMap<&'a ServiceId, u32> {
+    let mut free_slots_by_service = HashMap::new();
+    for target in targets {
+        *free_slots_by_service.entry(&target.endpoint.service).or_default() += target.free_slots;
     }
-    free
+    free_slots_by_service
 }
 
-/// Endpoints by service that have a place and want no request.
-fn withheld<'a>(places: &[Place<'a>]) -> HashMap<&'a ServiceId, u32> {
-    let mut withheld = HashMap::new();
-    for place in places.iter().filter(|p| p.room > 0 && p.wanted == Some(0)) {
-        *withheld.entry(&place.endpoint.service).or_default() += 1;
+/// Counts the endpoints of each service that have a free slot but are throttled.
+fn throttled_by_service<'a>(targets: &[Target<'a>]) -> HashMap<&'a ServiceId, u32> {
+    let mut throttled_by_service = HashMap::new();
+    for target in targets.iter().filter(|t| t.free_slots > 0 && t.allowance == Some(0)) {
+        *throttled_by_service.entry(&target.endpoint.service).or_default() += 1;
     }
-    withheld
+    throttled_by_service
 }
 
-/// How much slower an endpoint is for what runs there.
-fn crowd(place: &Place<'_>) -> f64 {
-    1.0 + CROWDING * f64::from(place.load) / f64::from(place.endpoint.slots.max(1))
+/// Slowdown of an endpoint by the requests running there.
+fn load_factor(target: &Target<'_>) -> f64 {
+    1.0 + LOAD_SLOWDOWN * f64::from(target.load) / f64::from(target.endpoint.slots.max(1))
 }
 
-fn cost(place: &Place<'_>, candidate: &Candidate<'_>, left: Duration) -> Duration {
-    let zone = if place.endpoint.zone == *candidate.zone { Duration::ZERO } else { OTHER_ZONE };
-    let early = candidate.objective.mul_f64(EARLY_SHARE * crowd(place));
-    let time = assumed(place, candidate, left).max(early);
-    time.mul_f64(1.0 + TASTE * taste(place, candidate)) + zone + excess(place, candidate)
+/// Cost of a target; the lowest one is chosen.
+fn cost(target: &Target<'_>, candidate: &Candidate<'_>, time_left: Duration) -> Duration {
+    let zone_penalty =
+        if target.endpoint.zone == *candidate.zone { Duration::ZERO } else { CROSS_ZONE_PENALTY };
+    let floor = candidate.objective.mul_f64(FIRST_EVENT_FLOOR_SHARE * load_factor(target));
+    let first_event = assumed_first_event(target, candidate, time_left).max(floor);
+    first_event.mul_f64(1.0 + MAX_PREFERENCE_PENALTY * preference_penalty(target, candidate))
+        + zone_penalty
+        + excess_generation_time(target, candidate)
 }
 
-/// Expected time from the first event to the end of the answer.
-fn run(place: &Place<'_>, candidate: &Candidate<'_>) -> Duration {
-    answer_time(candidate.output, place.ns)
+/// Estimates the time from the first event to the end of the answer.
+fn expected_generation_time(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
+    generation_time(candidate.output_tokens, target.ns_per_unit)
 }
 
-/// Time that the tokens of an answer take at a pace in nanoseconds for a unit of work.
-fn answer_time(output: u32, ns_per_unit: f64) -> Duration {
-    Duration::from_nanos((f64::from(output) * OUTPUT_UNITS * ns_per_unit) as u64)
+fn generation_time(output_tokens: u32, ns_per_unit: f64) -> Duration {
+    Duration::from_nanos(
+        (f64::from(output_tokens) * WORK_UNITS_PER_OUTPUT_TOKEN * ns_per_unit) as u64,
+    )
 }
 
-/// How much longer the whole answer takes at a slow endpoint than at the usual one.
-fn excess(place: &Place<'_>, candidate: &Candidate<'_>) -> Duration {
-    let slower = (place.ns - place.usual_ns * ALIKE_TIMES).max(0.0);
-    answer_time(candidate.output, slower)
+/// Additional generation time at an endpoint that is slower than the median.
+fn excess_generation_time(target: &Target<'_>, candidate: &Candidate<'_>) -> Duration {
+    let excess_ns_per_unit = (target.ns_per_unit - target.median_ns * SIMILAR_SPEED_RATIO).max(0.0);
+    generation_time(candidate.output_tokens, excess_ns_per_unit)
 }
 
-/// The time to the first event that is taken for the choice.
-fn assumed(place: &Place<'_>, candidate: &Candidate<'_>, left: Duration) -> Duration {
-    let first = first(place, candidate);
-    if !place.is_guess {
-        return first;
+/// Time to the first event as used in the cost: pessimistic for unmeasured endpoints, unless the
+/// request can afford to explore them.
+fn assumed_first_event(
+    target: &Target<'_>,
+    candidate: &Candidate<'_>,
+    time_left: Duration,
+) -> Duration {
+    let time_to_first_event = time_to_first_event(target, candidate);
+    if !target.is_unmeasured {
+        return time_to_first_event;
     }
-    let at_worst = first.mul_f64(UNKNOWN_TIMES);
-    let is_harmless = at_worst <= left.mul_f64(TRY_SHARE);
+    let worst_case = time_to_first_event.mul_f64(UNMEASURED_SLOWDOWN);
+    let is_harmless = worst_case <= time_left.mul_f64(EXPLORATION_MAX_SHARE);
     if is_harmless {
-        first.mul_f64(TRY_TIMES)
+        time_to_first_event.mul_f64(EXPLORATION_FACTOR)
     } else {
-        at_worst
+        worst_case
     }
 }
 
-/// From 0 to 1, how little the candidate's instance likes a place: the same at all instances, and other
-/// for each of them, so that they do not all prefer the same place.
-fn taste(place: &Place<'_>, candidate: &Candidate<'_>) -> f64 {
-    let mixed = xxh3_64(&(place.hash ^ candidate.taste).to_le_bytes());
-    (mixed >> 40) as f64 / (1_u64 << 24) as f64
+/// Returns a pseudo-random penalty from 0 to 1 for a pair of instance and endpoint, so that
+/// instances that decide at the same time prefer different endpoints. All instances compute the
+/// same value for a pair.
+fn preference_penalty(target: &Target<'_>, candidate: &Candidate<'_>) -> f64 {
+    let hash = xxh3_64(&(target.hash ^ candidate.instance_hash).to_le_bytes());
+    (hash >> 40) as f64 / (1_u64 << 24) as f64
 }
 
-/// The middle of what has been measured, for endpoints that have not been.
-fn usual(paces: impl Iterator<Item = f64>) -> f64 {
-    let mut paces: Vec<_> = paces.collect();
-    paces.sort_by(f64::total_cmp);
-    paces.get(paces.len() / 2).copied().unwrap_or(UNKNOWN_NS)
+/// Returns the median, or [`DEFAULT_NS_PER_UNIT`] if there are no values.
+fn median(values: impl Iterator<Item = f64>) -> f64 {
+    let mut values: Vec<_> = values.collect();
+    values.sort_by(f64::total_cmp);
+    values.get(values.len() / 2).copied().unwrap_or(DEFAULT_NS_PER_UNIT)
 }
--- a/oxbowbend-core/src/cell/gate.rs
+++ b/oxbowbend-core/src/cell/gate.rs
@@ -1,203 +1,230 @@
-//! The one gate to endpoints that want fewer requests: no request gets a place that the endpoint does not want, whether it
-//! is sent for the first time or again, continues a stream, or is a trial.
+//! Backpressure from endpoints: rate limits, draining and backoff.
+//!
+//! Every dispatch is checked here, including retries, resumed streams and probes of ejected
+//! endpoints.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use super::leaving::Leaver;
+use super::leaving::DrainNotice;
 use super::limits::{LimitChange, Scope};
-use super::report::ToldEndpoints;
-use super::signals::{Audience, Origin, Said, Signals};
-use super::{Cell, Site};
+use super::report::EndpointNotices;
+use super::signals::{Audience, Origin, SignalValue, Signals};
+use super::{Cell, EndpointState};
 use crate::ids::{EndpointKey, InstanceId, ServiceId};
 
-/// Requests that this instance may send to endpoints that want fewer; others take what they have places for.
-pub(super) type Rooms = HashMap<EndpointKey, u32>;
+/// Number of requests that this instance may send, by endpoint. Endpoints without a rate limit or
+/// backoff have no entry.
+pub(super) type Allowances = HashMap<EndpointKey, u32>;
 
 impl Cell {
-    /// Sets who shares the endpoints: the instances of this cell, and those of the fleet for services whose endpoints belong
-    /// to all cells.
-    pub fn set_sharers<'a>(
+    /// Sets the instances that share the rate limits: those of this cell, and all of the fleet for
+    /// the services in `shared`, whose endpoints belong to all cells.
+    pub fn set_sharing_instances<'a>(
         &mut self,
         cell: impl Iterator<Item = &'a InstanceId>,
         fleet: impl Iterator<Item = &'a InstanceId>,
         shared: BTreeSet<ServiceId>,
     ) {
         self.limits.set_instances(cell, fleet);
-        self.shared = shared;
+        self.shared_services = shared;
     }
 
-    /// Sets which endpoints the platform lists, of all cells.
-    pub fn set_listed(&mut self, listed: impl Iterator<Item = EndpointKey>) {
-        self.listed = listed.collect();
+    /// Sets the endpoints of all cells that the platform lists.
+    pub fn set_listed_endpoints(&mut self, listed: impl Iterator<Item = EndpointKey>) {
+        self.listed_endpoints = listed.collect();
     }
 
-    /// Takes in what an answer says of its endpoint, to a request that was sent at `sent`.
-    pub fn endpoint_said(
+    /// Applies the signals in an endpoint's response to a request that was sent at `sent_at`.
+    pub fn apply_signals(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
-        sent: Instant,
+        sent_at: Instant,
         signals: Signals,
     ) {
-        self.limits.answered(now, endpoint, sent, signals.rate_limit);
+        self.limits.record_response(now, endpoint, sent_at, signals.rate_limit);
         if signals.is_draining {
-            self.leaving.hear(now, endpoint, Origin::Answer);
+            self.draining.record(now, endpoint, Origin::Answer);
         }
-        if let Said::Value(rest) = signals.backoff {
-            self.rests.grant(now, endpoint, rest);
+        if let SignalValue::Value(backoff) = signals.backoff {
+            self.backoffs.extend(now, endpoint, backoff);
         }
     }
 
-    /// Takes in that an endpoint leaves by its entry. With it the word reaches all instances in beats, whoever of them
-    /// reads the store: those that copy another one's list learned it up to two seconds later.
-    pub fn leaves_by_entry(&mut self, now: Instant, endpoint: EndpointKey) {
-        self.leaving.hear(now, endpoint, Origin::Entry);
+    /// Marks an endpoint as draining by its registry entry. Reports then pass this on to instances
+    /// that do not read the store themselves, which would otherwise learn it seconds later.
+    pub fn mark_draining(&mut self, now: Instant, endpoint: EndpointKey) {
+        self.draining.record(now, endpoint, Origin::Entry);
     }
 
-    /// Takes in what another instance tells of endpoints, whether they are listed here yet or not.
-    pub fn told_of_endpoints(&mut self, now: Instant, said: &ToldEndpoints, is_near: bool) {
-        let origin = if is_near { Origin::Cell } else { Origin::Fleet };
-        self.limits.told(now, &said.limits, origin);
-        said.leaving.iter().for_each(|key| self.leaving.hear(now, *key, origin));
+    /// Merges signals from another instance, including those of endpoints that are not listed here
+    /// yet.
+    pub fn merge_endpoint_signals(
+        &mut self,
+        now: Instant,
+        reported: &EndpointNotices,
+        is_same_cell: bool,
+    ) {
+        let origin = if is_same_cell { Origin::Cell } else { Origin::Fleet };
+        self.limits.merge_reported(now, &reported.limits, origin);
+        reported.leaving.iter().for_each(|key| self.draining.record(now, *key, origin));
     }
 
-    /// The same from a report. Of endpoints that are not listed nothing is believed: it would be told from one to the other for ever.
-    pub(super) fn hear_of_endpoints(&mut self, now: Instant, said: &ToldEndpoints, is_near: bool) {
-        let listed = said.leaving.iter().filter(|key| self.is_listed(**key));
+    /// Merges signals from a report. Ignores unlisted draining endpoints, which instances would
+    /// otherwise keep reporting to each other forever.
+    pub(super) fn merge_reported_signals(
+        &mut self,
+        now: Instant,
+        reported: &EndpointNotices,
+        is_same_cell: bool,
+    ) {
+        let listed = reported.leaving.iter().filter(|key| self.is_listed(**key));
         let leaving = listed.copied().collect();
-        let listed = ToldEndpoints { leaving, limits: said.limits.clone() };
-        self.told_of_endpoints(now, &listed, is_near);
+        let listed = EndpointNotices { leaving, limits: reported.limits.clone() };
+        self.merge_endpoint_signals(now, &listed, is_same_cell);
     }
 
-    /// What its cell is told of endpoints.
-    pub(super) fn tell_of_endpoints(&self, now: Instant) -> ToldEndpoints {
+    /// Returns the signals to report to other instances of this cell.
+    pub(super) fn signals_for_cell(&self, now: Instant) -> EndpointNotices {
         let audience = match self.is_representative {
-            true => Audience::CellOfRepresentative,
+            true => Audience::RepresentedCell,
             false => Audience::Cell,
         };
-        self.tell(now, audience, |key| self.sites.contains_key(key))
+        self.signals_for(now, audience, |key| self.endpoints.contains_key(key))
     }
 
-    /// What other cells are told: limits of endpoints that belong to all cells, and all who leave, since an endpoint may come to
-    /// another cell, and an instance that has just started asks any for the list of endpoints.
-    pub fn tell_others_of_endpoints(&self, now: Instant) -> ToldEndpoints {
+    /// Returns the signals to report to other cells: limits of endpoints that belong to all cells,
+    /// and all draining endpoints, since an endpoint may move to another cell and a new instance
+    /// may fetch the list from any.
+    pub fn signals_for_other_cells(&self, now: Instant) -> EndpointNotices {
         let is_shared = |key: &EndpointKey| {
-            let service = self.sites.get(key).map(|s| &s.endpoint.service);
-            service.is_some_and(|service| self.shared.contains(service))
+            let service = self.endpoints.get(key).map(|s| &s.endpoint.service);
+            service.is_some_and(|service| self.shared_services.contains(service))
         };
-        self.tell(now, Audience::Others, is_shared)
+        self.signals_for(now, Audience::OtherCells, is_shared)
     }
 
-    /// What an instance is told that has just started.
-    pub fn introduce_endpoints(&self, now: Instant) -> ToldEndpoints {
-        self.tell(now, Audience::Newcomer, |key| self.is_listed(*key))
+    /// Returns the signals for an instance that has just started.
+    pub fn signals_for_new_instance(&self, now: Instant) -> EndpointNotices {
+        self.signals_for(now, Audience::Newcomer, |key| self.is_listed(*key))
     }
 
-    fn tell(
+    fn signals_for(
         &self,
         now: Instant,
         audience: Audience,
-        is_for: impl Fn(&EndpointKey) -> bool,
-    ) -> ToldEndpoints {
-        let limits = self.limits.tell(now, audience, is_for);
-        let leaving = self.leaving.tell(now, audience, |key| self.is_listed(*key));
-        ToldEndpoints { limits, leaving }
+        is_relevant: impl Fn(&EndpointKey) -> bool,
+    ) -> EndpointNotices {
+        let limits = self.limits.to_report(now, audience, is_relevant);
+        let leaving = self.draining.to_report(now, audience, |key| self.is_listed(*key));
+        EndpointNotices { limits, leaving }
     }
 
-    /// What was newly believed of limits since the last call.
+    /// Returns the changes of limits since the last call.
     pub fn take_limit_changes(&mut self) -> Vec<LimitChange> {
         self.limits.take_changes()
     }
 
-    /// Endpoints that are newly known to leave since the last call.
-    pub fn take_leavers(&mut self) -> Vec<Leaver> {
-        self.leaving.take_changes()
+    /// Returns the endpoints that have started draining since the last call.
+    pub fn take_drain_notices(&mut self) -> Vec<DrainNotice> {
+        self.draining.take_notices()
     }
 
-    /// Endpoints that have said that they leave.
-    pub fn leavers(&self) -> usize {
-        self.leaving.count()
+    /// Number of endpoints known to be draining.
+    pub fn draining_count(&self) -> usize {
+        self.draining.count()
     }
 
-    /// Endpoints that rest.
-    pub fn resting(&self, now: Instant) -> usize {
-        self.rests.resting(now).count()
+    /// Number of endpoints that have asked this instance to back off.
+    pub fn backing_off_count(&self, now: Instant) -> usize {
+        self.backoffs.active(now).count()
     }
 
-    /// Endpoints that are believed to have a limit.
-    pub fn limited(&self) -> usize {
-        self.limits.limited().len()
+    /// Number of endpoints with a known limit.
+    pub fn limited_count(&self) -> usize {
+        self.limits.limited_endpoints().len()
     }
 
-    /// Time until an endpoint of a service wants a request again, if all that could take one want none now.
-    pub fn opens_in(&mut self, now: Instant, service: &ServiceId) -> Option<Duration> {
-        let rooms = self.rooms(now);
-        if rooms.is_empty() {
+    /// Returns the time until an endpoint of a service accepts a request again, or `None` unless
+    /// all available endpoints of the service are throttled.
+    pub fn available_in(&mut self, now: Instant, service: &ServiceId) -> Option<Duration> {
+        let allowances = self.allowances(now);
+        if allowances.is_empty() {
             return None;
         }
-        let open = self.sites.iter().filter(|(key, s)| self.is_open(now, **key, s));
-        let of_service = open.filter(|(_, s)| s.endpoint.service == *service);
+        let available = self.endpoints.iter().filter(|(key, s)| self.is_available(now, **key, s));
+        let of_service = available.filter(|(_, s)| s.endpoint.service == *service);
         let keys: Vec<_> = of_service.map(|(key, s)| (*key, self.scope(s))).collect();
-        if keys.iter().any(|(key, _)| rooms.get(key).is_none_or(|room| *room > 0)) {
+        if keys.iter().any(|(key, _)| allowances.get(key).is_none_or(|allowance| *allowance > 0)) {
             return None;
         }
-        let opens_in = |(key, scope)| {
-            let opens_in = [self.limits.opens_in(now, key, scope), self.rests.left(now, key)];
-            opens_in.into_iter().flatten().max()
+        let available_in = |(key, scope)| {
+            let available_in = [
+                self.limits.time_to_next_request(now, key, scope),
+                self.backoffs.remaining(now, key),
+            ];
+            available_in.into_iter().flatten().max()
         };
-        keys.into_iter().filter_map(opens_in).min()
+        keys.into_iter().filter_map(available_in).min()
     }
 
-    /// What this instance may send to endpoints that want fewer requests.
-    pub(super) fn rooms(&mut self, now: Instant) -> Rooms {
-        let mut rooms = Rooms::new();
-        for key in self.limits.limited() {
-            let Some(scope) = self.sites.get(&key).map(|s| self.scope(s)) else { continue };
-            rooms.extend(self.limits.room(now, key, scope).map(|room| (key, room)));
+    /// Returns the allowances of throttled endpoints.
+    pub(super) fn allowances(&mut self, now: Instant) -> Allowances {
+        let mut allowances = Allowances::new();
+        for key in self.limits.limited_endpoints() {
+            let Some(scope) = self.endpoints.get(&key).map(|s| self.scope(s)) else { continue };
+            allowances.extend(
+                self.limits.available_requests(now, key, scope).map(|allowance| (key, allowance)),
+            );
         }
-        // Who sent to an endpoint that rests would be turned away again, and be taken for the reason of its need.
-        rooms.extend(self.rests.resting(now).map(|key| (key, 0)));
-        rooms
+        allowances.extend(self.backoffs.active(now).map(|key| (key, 0)));
+        allowances
     }
 
-    /// Notes that a request goes to an endpoint.
-    pub(super) fn pass(&mut self, now: Instant, endpoint: EndpointKey) {
-        let Some(scope) = self.sites.get(&endpoint).map(|s| self.scope(s)) else { return };
+    /// Counts a request against the rate limit of its endpoint.
+    pub(super) fn record_dispatch(&mut self, now: Instant, endpoint: EndpointKey) {
+        let Some(scope) = self.endpoints.get(&endpoint).map(|s| self.scope(s)) else { return };
         self.limits.take(now, endpoint, scope);
     }
 
-    /// Whether a request that has its place may still be sent: the endpoint may have said meanwhile that it leaves, or wants rest.
+    /// Whether an assigned request may still be sent. The endpoint may have started draining or
+    /// asked for a backoff since the assignment.
     pub fn may_send(&self, now: Instant, endpoint: EndpointKey) -> bool {
-        !self.leaving.has(endpoint) && self.rests.left(now, endpoint).is_none()
+        !self.draining.contains(endpoint) && self.backoffs.remaining(now, endpoint).is_none()
     }
 
-    /// Forgets what was said by endpoints that are not listed any more.
-    pub(super) fn forget_said(&mut self, now: Instant) {
-        let (sites, listed) = (&self.sites, &self.listed);
+    /// Drops signals of endpoints that are no longer listed, and backoffs that have ended.
+    pub(super) fn prune_endpoint_signals(&mut self, now: Instant) {
+        let (sites, listed) = (&self.endpoints, &self.listed_endpoints);
         let is_listed = |key: &EndpointKey| sites.contains_key(key) || listed.contains(key);
-        self.limits.forget(now, is_listed);
-        self.rests.forget(now);
-        self.leaving.forget(now, is_listed);
+        self.limits.prune(now, is_listed);
+        self.backoffs.prune(now);
+        self.draining.prune(now, is_listed);
     }
 
     fn is_listed(&self, key: EndpointKey) -> bool {
-        self.sites.contains_key(&key) || self.listed.contains(&key)
+        self.endpoints.contains_key(&key) || self.listed_endpoints.contains(&key)
     }
 
-    /// Whether an endpoint leaves, by its entry or its own word: one belief, whichever comes first. While the store is away only the
-    /// endpoint itself can say so.
-    pub(super) fn is_leaving(&self, key: EndpointKey, site: &Site) -> bool {
-        site.endpoint.leaving || self.leaving.has(key)
+    /// Whether an endpoint is draining, by its registry entry or its own signal. While the store is
+    /// unreachable, only the signal is current.
+    pub(super) fn is_draining(&self, key: EndpointKey, site: &EndpointState) -> bool {
+        site.endpoint.leaving || self.draining.contains(key)
     }
 
-    /// Whether an endpoint takes requests at all.
-    pub(super) fn is_open(&self, now: Instant, key: EndpointKey, site: &Site) -> bool {
-        !self.is_leaving(key, site) && !site.health.is_aside(now)
+    /// Whether an endpoint is neither draining nor ejected.
+    pub(super) fn is_available(
+        &self,
+        now: Instant,
+        key: EndpointKey,
+        site: &EndpointState,
+    ) -> bool {
+        !self.is_draining(key, site) && !site.health.is_ejected(now)
     }
 
-    fn scope(&self, site: &Site) -> Scope {
-        match self.shared.contains(&site.endpoint.service) {
+    fn scope(&self, site: &EndpointState) -> Scope {
+        match self.shared_services.contains(&site.endpoint.service) {
             true => Scope::Fleet,
             false => Scope::Cell,
         }
--- a/oxbowbend-core/src/cell/health.rs
+++ b/oxbowbend-core/src/cell/health.rs
@@ -1,81 +1,81 @@
-//! Which endpoints fail, judged by what all instances have seen of them.
+//! Outlier detection: ejects endpoints that fail too many requests.
 //!
-//! A health check can be good while requests fail, so only the outcome of requests counts. An
-//! endpoint that fails too often is set aside for a while and then tried with one request at a
-//! time. At most half of a service is set aside: if all fail, the cause is not the endpoint.
+//! Only request outcomes count, since an endpoint can pass health checks while requests fail. After
+//! an ejection an endpoint is on probation, limited to one request at a time. At most half of a
+//! service's endpoints are ejected: if all of them fail, the cause is elsewhere.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Time for which outcomes count: about 18 requests an endpoint at the users' sites.
-pub(super) const WINDOW: Duration = Duration::from_secs(3);
-/// Failures in the window below which nothing follows.
-const MIN_BAD: u32 = 4;
-/// Failures that end a trial badly. One may be the request's own.
-const TRIAL_BAD: u32 = 2;
-/// Good answers that end a trial well.
-const TRIAL_GOOD: u32 = 3;
-/// Share of failures from which an endpoint is set aside. The users' services fail up to 14 in
-/// 100 requests of one kind by themselves; a failing endpoint fails 40 in 100.
-const BAD_SHARE: f64 = 0.3;
-/// First time for which an endpoint is set aside.
-const FIRST_PAUSE: Duration = Duration::from_millis(1000);
-/// Longest such time.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Period over which outcomes are counted.
+pub(super) const OUTCOME_WINDOW: Duration = Duration::from_secs(3);
+/// Minimum number of failures for an ejection, outside probation.
+const MIN_FAILURES: u32 = 4;
+/// Failures that end a probation with another ejection. A single one may be the request's fault.
+const PROBATION_FAILURES: u32 = 2;
+/// Successes that end a probation.
+const PROBATION_SUCCESSES: u32 = 3;
+/// Failure rate from which an endpoint is ejected: above that of some healthy services (up to 14%)
+/// and below that of a failing endpoint (about 40%).
+const FAILURE_RATIO: f64 = 0.3;
+/// Length of the first ejection; doubles with each further one.
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(1000);
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(4);
 
-/// What a service's endpoint has lately done.
+/// Recent outcomes of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     outcomes: VecDeque<(Instant, u32, u32)>,
-    until: Option<Instant>,
-    strikes: u32,
-    on_trial: bool,
-    trial_good: u32,
+    ejected_until: Option<Instant>,
+    ejection_count: u32,
+    is_on_probation: bool,
+    probation_successes: u32,
 }
 
 impl Health {
-    /// Notes outcomes.
-    pub fn note(&mut self, now: Instant, good: u32, bad: u32) {
-        if good + bad == 0 {
+    /// Records outcomes.
+    pub fn record(&mut self, now: Instant, successes: u32, failures: u32) {
+        if successes + failures == 0 {
             return;
         }
-        self.outcomes.push_back((now, good, bad));
-        self.trial_good += good;
-        if self.on_trial && self.trial_good >= TRIAL_GOOD {
-            self.on_trial = false;
-            self.strikes = 0;
+        self.outcomes.push_back((now, successes, failures));
+        self.probation_successes += successes;
+        if self.is_on_probation && self.probation_successes >= PROBATION_SUCCESSES {
+            self.is_on_probation = false;
+            self.ejection_count = 0;
         }
     }
 
-    /// Whether the endpoint has failed enough to be set aside.
+    /// Whether the endpoint should be ejected.
     pub fn is_failing(&mut self, now: Instant) -> bool {
-        while self.outcomes.front().is_some_and(|(t, ..)| now.duration_since(*t) > WINDOW) {
+        while self.outcomes.front().is_some_and(|(t, ..)| now.duration_since(*t) > OUTCOME_WINDOW) {
             self.outcomes.pop_front();
         }
-        let good: u32 = self.outcomes.iter().map(|(_, g, _)| g).sum();
-        let bad: u32 = self.outcomes.iter().map(|(.., b)| b).sum();
-        let least = if self.on_trial { TRIAL_BAD } else { MIN_BAD };
-        bad >= least && f64::from(bad) >= BAD_SHARE * f64::from(good + bad)
+        let successes: u32 = self.outcomes.iter().map(|(_, s, _)| s).sum();
+        let failures: u32 = self.outcomes.iter().map(|(.., f)| f).sum();
+        let min_failures = if self.is_on_probation { PROBATION_FAILURES } else { MIN_FAILURES };
+        failures >= min_failures
+            && f64::from(failures) >= FAILURE_RATIO * f64::from(successes + failures)
     }
 
-    /// Sets the endpoint aside; returns for how long.
-    pub fn set_aside(&mut self, now: Instant) -> Duration {
-        let pause = (FIRST_PAUSE * (1 << self.strikes.min(4))).min(LONGEST_PAUSE);
-        self.strikes += 1;
-        self.on_trial = true;
-        self.trial_good = 0;
-        self.until = Some(now + pause);
+    /// Ejects the endpoint and returns for how long.
+    pub fn eject(&mut self, now: Instant) -> Duration {
+        let duration =
+            (BASE_EJECTION_TIME * (1 << self.ejection_count.min(4))).min(MAX_EJECTION_TIME);
+        self.ejection_count += 1;
+        self.is_on_probation = true;
+        self.probation_successes = 0;
+        self.ejected_until = Some(now + duration);
         self.outcomes.clear();
-        pause
+        duration
     }
 
-    /// Whether the endpoint is set aside now.
-    pub fn is_aside(&self, now: Instant) -> bool {
-        self.until.is_some_and(|until| now < until)
+    pub fn is_ejected(&self, now: Instant) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it may have one request at a time only.
-    pub fn is_on_trial(&self) -> bool {
-        self.on_trial
+    /// Whether the endpoint is limited to one request at a time.
+    pub fn is_on_probation(&self) -> bool {
+        self.is_on_probation
     }
 }
--- a/oxbowbend-core/src/cell/hear.rs
+++ b/oxbowbend-core/src/cell/hear.rs
@@ -1,225 +1,253 @@
-//! Taking in what other instances report, and who of them is heard.
+//! Processing of reports from other instances, and liveness of their senders.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-use super::peer::{count_on, Counted, Peer};
+use super::peer::{advance_counters, CounterBaselines, Peer};
 use super::report::Report;
-use super::{pace, Cell, LOAD_TTL};
+use super::{pace, Cell, PEER_TTL};
 use crate::ids::{AccountId, InstanceId};
 use crate::quota::{admitted_within, RecentUsage};
 use crate::rollout::evidence::EvidenceKey;
 
-/// Silence after which an instance of this cell is forgotten.
-const FORGET: Duration = Duration::from_secs(30);
-/// The same for others: whoever is heard of them is heard several times a second, or once at its start.
-const FORGET_OTHERS: Duration = Duration::from_secs(8);
+/// Time without a report after which an instance of this cell is removed.
+const PEER_RETENTION: Duration = Duration::from_secs(30);
+/// Time without a report after which an instance of another cell is removed. Representatives report
+/// several times a second.
+const REMOTE_PEER_RETENTION: Duration = Duration::from_secs(8);
 
-/// Time within which one that represents its cell tells of it again, whatever is lost: it does so every 0.26 s.
-const GOING_ON: Duration = Duration::from_secs(2);
-/// Time for which an instance that has just started is told what it cannot know: five beats, of which three may be lost.
-const INTRODUCED: Duration = Duration::from_millis(600);
+/// Time without totals after which a representative is taken to have stepped down. Totals are sent
+/// every 0.26 s.
+const TOTALS_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time for which a new instance is sent the state that it missed: five heartbeats, to tolerate
+/// packet loss.
+const NEWCOMER_PERIOD: Duration = Duration::from_millis(600);
 
-/// By how much counters have grown since the report before.
+/// Increase of counters since the previous report.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Growth<K> {
-    /// Those of an instance of this cell.
-    pub near: Vec<(K, u64)>,
-    /// Those of other cells.
-    pub far: Vec<(K, u64)>,
+pub struct CounterDeltas<K> {
+    /// Counters of the sender, an instance of this cell.
+    pub own_cell: Vec<(K, u64)>,
+    /// Counters of other cells.
+    pub other_cells: Vec<(K, u64)>,
 }
 
-impl<K> Default for Growth<K> {
-    fn default() -> Growth<K> {
-        Growth { near: Vec::new(), far: Vec::new() }
+impl<K> Default for CounterDeltas<K> {
+    fn default() -> CounterDeltas<K> {
+        CounterDeltas { own_cell: Vec::new(), other_cells: Vec::new() }
     }
 }
 
-/// What a report tells to be new.
+/// Counter increases derived from one report.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Heard {
-    /// Units of client accounts that were admitted.
-    pub spent: Growth<AccountId>,
-    /// Answers of versions that are rolled out.
-    pub evidence: Growth<EvidenceKey>,
+pub struct ReportDeltas {
+    /// Admitted units by client account.
+    pub admitted_units: CounterDeltas<AccountId>,
+    /// Answers of versions being rolled out.
+    pub evidence: CounterDeltas<EvidenceKey>,
 }
 
-/// What of a report's counters is counted here.
+/// Which counters of a report are counted, and from which baseline.
 #[derive(Clone, Copy, Debug)]
-struct Counting {
+struct DeltaContext {
     /// Whether the sender belongs to this cell.
-    is_near: bool,
-    /// Whether its sums of other cells, or of its own if it belongs to another one, are not told by somebody else.
-    is_teller: bool,
-    /// Whether its counters were not all known before, by whose they are.
-    is_first: bool,
+    is_same_cell: bool,
+    /// Whether the sender's totals are counted: those of its cell if it belongs to another cell,
+    /// else those of all other cells.
+    is_totals_source: bool,
+    /// Whether there is no baseline yet for the sender's own counters, those of its cell, or those
+    /// of the fleet.
+    is_first_own: bool,
     is_first_cell: bool,
     is_first_fleet: bool,
 }
 
-/// Counters of one sort in a report.
-struct ToldCounters<'a, K> {
+/// One kind of counter in a report.
+struct ReportedCounters<'a, K> {
     own: &'a [(K, u64)],
     cell: &'a [(K, u64)],
     fleet: &'a [(K, u64)],
 }
 
-impl Counting {
-    fn growth<K: Clone + Eq + Hash>(
+impl DeltaContext {
+    fn deltas<K: Clone + Eq + Hash>(
         self,
-        counted: &mut Counted<K>,
-        told: ToldCounters<'_, K>,
-    ) -> Growth<K> {
-        let own = count_on(&mut counted.own, told.own, self.is_first);
-        let cell = count_on(&mut counted.cell, told.cell, self.is_first_cell);
-        if !self.is_near {
-            return Growth {
-                near: Vec::new(),
-                far: if self.is_teller { cell } else { Vec::new() },
+        baselines: &mut CounterBaselines<K>,
+        reported: ReportedCounters<'_, K>,
+    ) -> CounterDeltas<K> {
+        let own = advance_counters(&mut baselines.own, reported.own, self.is_first_own);
+        let cell = advance_counters(&mut baselines.cell, reported.cell, self.is_first_cell);
+        if !self.is_same_cell {
+            return CounterDeltas {
+                own_cell: Vec::new(),
+                other_cells: if self.is_totals_source { cell } else { Vec::new() },
             };
         }
-        let fleet = count_on(&mut counted.fleet, told.fleet, self.is_first_fleet);
-        Growth { near: own, far: if self.is_teller { fleet } else { Vec::new() } }
+        let fleet = advance_counters(&mut baselines.fleet, reported.fleet, self.is_first_fleet);
+        CounterDeltas {
+            own_cell: own,
+            other_cells: if self.is_totals_source { fleet } else { Vec::new() },
+        }
     }
 }
 
 impl Cell {
-    /// Takes in another instance's report; `is_near` if it belongs to this cell. Returns nothing if the
-    /// report is no news.
-    pub fn hear(&mut self, now: Instant, report: Report, is_near: bool) -> Option<Heard> {
-        if report.instance == self.me {
+    /// Processes a report; `is_same_cell` tells whether the sender belongs to this cell. Returns
+    /// `None` if the report is outdated or from this instance itself.
+    pub fn receive_report(
+        &mut self,
+        now: Instant,
+        report: Report,
+        is_same_cell: bool,
+    ) -> Option<ReportDeltas> {
+        if report.instance == self.local_id {
             return None;
         }
-        let before = self.peers.remove(&report.instance);
-        let before = before.or_else(|| self.others.remove(&report.instance));
-        let before = before.filter(|b| b.report.life == report.life);
-        if let Some(before) = before.as_ref().filter(|b| b.report.number >= report.number) {
-            self.map_of(is_near).insert(report.instance, before.clone());
+        let previous = self.peers.remove(&report.instance);
+        let previous = previous.or_else(|| self.remote_peers.remove(&report.instance));
+        let previous = previous.filter(|p| p.report.incarnation == report.incarnation);
+        if let Some(previous) = previous.as_ref().filter(|p| p.report.sequence >= report.sequence) {
+            self.peers_mut(is_same_cell).insert(report.instance, previous.clone());
             return None;
         }
-        let mut peer = before.unwrap_or_else(|| Peer::new(now));
-        if is_near {
-            self.take_tallies(now, &mut peer, &report);
+        let mut peer = previous.unwrap_or_else(|| Peer::new(now));
+        if is_same_cell {
+            self.apply_endpoint_stats(now, &mut peer, &report);
         }
-        let heard = self.growth(now, &mut peer, &report, is_near);
-        self.hear_of_endpoints(now, &report.said, is_near);
+        let deltas = self.counter_deltas(now, &mut peer, &report, is_same_cell);
+        self.merge_reported_signals(now, &report.endpoint_notices, is_same_cell);
         if !report.is_representative {
-            (peer.summed, peer.summed_fleet) = (None, None);
-        } else if !is_near {
-            peer.summed = Some(now);
-        } else if report.fleet.is_some() {
-            peer.summed_fleet = Some(now);
+            (peer.cell_totals_at, peer.fleet_totals_at) = (None, None);
+        } else if !is_same_cell {
+            peer.cell_totals_at = Some(now);
+        } else if report.fleet_summary.is_some() {
+            peer.fleet_totals_at = Some(now);
         }
         peer.take(now, report);
-        self.map_of(is_near).insert(peer.report.instance.clone(), peer);
-        Some(heard)
+        self.peers_mut(is_same_cell).insert(peer.report.instance.clone(), peer);
+        Some(deltas)
     }
 
-    fn map_of(&mut self, is_near: bool) -> &mut HashMap<InstanceId, Peer> {
-        match is_near {
+    fn peers_mut(&mut self, is_same_cell: bool) -> &mut HashMap<InstanceId, Peer> {
+        match is_same_cell {
             true => &mut self.peers,
-            false => &mut self.others,
+            false => &mut self.remote_peers,
         }
     }
 
-    fn take_tallies(&mut self, now: Instant, peer: &mut Peer, report: &Report) {
-        let is_first = !peer.is_counted;
-        peer.is_counted |= report.in_full;
-        for tally in &report.tallies {
-            let told = (tally.good, tally.bad);
-            let pace = pace::Pace::reported(tally.ns_per_unit, tally.samples);
-            peer.paces.insert(tally.endpoint, pace);
-            // What a new acquaintance has counted so far is not of now.
-            let old = peer.counted.insert(tally.endpoint, told);
-            let old = old.unwrap_or(if is_first { told } else { (0, 0) });
-            if let Some(site) = self.sites.get_mut(&tally.endpoint) {
-                let (good, bad) = (told.0.saturating_sub(old.0), told.1.saturating_sub(old.1));
-                site.health.note(now, good as u32, bad as u32);
-                self.last_bad = if bad > 0 { Some(now) } else { self.last_bad };
+    fn apply_endpoint_stats(&mut self, now: Instant, peer: &mut Peer, report: &Report) {
+        let is_first = !peer.has_outcome_baseline;
+        peer.has_outcome_baseline |= report.has_all_counters;
+        for stats in &report.endpoint_stats {
+            let reported = (stats.successes, stats.failures);
+            let pace = pace::LatencyEstimate::from_report(stats.ns_per_unit, stats.samples);
+            peer.paces.insert(stats.endpoint, pace);
+            // Counts from before the first report are not recent.
+            let previous = peer.outcomes.insert(stats.endpoint, reported);
+            let previous = previous.unwrap_or(if is_first { reported } else { (0, 0) });
+            if let Some(state) = self.endpoints.get_mut(&stats.endpoint) {
+                let (successes, failures) =
+                    (reported.0.saturating_sub(previous.0), reported.1.saturating_sub(previous.1));
+                state.health.record(now, successes as u32, failures as u32);
+                self.last_failure = if failures > 0 { Some(now) } else { self.last_failure };
             }
         }
     }
 
-    /// What has been admitted since the last report. Counters go on from the first report that tells all of them.
-    fn growth(&mut self, now: Instant, peer: &mut Peer, report: &Report, is_near: bool) -> Heard {
-        let lately = self.begin_sums(now, peer, report, is_near);
-        let counting = Counting {
-            is_near,
-            is_teller: self.is_teller(now, report, is_near),
-            is_first: !peer.knows_own,
-            is_first_cell: !peer.knows_cell,
-            is_first_fleet: !peer.knows_fleet,
+    /// Computes by how much the sender's counters have grown. The first complete report sets the
+    /// baseline.
+    fn counter_deltas(
+        &mut self,
+        now: Instant,
+        peer: &mut Peer,
+        report: &Report,
+        is_same_cell: bool,
+    ) -> ReportDeltas {
+        let recent_units = self.restart_totals(now, peer, report, is_same_cell);
+        let context = DeltaContext {
+            is_same_cell,
+            is_totals_source: self.is_totals_source(now, report, is_same_cell),
+            is_first_own: !peer.has_own_baseline,
+            is_first_cell: !peer.has_cell_baseline,
+            is_first_fleet: !peer.has_fleet_baseline,
         };
-        peer.knows_own |= report.in_full;
-        peer.knows_cell |= report.is_cell_told;
-        peer.knows_fleet |= is_near && report.fleet.as_ref().is_some_and(|view| view.is_full);
-        let view = report.fleet.as_ref();
-        let spent = ToldCounters {
-            own: &report.spent,
-            cell: &report.cell_spent,
-            fleet: view.map_or(&[], |view| &view.spent),
+        peer.has_own_baseline |= report.has_all_counters;
+        peer.has_cell_baseline |= report.has_all_cell_counters;
+        peer.has_fleet_baseline |= is_same_cell
+            && report.fleet_summary.as_ref().is_some_and(|summary| summary.is_complete);
+        let summary = report.fleet_summary.as_ref();
+        let admitted_units = ReportedCounters {
+            own: &report.admitted_units,
+            cell: &report.cell_admitted_units,
+            fleet: summary.map_or(&[], |summary| &summary.admitted_units),
         };
-        let evidence = ToldCounters {
+        let evidence = ReportedCounters {
             own: &report.evidence,
             cell: &report.cell_evidence,
-            fleet: view.map_or(&[], |view| &view.evidence),
+            fleet: summary.map_or(&[], |summary| &summary.evidence),
         };
-        let mut spent = counting.growth(&mut peer.spent, spent);
-        if counting.is_teller {
-            self.note_sums(now, report, is_near);
-            spent.far.extend(lately);
+        let mut admitted_units = context.deltas(&mut peer.admitted_units, admitted_units);
+        if context.is_totals_source {
+            self.record_totals(now, report, is_same_cell);
+            admitted_units.other_cells.extend(recent_units);
         }
-        Heard { spent, evidence: counting.growth(&mut peer.evidence, evidence) }
+        ReportDeltas { admitted_units, evidence: context.deltas(&mut peer.evidence, evidence) }
     }
 
-    /// Whether a report begins to tell sums that another one has told before: then the counters start anew, and what
-    /// was admitted since that one's last word is returned, as far as it is told. Going on from what this one had
-    /// told when it last represented its cell counted all that others have told meanwhile again: with a stop
-    /// of 74 instances in turn 2 to 4 times what was used.
-    fn begin_sums(
+    /// Resets the baseline when a different instance starts to report totals, and returns the units
+    /// admitted since the previous source's last report, where known. Keeping the baseline from an
+    /// earlier term as representative would count again what others reported in between.
+    fn restart_totals(
         &self,
         now: Instant,
         peer: &mut Peer,
         report: &Report,
-        is_near: bool,
+        is_same_cell: bool,
     ) -> Vec<(AccountId, u64)> {
-        let since = |at: Instant| now.saturating_duration_since(at);
-        let is_going_on = |at: Option<Instant>| at.is_some_and(|at| since(at) < GOING_ON);
-        if is_near {
-            let Some(view) = report.fleet.as_ref().filter(|_| !is_going_on(peer.summed_fleet))
+        let age = |at: Instant| now.saturating_duration_since(at);
+        let is_current = |at: Option<Instant>| at.is_some_and(|at| age(at) < TOTALS_TIMEOUT);
+        if is_same_cell {
+            let Some(summary) =
+                report.fleet_summary.as_ref().filter(|_| !is_current(peer.fleet_totals_at))
             else {
                 return Vec::new();
             };
-            peer.recount_fleet();
-            // Until it stepped down, this instance heard the other cells itself.
-            let last = self.viewed.max(self.summed.values().copied().max());
-            return admitted(&view.lately, last.map(since));
+            peer.reset_fleet_baseline();
+            // Before stepping down, this instance received the totals of other cells directly.
+            let last_totals_at =
+                self.fleet_totals_at.max(self.cell_totals_at.values().copied().max());
+            return units_admitted_within(&summary.recent_units, last_totals_at.map(age));
         }
-        if !report.is_representative || is_going_on(peer.summed) {
+        if !report.is_representative || is_current(peer.cell_totals_at) {
             return Vec::new();
         }
-        peer.recount_cell();
-        // Until it stepped in, this instance was told of all other cells.
-        let last = self.summed.get(&report.cell).copied().max(self.viewed);
-        admitted(&report.cell_lately, last.map(since))
+        peer.reset_cell_baseline();
+        // Before taking over, this instance received the totals from its representative.
+        let last_totals_at =
+            self.cell_totals_at.get(&report.cell_index).copied().max(self.fleet_totals_at);
+        units_admitted_within(&report.cell_recent_units, last_totals_at.map(age))
     }
 
-    /// Notes that sums were counted.
-    fn note_sums(&mut self, now: Instant, report: &Report, is_near: bool) {
-        if !is_near {
-            self.summed.insert(report.cell, now);
-        } else if report.fleet.is_some() {
-            self.viewed = Some(now);
+    /// Records when totals were last counted.
+    fn record_totals(&mut self, now: Instant, report: &Report, is_same_cell: bool) {
+        if !is_same_cell {
+            self.cell_totals_at.insert(report.cell_index, now);
+        } else if report.fleet_summary.is_some() {
+            self.fleet_totals_at = Some(now);
         }
     }
 
-    /// Whether the sums that a report tells are counted here: a representative hears of the other cells from theirs,
-    /// and all others from their own one. While a cell has two, both tell the same.
-    fn is_teller(&self, now: Instant, report: &Report, is_near: bool) -> bool {
-        let first = self.representative(now).map(|r| &r.instance);
-        let is_first = first.is_none_or(|first| *first >= report.instance);
-        report.is_representative && is_near != self.is_representative && (!is_near || is_first)
+    /// Whether totals in this report are counted. A representative counts those of the other cells'
+    /// representatives; other instances count those of their own representative. If a cell has two,
+    /// both report the same totals and only the first by name counts.
+    fn is_totals_source(&self, now: Instant, report: &Report, is_same_cell: bool) -> bool {
+        let representative = self.representative(now).map(|r| &r.instance);
+        let is_first =
+            representative.is_none_or(|representative| *representative >= report.instance);
+        report.is_representative
+            && is_same_cell != self.is_representative
+            && (!is_same_cell || is_first)
     }
 
     /// Sets whether this instance represents its cell.
@@ -228,62 +256,66 @@
     }
 
     /// Sets which instances belong to this cell.
-    pub fn set_peers(&mut self, is_near: impl Fn(&InstanceId) -> bool) {
-        let (peers, others) = (std::mem::take(&mut self.peers), std::mem::take(&mut self.others));
+    pub fn set_peers(&mut self, is_same_cell: impl Fn(&InstanceId) -> bool) {
+        let (peers, remote_peers) =
+            (std::mem::take(&mut self.peers), std::mem::take(&mut self.remote_peers));
         for (name, peer) in peers {
-            self.map_of(is_near(&name)).insert(name, peer);
+            self.peers_mut(is_same_cell(&name)).insert(name, peer);
         }
-        for (name, mut peer) in others {
-            let is_near = is_near(&name);
-            if is_near {
-                peer.recount();
+        for (name, mut peer) in remote_peers {
+            let is_same_cell = is_same_cell(&name);
+            if is_same_cell {
+                peer.reset_own_baseline();
             }
-            self.map_of(is_near).insert(name, peer);
+            self.peers_mut(is_same_cell).insert(name, peer);
         }
     }
 
-    /// Forgets instances that have been silent for long.
-    pub fn forget(&mut self, now: Instant) {
-        self.peers.retain(|_, p| p.is_live(now, FORGET));
-        self.others.retain(|_, p| p.is_live(now, FORGET_OTHERS));
-        self.forget_said(now);
+    /// Removes instances that have not reported for a long time.
+    pub fn expire_peers(&mut self, now: Instant) {
+        self.peers.retain(|_, p| p.is_live(now, PEER_RETENTION));
+        self.remote_peers.retain(|_, p| p.is_live(now, REMOTE_PEER_RETENTION));
+        self.prune_endpoint_signals(now);
     }
 
-    /// Whether another instance of this cell has been heard for the first time within [`INTRODUCED`].
+    /// Whether another instance of this cell was first heard within [`NEWCOMER_PERIOD`].
     pub fn has_newcomer(&self, now: Instant) -> bool {
-        self.live_peers(now).any(|p| now.saturating_duration_since(p.since) < INTRODUCED)
+        self.live_peers(now).any(|p| now.saturating_duration_since(p.first_heard) < NEWCOMER_PERIOD)
     }
 
-    /// Other instances of this cell that were heard within [`LOAD_TTL`].
-    pub fn heard(&self, now: Instant) -> usize {
+    /// Number of other instances of this cell heard within [`PEER_TTL`].
+    pub fn live_peer_count(&self, now: Instant) -> usize {
         self.live_peers(now).count()
     }
 
-    /// Last reports of the instances of this cell that were heard within [`LOAD_TTL`].
+    /// Last reports of the instances of this cell heard within [`PEER_TTL`].
     pub fn live_reports(&self, now: Instant) -> impl Iterator<Item = &Report> {
         self.live_peers(now).map(|p| &p.report)
     }
 
-    /// Last reports of the instances of other cells that were heard within [`LOAD_TTL`].
-    pub fn other_reports(&self, now: Instant) -> impl Iterator<Item = &Report> {
-        self.others.values().filter(move |p| p.is_live(now, LOAD_TTL)).map(|p| &p.report)
+    /// Last reports of the instances of other cells heard within [`PEER_TTL`].
+    pub fn remote_reports(&self, now: Instant) -> impl Iterator<Item = &Report> {
+        self.remote_peers.values().filter(move |p| p.is_live(now, PEER_TTL)).map(|p| &p.report)
     }
 
-    /// Last reports of the instances of this cell that were heard within [`LOAD_TTL`], with their ages.
-    pub fn aged_reports(&self, now: Instant) -> impl Iterator<Item = (&Report, Duration)> {
-        self.live_peers(now).map(move |p| (&p.report, now.saturating_duration_since(p.heard)))
+    /// Last reports of the instances of this cell heard within [`PEER_TTL`], with their age.
+    pub fn live_reports_with_age(&self, now: Instant) -> impl Iterator<Item = (&Report, Duration)> {
+        self.live_peers(now).map(move |p| (&p.report, now.saturating_duration_since(p.last_heard)))
     }
 
     pub(super) fn live_peers(&self, now: Instant) -> impl Iterator<Item = &Peer> {
-        self.peers.values().filter(move |p| p.is_live(now, LOAD_TTL))
+        self.peers.values().filter(move |p| p.is_live(now, PEER_TTL))
     }
 }
 
-/// Units that were admitted within a time, of what was told; none if it is not known since when.
-fn admitted(lately: &[(AccountId, RecentUsage)], time: Option<Duration>) -> Vec<(AccountId, u64)> {
+/// Units admitted within `time`; empty if `time` is unknown.
+fn units_admitted_within(
+    recent_units: &[(AccountId, RecentUsage)],
+    time: Option<Duration>,
+) -> Vec<(AccountId, u64)> {
     let Some(time) = time else { return Vec::new() };
     let units = |(account, slots): &(AccountId, RecentUsage)| {
         (account.clone(), admitted_within(slots, time) as u64)
     };
-    lately.iter().map(units).collect()
+    recent_units.iter().map(units).collect()
 }
--- a/oxbowbend-core/src/cell/leaving.rs
+++ b/oxbowbend-core/src/cell/leaving.rs
@@ -1,8 +1,11 @@
-//! Endpoints that have said in an answer that they leave.
+//! Endpoints known to be draining.
 //!
-//! The platform's list says the same, but not while the store is away, and later. What one instance has read all tell each other, so that
-//! nobody begins what the endpoint may not end, and that an instance that starts knows it too. A word is of one start of an endpoint and
-//! holds for good: one that comes back under its id has another key. So nothing is told of those that are not listed, and it ends with them.
+//! An endpoint signals in a response that it is draining. The platform's list of endpoints says so
+//! too, but later, and not while the store is unreachable. Instances report the signal to each
+//! other, so that none starts a request that the endpoint may not finish.
+//!
+//! Draining is final: an endpoint that restarts under the same id has a new key. Unlisted endpoints
+//! are neither reported nor remembered for long.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -10,80 +13,82 @@
 use super::signals::{Audience, Origin};
 use crate::ids::EndpointKey;
 
-/// Time after its word for which an endpoint that is not listed is remembered.
-const FORGET: Duration = Duration::from_secs(60);
-/// Time for which an instance tells what it has learned: some 40 beats. Who starts later is told all.
-const TELL: Duration = Duration::from_secs(5);
-/// Endpoints that are told at most, the last ones first.
-const MAX_TOLD: usize = 64;
+/// Time after its last signal for which an unlisted endpoint is remembered.
+const UNLISTED_TTL: Duration = Duration::from_secs(60);
+/// Time for which a new signal is included in reports, some 40 of them. Instances that start later
+/// get all.
+const REPORT_NEW_FOR: Duration = Duration::from_secs(5);
+/// Maximum number of endpoints in a report, the latest first.
+const MAX_REPORTED: usize = 64;
 
-/// An endpoint that is newly known to leave.
+/// An endpoint that is newly known to be draining.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Leaver {
-    /// The endpoint.
+pub struct DrainNotice {
+    /// Key of the endpoint.
     pub endpoint: EndpointKey,
-    /// From whom that is known.
+    /// Where the signal came from.
     pub origin: Origin,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Word {
-    first: Instant,
-    last: Instant,
+struct DrainRecord {
+    first_heard: Instant,
+    last_heard: Instant,
 }
 
-/// All endpoints that have said that they leave.
+/// All endpoints that are known to be draining.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Leaving {
-    known: HashMap<EndpointKey, Word>,
-    changes: Vec<Leaver>,
+pub(super) struct DrainingEndpoints {
+    records: HashMap<EndpointKey, DrainRecord>,
+    notices: Vec<DrainNotice>,
 }
 
-impl Leaving {
-    /// Takes in that an endpoint leaves.
-    pub(super) fn hear(&mut self, now: Instant, endpoint: EndpointKey, origin: Origin) {
-        if let Some(word) = self.known.get_mut(&endpoint) {
-            word.last = now;
+impl DrainingEndpoints {
+    /// Records that an endpoint is draining.
+    pub(super) fn record(&mut self, now: Instant, endpoint: EndpointKey, origin: Origin) {
+        if let Some(record) = self.records.get_mut(&endpoint) {
+            record.last_heard = now;
             return;
         }
-        self.known.insert(endpoint, Word { first: now, last: now });
-        self.changes.push(Leaver { endpoint, origin });
+        self.records.insert(endpoint, DrainRecord { first_heard: now, last_heard: now });
+        self.notices.push(DrainNotice { endpoint, origin });
     }
 
-    /// Whether an endpoint has said that it leaves.
-    pub(super) fn has(&self, endpoint: EndpointKey) -> bool {
-        self.known.contains_key(&endpoint)
+    pub(super) fn contains(&self, endpoint: EndpointKey) -> bool {
+        self.records.contains_key(&endpoint)
     }
 
-    /// How many have.
     pub(super) fn count(&self) -> usize {
-        self.known.len()
+        self.records.len()
     }
 
-    /// What to tell of listed endpoints: what is new, or everything to an instance that has just started.
-    pub(super) fn tell(
+    /// Returns the listed endpoints to report: those newly known, or all of them to an instance
+    /// that has just started.
+    pub(super) fn to_report(
         &self,
         now: Instant,
         audience: Audience,
         is_listed: impl Fn(&EndpointKey) -> bool,
     ) -> Vec<EndpointKey> {
-        let is_new = |word: &Word| now.saturating_duration_since(word.first) < TELL;
-        let is_told = |(key, word): &(&EndpointKey, &Word)| {
-            is_listed(key) && (audience == Audience::Newcomer || is_new(word))
+        let is_new = |record: &DrainRecord| {
+            now.saturating_duration_since(record.first_heard) < REPORT_NEW_FOR
+        };
+        let should_report = |(key, record): &(&EndpointKey, &DrainRecord)| {
+            is_listed(key) && (audience == Audience::Newcomer || is_new(record))
         };
-        let mut all: Vec<_> = self.known.iter().filter(is_told).collect();
-        all.sort_by_key(|(key, word)| (std::cmp::Reverse(word.first), **key));
-        all.into_iter().take(MAX_TOLD).map(|(key, _)| *key).collect()
+        let mut all: Vec<_> = self.records.iter().filter(should_report).collect();
+        all.sort_by_key(|(key, record)| (std::cmp::Reverse(record.first_heard), **key));
+        all.into_iter().take(MAX_REPORTED).map(|(key, _)| *key).collect()
     }
 
-    /// Forgets endpoints that are not listed any more.
-    pub(super) fn forget(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
-        let is_late = |at: Instant| now.saturating_duration_since(at) > FORGET;
-        self.known.retain(|key, word| !is_late(word.last) || is_listed(key));
+    /// Drops unlisted endpoints after [`UNLISTED_TTL`].
+    pub(super) fn prune(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
+        let is_expired = |at: Instant| now.saturating_duration_since(at) > UNLISTED_TTL;
+        self.records.retain(|key, record| !is_expired(record.last_heard) || is_listed(key));
     }
 
-    /// Those that are newly known since the last call.
-    pub(super) fn take_changes(&mut self) -> Vec<Leaver> {
-        std::mem::take(&mut self.changes)
+    /// Returns the notices since the last call.
+    pub(super) fn take_notices(&mut self) -> Vec<DrainNotice> {
+        std::mem::take(&mut self.notices)
     }
 }
--- a/oxbowbend-core/src/cell/limits.rs
+++ b/oxbowbend-core/src/cell/limits.rs
@@ -1,330 +1,366 @@
-//! Rate limits that endpoints name for all instances together.
+//! Rate limits that endpoints set for all instances together.
 //!
-//! The load that this answers: an endpoint in need takes a few requests a second or fewer, and up to hundreds of
-//! instances send to it. They hear of the limit one after the other, come and go and lose each other. What all of
-//! them send within [`WINDOW_S`] must stay below one and a half times the limit and [`SLACK`] requests.
+//! Each instance has a token bucket with its share of the limit and sends without asking others.
+//! Since a full bucket can be spent at once, the capacities of all buckets together stay within the
+//! burst that is allowed in a window of [`WINDOW_SECS`] seconds: [`BURST_FRACTION`] of the limit and
+//! [`BURST_REQUESTS`] requests.
 //!
-//! Each instance has a part of the limit, a token bucket of its own, and asks nobody before it sends. A full
-//! bucket can be spent at once whatever its rate, so the buckets together hold no more than the users' bound has beyond the rate.
-//! Where that is less than one request for each instance, only the first ones by a hash of endpoint and instance have parts; all
-//! agree on who they are, from the list of instances. So the bound holds for any order in which requests, answers and reports arrive,
-//! and for any that are lost.
+//! If the burst is less than one request per instance, only the first instances in the order of a
+//! hash of endpoint and instance get a share. All instances compute this from the same list of
+//! instances, so the bound holds in whatever order requests, responses and reports arrive, and
+//! whichever are lost.
 //!
-//! Quotas of accounts are kept in another way, by counting what others tell that they have admitted. Their bounds are wide enough for what
-//! is not told yet; here one request of each instance before the first word of the others is too much.
+//! Quotas of client accounts instead count what other instances report. That does not work here:
+//! one request per instance before the first report would already exceed the limit.
 //!
-//! What was traded: the part of an instance with no request for the endpoint is not used by others, and that of one that is gone not before
-//! its entry has lapsed.
+//! The share of an idle instance is not used by others, nor is that of a terminated one until its
+//! registry entry expires.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::signals::{Audience, Origin, Said};
+use super::signals::{Audience, Origin, SignalValue};
 use crate::ids::{EndpointKey, InstanceId};
 
-/// Seconds of the window in which the users count.
-const WINDOW_S: f64 = 4.0;
-/// Part of the limit that it may get beyond it in a window.
-const OVERAGE: f64 = 0.5;
-/// Requests that it may get beyond that.
-const SLACK: f64 = 5.0;
-/// Part of the overage, and requests of the slack, that are left to requests that are late on their way and to instances that
-/// start while others do not know of them.
-const MARGIN: (f64, f64) = (0.25, 1.0);
-/// Least rate that is used, so that an answer tells of the end of a limit of next to nothing.
-const LEAST_PER_S: f64 = 0.2;
-/// Time for which the end of a limit is told.
-const TELL_END: Duration = Duration::from_secs(3);
-/// Time after the last word of an endpoint that is not listed for which its limit is kept.
-const FORGET: Duration = Duration::from_secs(60);
-/// Limits that a report tells at most, the newest first.
-const MAX_TOLD: usize = 16;
+/// Window in which the bound holds.
+const WINDOW_SECS: f64 = 4.0;
+/// Fraction of the limit that may be exceeded within a window.
+const BURST_FRACTION: f64 = 0.5;
+/// Requests that may be sent within a window beyond that.
+const BURST_REQUESTS: f64 = 5.0;
+/// Fraction of [`BURST_FRACTION`] and number of [`BURST_REQUESTS`] kept in reserve for delayed
+/// requests and for instances that others do not know of yet.
+const BURST_MARGIN: (f64, f64) = (0.25, 1.0);
+/// Minimum rate, even for a limit of 0, so that a response can signal that the limit has ended.
+const MIN_RATE_PER_S: f64 = 0.2;
+/// Time for which the removal of a limit is reported.
+const REPORT_REMOVAL_FOR: Duration = Duration::from_secs(3);
+/// Time for which the limit of an unlisted endpoint is kept after its last response.
+const UNLISTED_TTL: Duration = Duration::from_secs(60);
+/// Maximum number of limits in a report, the latest first.
+const MAX_REPORTED: usize = 16;
 
-/// Who shares an endpoint.
+/// Set of instances that share the limit of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Scope {
-    /// The instances of one cell.
+    /// The instances of this cell.
     Cell,
     /// All instances of the fleet.
     Fleet,
 }
 
-/// A limit as instances tell it to each other. It travels as a list of its parts in this order.
+/// A limit in a report. Serialized as an array of its fields in this order.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(from = "(EndpointKey, Option<f64>, u32)", into = "(EndpointKey, Option<f64>, u32)")]
-pub struct ToldLimit {
-    /// The endpoint.
+pub struct ReportedLimit {
+    /// Key of the endpoint.
     pub endpoint: EndpointKey,
-    /// Requests a second; none if it names no limit any more.
+    /// Requests per second; `None` if the limit has been removed.
     pub per_s: Option<f64>,
-    /// Milliseconds since an answer said so.
+    /// Milliseconds since the response that set it.
     pub age_ms: u32,
 }
 
-impl From<(EndpointKey, Option<f64>, u32)> for ToldLimit {
-    fn from((endpoint, per_s, age_ms): (EndpointKey, Option<f64>, u32)) -> ToldLimit {
-        ToldLimit { endpoint, per_s, age_ms }
+impl From<(EndpointKey, Option<f64>, u32)> for ReportedLimit {
+    fn from((endpoint, per_s, age_ms): (EndpointKey, Option<f64>, u32)) -> ReportedLimit {
+        ReportedLimit { endpoint, per_s, age_ms }
     }
 }
 
-impl From<ToldLimit> for (EndpointKey, Option<f64>, u32) {
-    fn from(told: ToldLimit) -> (EndpointKey, Option<f64>, u32) {
-        (told.endpoint, told.per_s, told.age_ms)
+impl From<ReportedLimit> for (EndpointKey, Option<f64>, u32) {
+    fn from(reported: ReportedLimit) -> (EndpointKey, Option<f64>, u32) {
+        (reported.endpoint, reported.per_s, reported.age_ms)
     }
 }
 
-/// A change of what is believed of an endpoint's limit.
+/// A change of an endpoint's limit as known to this instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
-    /// The endpoint.
+    /// Key of the endpoint.
     pub endpoint: EndpointKey,
-    /// Requests a second; none if there is no limit any more.
+    /// Requests per second; `None` if the limit has been removed.
     pub per_s: Option<f64>,
-    /// The same before.
-    pub before: Option<f64>,
-    /// From whom that is known.
+    /// Previous value of `per_s`.
+    pub previous: Option<f64>,
+    /// Where the change was learned from.
     pub origin: Origin,
-    /// Time since an answer said so.
+    /// Time since the response that made the change.
     pub age: Duration,
 }
 
-/// This instance's part of a limit.
+/// Token bucket with this instance's share of a limit.
 #[derive(Clone, Copy, Debug)]
-struct Part {
-    /// What it was worked out from.
+struct LimitShare {
+    /// The whole limit. With `generation` and `scope`, it determines the share.
     limit: f64,
     generation: u64,
     scope: Scope,
-    per_s: f64,
-    most: f64,
-    level: f64,
-    at: Instant,
+    refill_per_s: f64,
+    capacity: f64,
+    tokens: f64,
+    updated_at: Instant,
 }
 
 #[derive(Clone, Debug)]
-struct Belief {
+struct KnownLimit {
     per_s: Option<f64>,
-    /// When an answer said so.
-    heard: Instant,
+    /// Time of the response that set the limit.
+    answered_at: Instant,
     origin: Origin,
-    part: Option<Part>,
+    share: Option<LimitShare>,
 }
 
-/// What is believed of all endpoints' limits.
+/// Known limits of all endpoints.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Limits {
-    me: u64,
+pub(super) struct RateLimits {
+    own_hash: u64,
     /// Hashes of the names of all instances of the cell and of the fleet.
-    cell: Vec<u64>,
-    fleet: Vec<u64>,
-    /// Rises with each change of these.
+    cell_hashes: Vec<u64>,
+    fleet_hashes: Vec<u64>,
+    /// Incremented whenever the instances change.
     generation: u64,
-    beliefs: HashMap<EndpointKey, Belief>,
+    known_limits: HashMap<EndpointKey, KnownLimit>,
     changes: Vec<LimitChange>,
 }
 
-impl Limits {
-    pub(super) fn new(me: &InstanceId) -> Limits {
-        let me = xxh3_64(me.as_bytes());
-        Limits { me, cell: vec![me], fleet: vec![me], ..Limits::default() }
+impl RateLimits {
+    pub(super) fn new(me: &InstanceId) -> RateLimits {
+        let own_hash = xxh3_64(me.as_bytes());
+        RateLimits {
+            own_hash,
+            cell_hashes: vec![own_hash],
+            fleet_hashes: vec![own_hash],
+            ..RateLimits::default()
+        }
     }
 
-    /// Sets who shares the limits.
+    /// Sets the instances that share the limits.
     pub(super) fn set_instances<'a>(
         &mut self,
         cell: impl Iterator<Item = &'a InstanceId>,
         fleet: impl Iterator<Item = &'a InstanceId>,
     ) {
         let hash = |name: &InstanceId| xxh3_64(name.as_bytes());
-        (self.cell, self.fleet) = (cell.map(hash).collect(), fleet.map(hash).collect());
+        (self.cell_hashes, self.fleet_hashes) =
+            (cell.map(hash).collect(), fleet.map(hash).collect());
         self.generation += 1;
     }
 
-    /// Takes in what an answer says to a request that was sent at `sent`. What is stricter holds at once; what is
-    /// looser only from an answer to a request that was sent after the stricter word, since answers overtake each other.
-    pub(super) fn answered(
+    /// Applies the signal in a response to a request that was sent at `sent_at`.
+    ///
+    /// Responses may arrive out of order, so a stricter limit takes effect at once, but a looser
+    /// one only if its request was sent after the stricter one became known.
+    pub(super) fn record_response(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
-        sent: Instant,
-        said: Said<f64>,
+        sent_at: Instant,
+        signal: SignalValue<f64>,
     ) {
-        let per_s = match said {
-            Said::Nothing => None,
-            Said::Value(per_s) => Some(per_s),
-            Said::Unreadable => return,
+        let per_s = match signal {
+            SignalValue::Nothing => None,
+            SignalValue::Value(per_s) => Some(per_s),
+            SignalValue::Unreadable => return,
         };
-        let before = self.beliefs.get(&endpoint);
-        let is_looser = |b: &Belief| rate(per_s) > rate(b.per_s);
-        if before.is_none() && per_s.is_none()
-            || before.is_some_and(|b| is_looser(b) && sent <= b.heard)
+        let known = self.known_limits.get(&endpoint);
+        let is_looser =
+            |known: &KnownLimit| rate_or_infinity(per_s) > rate_or_infinity(known.per_s);
+        if known.is_none() && per_s.is_none()
+            || known.is_some_and(|known| is_looser(known) && sent_at <= known.answered_at)
         {
             return;
         }
-        self.believe(now, endpoint, per_s, now, Origin::Answer);
+        self.set_limit(now, endpoint, per_s, now, Origin::Answer);
     }
 
-    /// Takes in what another instance tells.
-    pub(super) fn told(&mut self, now: Instant, told: &[ToldLimit], origin: Origin) {
-        for ToldLimit { endpoint, per_s, age_ms } in told.iter().copied() {
-            let Some(heard) = now.checked_sub(Duration::from_millis(age_ms.into())) else {
+    /// Merges limits reported by another instance.
+    pub(super) fn merge_reported(
+        &mut self,
+        now: Instant,
+        reported: &[ReportedLimit],
+        origin: Origin,
+    ) {
+        for ReportedLimit { endpoint, per_s, age_ms } in reported.iter().copied() {
+            let Some(answered_at) = now.checked_sub(Duration::from_millis(age_ms.into())) else {
                 continue;
             };
-            let is_news = match self.beliefs.get(&endpoint) {
-                // A limit that is known would get younger with each time that it is told.
-                Some(belief) => belief.per_s != per_s && heard > belief.heard,
+            let is_newer = match self.known_limits.get(&endpoint) {
+                // An unchanged limit is not refreshed, or instances would keep each other's copies
+                // alive.
+                Some(known) => known.per_s != per_s && answered_at > known.answered_at,
                 None => per_s.is_some(),
             };
-            if is_news && per_s.is_none_or(|n| n.is_finite() && n >= 0.0) {
-                self.believe(now, endpoint, per_s, heard, origin);
+            if is_newer && per_s.is_none_or(|n| n.is_finite() && n >= 0.0) {
+                self.set_limit(now, endpoint, per_s, answered_at, origin);
             }
         }
     }
 
-    fn believe(
+    fn set_limit(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
         per_s: Option<f64>,
-        heard: Instant,
+        answered_at: Instant,
         origin: Origin,
     ) {
-        let before = self.beliefs.remove(&endpoint);
-        let (before, part) = before.map_or((None, None), |b| (b.per_s, b.part));
-        if before != per_s {
-            let age = now.saturating_duration_since(heard);
-            self.changes.push(LimitChange { endpoint, per_s, before, origin, age });
+        let known = self.known_limits.remove(&endpoint);
+        let (previous, share) = known.map_or((None, None), |known| (known.per_s, known.share));
+        if previous != per_s {
+            let age = now.saturating_duration_since(answered_at);
+            self.changes.push(LimitChange { endpoint, per_s, previous, origin, age });
         }
-        let part = part.filter(|_| per_s.is_some());
-        self.beliefs.insert(endpoint, Belief { per_s, heard, origin, part });
+        let share = share.filter(|_| per_s.is_some());
+        self.known_limits.insert(endpoint, KnownLimit { per_s, answered_at, origin, share });
     }
 
-    /// What to tell of endpoints of which others are told.
-    pub(super) fn tell(
+    /// Returns the relevant limits to report.
+    pub(super) fn to_report(
         &self,
         now: Instant,
         audience: Audience,
-        is_for: impl Fn(&EndpointKey) -> bool,
-    ) -> Vec<ToldLimit> {
-        let age = |b: &Belief| now.saturating_duration_since(b.heard);
-        let is_told = |(key, b): &(&EndpointKey, &Belief)| {
-            audience.is_told(b.origin) && (b.per_s.is_some() || age(b) < TELL_END) && is_for(key)
+        is_relevant: impl Fn(&EndpointKey) -> bool,
+    ) -> Vec<ReportedLimit> {
+        let age = |known: &KnownLimit| now.saturating_duration_since(known.answered_at);
+        let should_report = |(key, known): &(&EndpointKey, &KnownLimit)| {
+            audience.receives(known.origin)
+                && (known.per_s.is_some() || age(known) < REPORT_REMOVAL_FOR)
+                && is_relevant(key)
         };
-        let mut told: Vec<_> = self.beliefs.iter().filter(is_told).collect();
-        told.sort_by_key(|(key, b)| (age(b), **key));
-        let tell = |(key, b): (&EndpointKey, &Belief)| ToldLimit {
+        let mut reported: Vec<_> = self.known_limits.iter().filter(should_report).collect();
+        reported.sort_by_key(|(key, known)| (age(known), **key));
+        let to_reported = |(key, known): (&EndpointKey, &KnownLimit)| ReportedLimit {
             endpoint: *key,
-            per_s: b.per_s,
-            age_ms: age(b).as_millis().min(u128::from(u32::MAX)) as u32,
+            per_s: known.per_s,
+            age_ms: age(known).as_millis().min(u128::from(u32::MAX)) as u32,
         };
-        told.into_iter().take(MAX_TOLD).map(tell).collect()
+        reported.into_iter().take(MAX_REPORTED).map(to_reported).collect()
     }
 
-    /// Requests that this instance may send to an endpoint now; none if it has no limit.
-    pub(super) fn room(
+    /// Returns the number of requests that this instance may send to an endpoint now; `None` if it
+    /// has no limit.
+    pub(super) fn available_requests(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
         scope: Scope,
     ) -> Option<u32> {
-        self.part(now, endpoint, scope).map(|part| part.level as u32)
+        self.share(now, endpoint, scope).map(|share| share.tokens as u32)
     }
 
-    /// Takes a request from this instance's part.
+    /// Takes the token of one request from this instance's share.
     pub(super) fn take(&mut self, now: Instant, endpoint: EndpointKey, scope: Scope) {
-        if let Some(part) = self.part(now, endpoint, scope) {
-            part.level -= 1.0;
+        if let Some(share) = self.share(now, endpoint, scope) {
+            share.tokens -= 1.0;
         }
     }
 
-    /// Time until this instance, or if it has no part another one, may send the next request; none if there is no limit.
-    pub(super) fn opens_in(
+    /// Returns the time until this instance may send the next request, or, if it has no share,
+    /// until another one may; `None` if there is no limit.
+    pub(super) fn time_to_next_request(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
         scope: Scope,
     ) -> Option<Duration> {
-        let part = self.part(now, endpoint, scope)?;
-        let seconds = match part.per_s > 0.0 {
-            true => (1.0 - part.level).max(0.0) / part.per_s,
-            false => 1.0 / part.limit.max(LEAST_PER_S),
+        let share = self.share(now, endpoint, scope)?;
+        let seconds = match share.refill_per_s > 0.0 {
+            true => (1.0 - share.tokens).max(0.0) / share.refill_per_s,
+            false => 1.0 / share.limit.max(MIN_RATE_PER_S),
         };
-        Some(Duration::from_secs_f64(seconds.min(FORGET.as_secs_f64())))
+        Some(Duration::from_secs_f64(seconds.min(UNLISTED_TTL.as_secs_f64())))
     }
 
-    /// This instance's part as of now; none if there is no limit.
-    fn part(&mut self, now: Instant, endpoint: EndpointKey, scope: Scope) -> Option<&mut Part> {
-        let limit = self.beliefs.get(&endpoint)?.per_s?;
-        let known = self.beliefs.get(&endpoint)?.part;
-        let is_current =
-            |p: &Part| (p.limit, p.generation, p.scope) == (limit, self.generation, scope);
-        let part = match known.filter(is_current) {
-            Some(part) => part.refilled(now),
-            None => self.work_out(now, endpoint, limit, scope, known),
+    /// Returns this instance's refilled share; `None` if there is no limit.
+    fn share(
+        &mut self,
+        now: Instant,
+        endpoint: EndpointKey,
+        scope: Scope,
+    ) -> Option<&mut LimitShare> {
+        let limit = self.known_limits.get(&endpoint)?.per_s?;
+        let previous = self.known_limits.get(&endpoint)?.share;
+        let is_current = |share: &LimitShare| {
+            (share.limit, share.generation, share.scope) == (limit, self.generation, scope)
         };
-        let belief = self.beliefs.get_mut(&endpoint)?;
-        Some(belief.part.insert(part))
+        let share = match previous.filter(is_current) {
+            Some(share) => share.refilled(now),
+            None => self.compute_share(now, endpoint, limit, scope, previous),
+        };
+        let known = self.known_limits.get_mut(&endpoint)?;
+        Some(known.share.insert(share))
     }
 
-    fn work_out(
+    fn compute_share(
         &self,
         now: Instant,
         endpoint: EndpointKey,
         limit: f64,
         scope: Scope,
-        known: Option<Part>,
-    ) -> Part {
+        previous: Option<LimitShare>,
+    ) -> LimitShare {
         let instances = match scope {
-            Scope::Cell => &self.cell,
-            Scope::Fleet => &self.fleet,
+            Scope::Cell => &self.cell_hashes,
+            Scope::Fleet => &self.fleet_hashes,
         };
-        let per_s = limit.max(LEAST_PER_S);
-        let saved = OVERAGE * WINDOW_S * per_s * (1.0 - MARGIN.0) + SLACK - MARGIN.1;
-        let parts = saved.floor().min(instances.len() as f64);
+        let per_s = limit.max(MIN_RATE_PER_S);
+        let burst = BURST_FRACTION * WINDOW_SECS * per_s * (1.0 - BURST_MARGIN.0) + BURST_REQUESTS
+            - BURST_MARGIN.1;
+        let shares = burst.floor().min(instances.len() as f64);
         let order = |name: &u64| xxh3_64_with_seed(&name.to_le_bytes(), endpoint.into());
-        let mine = order(&self.me);
-        let before = instances.iter().filter(|name| order(name) < mine).count();
-        let (per_s, most) = match (before as f64) < parts {
-            true => (per_s / parts, saved / parts),
+        let own_order = order(&self.own_hash);
+        let rank = instances.iter().filter(|name| order(name) < own_order).count();
+        let (refill_per_s, capacity) = match (rank as f64) < shares {
+            true => (per_s / shares, burst / shares),
             false => (0.0, 0.0),
         };
-        let level = match known {
-            Some(known) => known.refilled(now).level.min(most),
-            // Parts that all began empty, or full, would let all send at the same moment.
-            None => (mine >> 11) as f64 / (1_u64 << 53) as f64 * most.min(1.0),
+        let tokens = match previous {
+            Some(previous) => previous.refilled(now).tokens.min(capacity),
+            // Starts at a level that depends on the instance, so that not all send at the same
+            // time.
+            None => (own_order >> 11) as f64 / (1_u64 << 53) as f64 * capacity.min(1.0),
         };
-        Part { limit, generation: self.generation, scope, per_s, most, level, at: now }
+        LimitShare {
+            limit,
+            generation: self.generation,
+            scope,
+            refill_per_s,
+            capacity,
+            tokens,
+            updated_at: now,
+        }
     }
 
-    /// Endpoints that have a limit.
-    pub(super) fn limited(&self) -> Vec<EndpointKey> {
-        let limited = self.beliefs.iter().filter(|(_, b)| b.per_s.is_some());
+    /// Returns the endpoints that have a limit.
+    pub(super) fn limited_endpoints(&self) -> Vec<EndpointKey> {
+        let limited = self.known_limits.iter().filter(|(_, known)| known.per_s.is_some());
         limited.map(|(key, _)| *key).collect()
     }
 
-    /// Forgets endpoints that are not listed any more.
-    pub(super) fn forget(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
-        let is_late = |b: &Belief| now.saturating_duration_since(b.heard) > FORGET;
-        self.beliefs.retain(|key, b| !is_late(b) || b.per_s.is_some() && is_listed(key));
+    /// Drops removed limits and limits of unlisted endpoints after [`UNLISTED_TTL`].
+    pub(super) fn prune(&mut self, now: Instant, is_listed: impl Fn(&EndpointKey) -> bool) {
+        let is_expired =
+            |known: &KnownLimit| now.saturating_duration_since(known.answered_at) > UNLISTED_TTL;
+        self.known_limits
+            .retain(|key, known| !is_expired(known) || known.per_s.is_some() && is_listed(key));
     }
 
-    /// What is newly believed since the last call.
+    /// Returns the changes since the last call.
     pub(super) fn take_changes(&mut self) -> Vec<LimitChange> {
         std::mem::take(&mut self.changes)
     }
 }
 
-impl Part {
-    fn refilled(self, now: Instant) -> Part {
-        let time = now.saturating_duration_since(self.at).as_secs_f64();
-        let level = (self.level + self.per_s * time).min(self.most);
-        Part { level, at: now.max(self.at), ..self }
+impl LimitShare {
+    fn refilled(self, now: Instant) -> LimitShare {
+        let time = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        let tokens = (self.tokens + self.refill_per_s * time).min(self.capacity);
+        LimitShare { tokens, updated_at: now.max(self.updated_at), ..self }
     }
 }
 
-/// Requests a second that are allowed.
-fn rate(per_s: Option<f64>) -> f64 {
+fn rate_or_infinity(per_s: Option<f64>) -> f64 {
     per_s.unwrap_or(f64::INFINITY)
 }
--- a/oxbowbend-core/src/cell/mod.rs
+++ b/oxbowbend-core/src/cell/mod.rs
@@ -1,12 +1,15 @@
-//! A cell: instances that share a set of endpoints and decide alike, without a scheduler.
+//! Placement of requests within a cell: a group of instances that share a set of endpoints.
 //!
-//! Every instance tells the others what it runs and what waits at it. From that each works out the
-//! same order of everything that waits and the same assignment to free places, and dispatches what
-//! falls to its own requests. What was traded: two instances may take the same place within the
-//! few milliseconds that a report travels; the endpoint then queues one of the two. Nobody waits
-//! for anybody: an instance that is cut off, or has just started, serves with what it knows.
+//! Instances broadcast reports of their running and waiting requests. Each instance computes the
+//! same ordering and the same assignment from these reports and dispatches only its own requests;
+//! there is no scheduler and no coordination round trip. An instance that is partitioned or has
+//! just started keeps serving with what it knows.
 //!
-//! This stands in for the pool's [`crate::scheduler`] where slots are no promise of the endpoint.
+//! Two instances can assign the same slot within the few milliseconds that a report takes. The
+//! endpoint then queues one of the two requests.
+//!
+//! This module is used in place of a pool's [`crate::scheduler`] where an endpoint does not
+//! guarantee its slots.
 
 mod assign;
 mod fleet;
@@ -27,441 +30,457 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-pub use assign::{Assignment, UNHEARD};
-pub use fleet::{Beyond, FleetView};
-pub use groups::{Group, MAX_CELL};
-pub use hear::{Growth, Heard};
-pub use leaving::Leaver;
-pub use limits::{LimitChange, ToldLimit};
-pub use pace::FIXED_UNITS;
-pub use reach::{Names, Reach};
-pub use report::{Claim, Load, Report, Tally, ToldEndpoints};
-pub use shedding::{Patience, RetryAfter};
-pub use signals::{Origin, Said, Signals};
+pub use assign::{Assignment, REPORT_DELAY};
+pub use fleet::{FleetSummary, RemoteInstances};
+pub use groups::{CellLayout, DEFAULT_MAX_CELL_SIZE};
+pub use hear::{CounterDeltas, ReportDeltas};
+pub use leaving::DrainNotice;
+pub use limits::{LimitChange, ReportedLimit};
+pub use pace::FIXED_WORK_UNITS;
+pub use reach::{InstanceFilter, Reachability};
+pub use report::{EndpointLoad, EndpointNotices, EndpointStats, Report, WaitingRequest};
+pub use shedding::{RetryAfter, RetryPolicy};
+pub use signals::{Origin, SignalValue, Signals};
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::ids::{EndpointId, EndpointKey, InstanceId, ServiceId, ZoneId};
 use crate::routes::Endpoint;
 
-/// Silence after which an instance's waiting requests hold nobody else's back.
-pub const CLAIM_TTL: Duration = Duration::from_millis(400);
-/// Silence after which what an instance had running is taken to have ended with it.
-pub const LOAD_TTL: Duration = Duration::from_millis(1500);
-/// Waiting requests told to others, the first in order. Only few places are free when requests wait, so
-/// those further behind have no say; 32 of them made up most of the bytes between zones under a burst.
-const MAX_CLAIMS: usize = 6;
-/// Time after a change of an endpoint's counters for which every report with tallies tells them: three
-/// such reports, so that one gets through in spite of losses.
-const MENTION: Duration = Duration::from_millis(400);
-/// The same for reports that tell all tallies, for those who have missed the others.
-const MENTION_ALL: Duration = Duration::from_secs(3);
-
-/// Measurements for which a noted pace counts, so that new ones soon outweigh it.
-const NOTED_SAMPLES: u32 = 3;
-
-/// Number of a waiting or running request at this instance.
+/// Age of a report after which its waiting requests are ignored.
+pub const WAITING_TTL: Duration = Duration::from_millis(400);
+/// Time without a report after which an instance counts as failed and its running requests as
+/// ended.
+pub const PEER_TTL: Duration = Duration::from_millis(1500);
+/// Waiting requests listed in a report, first in order. Few slots are free while requests wait, so
+/// later ones rarely affect the assignment.
+const MAX_REPORTED_WAITING: usize = 6;
+/// Time after a change for which [`ReportDetail::Changes`] includes an endpoint's counters: three
+/// such reports, to tolerate packet loss.
+const CHANGED_STATS_PERIOD: Duration = Duration::from_millis(400);
+/// Time after a change for which [`ReportDetail::Full`] includes an endpoint's counters.
+const FULL_STATS_PERIOD: Duration = Duration::from_secs(3);
+
+/// Sample count given to a restored estimate. Small, so that new measurements soon outweigh it.
+const RESTORED_SAMPLES: u32 = 3;
+
+/// Identifies a waiting or running request at this instance.
 pub type Ticket = u64;
 
-/// What a request needs to be placed.
+/// A request waiting for placement.
 #[derive(Clone, Debug)]
-pub struct Want {
-    /// Service that must execute it.
+pub struct QueuedRequest {
+    /// Service that must execute the request.
     pub service: ServiceId,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the most urgent.
     pub rank: u16,
-    /// Tokens of its prompt.
-    pub prompt: u32,
-    /// Tokens that its answer is expected to have.
-    pub output: u32,
-    /// How it holds up the streams beside it.
-    pub stall: Stall,
-    /// When it arrived.
-    pub arrived: Instant,
-    /// Time from its arrival within which its first event should be there.
+    /// Prompt length in tokens.
+    pub prompt_tokens: u32,
+    /// Expected length of the answer in tokens.
+    pub output_tokens: u32,
+    /// How its prefill stalls concurrent streams.
+    pub stall: PrefillStall,
+    /// Arrival time.
+    pub arrived_at: Instant,
+    /// Target time from arrival to the first event.
     pub objective: Duration,
-    /// Endpoints that it has been sent to already.
-    pub avoid: Vec<EndpointId>,
+    /// Endpoints that the request was already sent to.
+    pub excluded_endpoints: Vec<EndpointId>,
 }
 
-/// How a request holds up the streams that run beside it while its prompt is read, and how much of
-/// that streams of its kind bear.
+/// How long the prefill of a request stalls streams on the same endpoint, and how long a stall they
+/// tolerate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
-pub struct Stall {
-    /// Tokens of the prompt that may be read between two events of another stream.
+pub struct PrefillStall {
+    /// Prompt tokens that may be processed between two events of another stream.
     #[serde(rename = "t")]
-    pub tokens: u32,
-    /// Milliseconds between two events that are still in time; 0 if it does not matter.
+    pub chunk_tokens: u32,
+    /// Longest acceptable gap between two events in milliseconds; 0 if unbounded.
     #[serde(rename = "p")]
-    pub pause_ms: u32,
+    pub max_gap_ms: u32,
 }
 
-/// How a run at an endpoint ended.
+/// Outcome of a request at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// The endpoint returned a complete answer.
     Good,
-    /// The endpoint failed: no connection, a broken or spoilt answer, or an error of its own.
+    /// The endpoint failed: no connection, a broken or invalid answer, or a server error.
     Bad,
-    /// Nothing that speaks for or against the endpoint, such as a caller that left.
+    /// The outcome says nothing about the endpoint, for example because the caller disconnected.
     Neutral,
-    /// Whoever answers at the endpoint's address is not this endpoint.
+    /// The server at the endpoint's address is a different endpoint.
     Absent,
 }
 
-/// A change in what this instance believes of an endpoint, for the log.
+/// The ejection of an endpoint, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SetAside {
+pub struct Ejection {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// For how long.
-    pub pause: Duration,
+    /// Length of the ejection.
+    pub duration: Duration,
 }
 
-/// How much a report tells beside what runs and what waits.
+/// Which counters a report contains, in addition to running and waiting requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Extent {
-    /// Nothing more.
+pub enum ReportDetail {
+    /// No counters.
     Loads,
-    /// Counters that have just changed.
+    /// Counters that changed recently.
     Changes,
-    /// Counters of all endpoints that were used lately.
+    /// Counters of all recently used endpoints.
     Full,
 }
 
 #[derive(Debug)]
-struct Site {
+struct EndpointState {
     endpoint: Endpoint,
-    /// Hash of its id, from which tastes are worked out.
+    /// Hash of the endpoint's id, used to spread instances over equally good endpoints.
     hash: u64,
     running: u32,
-    /// Tokens of prompts without a first event. Engines read prompts one after the other.
-    unread: u32,
-    good: u64,
-    bad: u64,
-    pace: pace::Pace,
+    /// Prompt tokens of requests without a first event. Engines process prompts sequentially.
+    pending_prompt_tokens: u32,
+    successes: u64,
+    failures: u64,
+    pace: pace::LatencyEstimate,
     health: health::Health,
-    touched: Option<Instant>,
-    /// When it last began or ended an answer.
-    answered: Option<Instant>,
+    last_used: Option<Instant>,
+    /// When the endpoint last started or completed an answer.
+    last_answer: Option<Instant>,
 }
 
-/// One instance's part in its cell.
+/// One instance's view of its cell.
 #[derive(Debug)]
 pub struct Cell {
-    me: InstanceId,
+    local_id: InstanceId,
     zone: ZoneId,
-    life: u64,
-    number: u64,
-    sites: BTreeMap<EndpointKey, Site>,
-    waiting: BTreeMap<Ticket, Want>,
-    next: Ticket,
+    incarnation: u64,
+    sequence: u64,
+    endpoints: BTreeMap<EndpointKey, EndpointState>,
+    waiting: BTreeMap<Ticket, QueuedRequest>,
+    next_ticket: Ticket,
     /// Instances of this cell.
     peers: HashMap<InstanceId, peer::Peer>,
-    /// Instances of other cells: their representatives, and whoever has been heard for another reason.
-    others: HashMap<InstanceId, peer::Peer>,
-    known: assign::KnownPaces,
-    news: Vec<SetAside>,
-    /// When a failure was last noted.
-    last_bad: Option<Instant>,
-    /// Part of the fleet that is heard, this instance included.
-    share: f64,
-    /// Instances of the cell that are heard, this one included.
-    reach: u32,
-    /// Their names.
-    heard_names: reach::Names,
-    shedding: shedding::Shedding,
-    /// Whether this instance represents the cell.
+    /// Instances of other cells, mainly their representatives.
+    remote_peers: HashMap<InstanceId, peer::Peer>,
+    latency_cache: assign::LatencyCache,
+    ejections: Vec<Ejection>,
+    last_failure: Option<Instant>,
+    /// Fraction of the fleet that is reachable, including this instance.
+    visible_share: f64,
+    /// Number of reachable instances of the cell, including this one.
+    reachable_count: u32,
+    /// The reachable instances of the cell.
+    reachable_filter: reach::InstanceFilter,
+    shedding: shedding::LoadShedder,
     is_representative: bool,
-    /// When it was last heard what each other cell has admitted, and what all of them have.
-    summed: BTreeMap<u32, Instant>,
-    viewed: Option<Instant>,
-    /// Limits that endpoints name.
-    limits: limits::Limits,
-    /// Endpoints that have said that they leave.
-    leaving: leaving::Leaving,
-    /// Those that have asked this instance for rest.
-    rests: rests::Rests,
-    /// Services whose endpoints belong to all cells.
-    shared: BTreeSet<ServiceId>,
-    /// Endpoints that the platform lists, of all cells.
-    listed: HashSet<EndpointKey>,
+    /// When the totals of each other cell, and of all other cells together, were last received.
+    cell_totals_at: BTreeMap<u32, Instant>,
+    fleet_totals_at: Option<Instant>,
+    /// Rate limits announced by endpoints.
+    limits: limits::RateLimits,
+    /// Endpoints that are draining.
+    draining: leaving::DrainingEndpoints,
+    /// Endpoints that asked this instance to back off.
+    backoffs: rests::Backoffs,
+    /// Services whose endpoints are shared by all cells.
+    shared_services: BTreeSet<ServiceId>,
+    /// Endpoints of all cells in the platform's list.
+    listed_endpoints: HashSet<EndpointKey>,
 }
 
 impl Cell {
-    /// Starts with no endpoints and no other instances. `life` is a random number that tells this
-    /// life from others of the same name.
-    pub fn new(me: InstanceId, zone: ZoneId, life: u64) -> Cell {
+    /// Creates a cell without endpoints or other instances. `incarnation` is a random number that
+    /// distinguishes this process from earlier ones with the same id.
+    pub fn new(local_id: InstanceId, zone: ZoneId, incarnation: u64) -> Cell {
         Cell {
-            limits: limits::Limits::new(&me),
-            leaving: leaving::Leaving::default(),
-            rests: rests::Rests::default(),
-            shared: BTreeSet::new(),
-            listed: HashSet::new(),
-            me,
+            limits: limits::RateLimits::new(&local_id),
+            draining: leaving::DrainingEndpoints::default(),
+            backoffs: rests::Backoffs::default(),
+            shared_services: BTreeSet::new(),
+            listed_endpoints: HashSet::new(),
+            local_id,
             zone,
-            life,
-            number: 0,
-            sites: BTreeMap::new(),
+            incarnation,
+            sequence: 0,
+            endpoints: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            next: 0,
+            next_ticket: 0,
             peers: HashMap::new(),
-            others: HashMap::new(),
-            known: assign::KnownPaces::default(),
-            news: Vec::new(),
-            last_bad: None,
-            share: 1.0,
-            reach: 1,
-            heard_names: reach::Names::default(),
-            shedding: shedding::Shedding::default(),
+            remote_peers: HashMap::new(),
+            latency_cache: assign::LatencyCache::default(),
+            ejections: Vec::new(),
+            last_failure: None,
+            visible_share: 1.0,
+            reachable_count: 1,
+            reachable_filter: reach::InstanceFilter::default(),
+            shedding: shedding::LoadShedder::default(),
             is_representative: false,
-            summed: BTreeMap::new(),
-            viewed: None,
+            cell_totals_at: BTreeMap::new(),
+            fleet_totals_at: None,
         }
     }
 
-    /// Puts the list of endpoints in force; what is known of those that stay is kept. Others get no
-    /// further requests, but are told to have those that still run there: they may be in another cell. Of one
-    /// that has started again nothing is known, and nothing runs there.
+    /// Replaces the list of endpoints and keeps the state of those that remain. A removed endpoint
+    /// receives no new requests, but is kept while requests run there, since it may have moved to
+    /// another cell. State of an endpoint that restarted is discarded.
     pub fn set_endpoints(&mut self, endpoints: impl IntoIterator<Item = Endpoint>) {
-        let mut old = std::mem::take(&mut self.sites);
+        let mut previous = std::mem::take(&mut self.endpoints);
         let mut ids = HashSet::new();
         for endpoint in endpoints {
             ids.insert(endpoint.id.clone());
-            let site = match old.remove(&endpoint.key()) {
-                Some(site) => Site { endpoint, ..site },
-                None => Site {
+            let state = match previous.remove(&endpoint.key()) {
+                Some(state) => EndpointState { endpoint, ..state },
+                None => EndpointState {
                     hash: xxh3_64(endpoint.id.as_bytes()),
                     endpoint,
                     running: 0,
-                    unread: 0,
-                    good: 0,
-                    bad: 0,
-                    pace: pace::Pace::default(),
+                    pending_prompt_tokens: 0,
+                    successes: 0,
+                    failures: 0,
+                    pace: pace::LatencyEstimate::default(),
                     health: health::Health::default(),
-                    touched: None,
-                    answered: None,
+                    last_used: None,
+                    last_answer: None,
                 },
             };
-            self.sites.insert(site.endpoint.key(), site);
+            self.endpoints.insert(state.endpoint.key(), state);
         }
-        let is_elsewhere = |site: &Site| site.running > 0 && !ids.contains(&site.endpoint.id);
-        for (key, mut site) in old.into_iter().filter(|(_, site)| is_elsewhere(site)) {
-            site.endpoint.leaving = true;
-            self.sites.insert(key, site);
+        let is_still_used =
+            |state: &EndpointState| state.running > 0 && !ids.contains(&state.endpoint.id);
+        for (key, mut state) in previous.into_iter().filter(|(_, state)| is_still_used(state)) {
+            state.endpoint.leaving = true;
+            self.endpoints.insert(key, state);
         }
     }
 
-    /// What to tell the others, but for what only the caller knows: revision, version, address and
-    /// peers.
-    pub fn report(&mut self, now: Instant, extent: Extent) -> Report {
-        self.number += 1;
-        let mention = match extent {
-            Extent::Loads => Duration::ZERO,
-            Extent::Changes => MENTION,
-            Extent::Full => MENTION_ALL,
+    /// Builds a report. The caller fills in what this type does not know, such as the store
+    /// revision, the configuration version and the addresses.
+    pub fn report(&mut self, now: Instant, detail: ReportDetail) -> Report {
+        self.sequence += 1;
+        let period = match detail {
+            ReportDetail::Loads => Duration::ZERO,
+            ReportDetail::Changes => CHANGED_STATS_PERIOD,
+            ReportDetail::Full => FULL_STATS_PERIOD,
         };
-        let running = self.sites.iter().filter(|(_, s)| s.running > 0);
-        let load = |(key, s): (&EndpointKey, &Site)| Load {
+        let running = self.endpoints.iter().filter(|(_, s)| s.running > 0);
+        let load = |(key, s): (&EndpointKey, &EndpointState)| EndpointLoad {
             endpoint: *key,
             running: s.running,
-            unread: s.unread,
+            pending_prompt_tokens: s.pending_prompt_tokens,
         };
         let loads = running.map(load).collect();
-        let lately = |s: &Site| s.touched.is_some_and(|t| now.duration_since(t) < mention);
-        let used = self.sites.iter().filter(|(_, s)| lately(s));
-        let tallies = used.map(|(key, s)| {
+        let is_recent =
+            |s: &EndpointState| s.last_used.is_some_and(|t| now.duration_since(t) < period);
+        let recent = self.endpoints.iter().filter(|(_, s)| is_recent(s));
+        let endpoint_stats = recent.map(|(key, s)| {
             let (ns_per_unit, samples) = s.pace.as_parts();
-            Tally { endpoint: *key, good: s.good, bad: s.bad, ns_per_unit, samples }
+            EndpointStats {
+                endpoint: *key,
+                successes: s.successes,
+                failures: s.failures,
+                ns_per_unit,
+                samples,
+            }
         });
-        let tallies = tallies.collect();
+        let endpoint_stats = endpoint_stats.collect();
         let mut waiting: Vec<_> = self.waiting.values().collect();
-        waiting.sort_by_key(|w| self.order(now, w));
-        let is_beat = extent != Extent::Loads;
-        let claims = waiting.into_iter().take(MAX_CLAIMS).map(|w| Claim {
+        waiting.sort_by_key(|w| self.priority(now, w));
+        let is_heartbeat = detail != ReportDetail::Loads;
+        let reported = waiting.into_iter().take(MAX_REPORTED_WAITING).map(|w| WaitingRequest {
             service: w.service.clone(),
             rank: w.rank,
-            waited_ms: now.saturating_duration_since(w.arrived).as_millis() as u32,
+            waited_ms: now.saturating_duration_since(w.arrived_at).as_millis() as u32,
             objective_ms: w.objective.as_millis() as u32,
-            prompt: w.prompt,
-            output: w.output,
+            prompt_tokens: w.prompt_tokens,
+            output_tokens: w.output_tokens,
             stall: w.stall,
         });
         let mut report = Report {
-            instance: self.me.clone(),
+            instance: self.local_id.clone(),
             zone: self.zone.clone(),
-            life: self.life,
-            number: self.number,
-            in_full: extent == Extent::Full,
-            reach: is_beat.then_some(self.reach),
-            heard_names: is_beat.then_some(self.heard_names),
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            has_all_counters: detail == ReportDetail::Full,
+            reachable_count: is_heartbeat.then_some(self.reachable_count),
+            reachable_filter: is_heartbeat.then_some(self.reachable_filter),
             loads,
-            tallies,
-            claims: claims.collect(),
+            endpoint_stats,
+            waiting: reported.collect(),
             ..Report::default()
         };
-        if is_beat {
-            report.said = self.tell_of_endpoints(now);
+        if is_heartbeat {
+            report.endpoint_notices = self.signals_for_cell(now);
         }
         report
     }
 
-    /// Sets the part of the fleet that is heard, this instance included. Of each endpoint no larger part is
-    /// used, since those that are not heard use the rest.
-    pub fn set_share(&mut self, share: f64) {
-        self.share = share.clamp(0.0, 1.0);
+    /// Sets the fraction of the fleet that is reachable, including this instance. At most that
+    /// fraction of an endpoint's slots is used, since unreachable instances use the rest.
+    pub fn set_visible_share(&mut self, share: f64) {
+        self.visible_share = share.clamp(0.0, 1.0);
     }
 
-    /// Brings in a request that waits for a place.
-    pub fn arrive(&mut self, want: Want) -> Ticket {
-        self.next += 1;
-        self.waiting.insert(self.next, want);
-        self.next
+    /// Adds a request to the queue.
+    pub fn enqueue(&mut self, request: QueuedRequest) -> Ticket {
+        self.next_ticket += 1;
+        self.waiting.insert(self.next_ticket, request);
+        self.next_ticket
     }
 
-    /// Lets what waits for a service wait for another one.
-    pub fn move_waiting(&mut self, from: &ServiceId, to: &ServiceId) {
-        let waiting = self.waiting.values_mut().filter(|want| want.service == *from);
-        waiting.for_each(|want| want.service = to.clone());
+    /// Moves requests waiting for service `from` to service `to`.
+    pub fn change_service(&mut self, from: &ServiceId, to: &ServiceId) {
+        let waiting = self.waiting.values_mut().filter(|request| request.service == *from);
+        waiting.for_each(|request| request.service = to.clone());
     }
 
-    /// Whether this cell has an endpoint of a service that takes requests.
+    /// Whether the cell has an endpoint of `service` that accepts requests.
     pub fn serves(&self, service: &ServiceId) -> bool {
-        let is_open = |(key, s): (&EndpointKey, &Site)| {
-            s.endpoint.service == *service && !self.is_leaving(*key, s)
+        let is_open = |(key, s): (&EndpointKey, &EndpointState)| {
+            s.endpoint.service == *service && !self.is_draining(*key, s)
         };
-        self.sites.iter().any(is_open)
+        self.endpoints.iter().any(is_open)
     }
 
-    /// Takes a request out of the queue; `false` means that it has been placed.
-    pub fn withdraw(&mut self, ticket: Ticket) -> bool {
+    /// Removes a request from the queue. Returns `false` if it was already placed.
+    pub fn dequeue(&mut self, ticket: Ticket) -> bool {
         self.waiting.remove(&ticket).is_some()
     }
 
-    /// Whether a request that waits here is not to get a place in time.
+    /// Whether a waiting request should be shed because it is unlikely to be placed in time.
     pub fn should_shed(&mut self, now: Instant, ticket: Ticket) -> bool {
-        let Some(want) = self.waiting.get(&ticket) else { return false };
-        let (service, rank) = (want.service.clone(), want.rank);
-        let alike = self.waiting.values().filter(|w| w.rank == rank && w.service == service);
-        let others = alike.count() - 1;
+        let Some(request) = self.waiting.get(&ticket) else { return false };
+        let (service, rank) = (request.service.clone(), request.rank);
+        let same_class = self.waiting.values().filter(|w| w.rank == rank && w.service == service);
+        let others = same_class.count() - 1;
         self.shedding.should_shed(now, &service, rank, others)
     }
 
-    /// Notes that a request found no place; tells when its caller should come back.
+    /// Records that a request was refused and returns when its caller should retry.
     pub fn refuse(
         &mut self,
         now: Instant,
         service: &ServiceId,
         rank: u16,
-        patience: Patience,
+        policy: RetryPolicy,
     ) -> RetryAfter {
-        let refused = self.shedding.refused(now, service, rank, patience);
-        match self.opens_in(now, service) {
-            Some(opens_in) => refused.not_before(opens_in, patience),
-            None => refused,
+        let retry = self.shedding.record_refused(now, service, rank, policy);
+        match self.available_in(now, service) {
+            Some(available_in) => retry.throttled(available_in, policy),
+            None => retry,
         }
     }
 
-    /// Requests that wait here.
-    pub fn waiting(&self) -> usize {
+    /// Number of requests waiting at this instance.
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Notes the time that an endpoint took to the first event of a request, before whose prompt it
-    /// had so many tokens to read.
-    pub fn began(
+    /// Records the time to the first event of a request with `prompt_tokens` tokens, sent while
+    /// `backlog` prompt tokens were queued at the endpoint.
+    pub fn record_first_event(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
-        prompt: u32,
+        prompt_tokens: u32,
         backlog: u32,
-        first: Duration,
+        time_to_first_event: Duration,
     ) {
-        if let Some(site) = self.sites.get_mut(&endpoint) {
-            site.unread = site.unread.saturating_sub(prompt);
-            site.pace.learn(prompt.saturating_add(backlog), first);
-            (site.touched, site.answered) = (Some(now), Some(now));
+        if let Some(state) = self.endpoints.get_mut(&endpoint) {
+            state.pending_prompt_tokens = state.pending_prompt_tokens.saturating_sub(prompt_tokens);
+            state.pace.record(prompt_tokens.saturating_add(backlog), time_to_first_event);
+            (state.last_used, state.last_answer) = (Some(now), Some(now));
         }
     }
 
-    /// Notes that a request sent at `since` has had no answer for longer than expected. That speaks against the
-    /// endpoint if it has answered nobody here meanwhile; else it may be the request.
-    pub fn suspect(&mut self, now: Instant, endpoint: EndpointKey, since: Instant) {
-        let answered = self.sites.get(&endpoint).and_then(|site| site.answered);
-        if answered.is_none_or(|at| at <= since) {
-            self.judge(now, endpoint, Outcome::Bad);
+    /// Records that a request sent at `since` is overdue. It counts as a failure of the endpoint
+    /// only if no other request has been answered there since; otherwise the request itself may be
+    /// the cause.
+    pub fn record_slow_response(&mut self, now: Instant, endpoint: EndpointKey, sent_at: Instant) {
+        let last_answer = self.endpoints.get(&endpoint).and_then(|state| state.last_answer);
+        if last_answer.is_none_or(|at| at <= sent_at) {
+            self.record_outcome(now, endpoint, Outcome::Bad);
         }
     }
 
-    /// Ends a run; `unread` are the tokens of its prompt if there was no first event.
-    pub fn finish(&mut self, now: Instant, endpoint: EndpointKey, unread: u32, outcome: Outcome) {
-        let Some(site) = self.sites.get_mut(&endpoint) else { return };
-        site.running = site.running.saturating_sub(1);
-        site.unread = site.unread.saturating_sub(unread);
-        self.judge(now, endpoint, outcome);
+    /// Records the end of a request. `pending_prompt_tokens` is its prompt length if no first event
+    /// arrived, else 0.
+    pub fn finish(
+        &mut self,
+        now: Instant,
+        endpoint: EndpointKey,
+        pending_prompt_tokens: u32,
+        outcome: Outcome,
+    ) {
+        let Some(state) = self.endpoints.get_mut(&endpoint) else { return };
+        state.running = state.running.saturating_sub(1);
+        state.pending_prompt_tokens =
+            state.pending_prompt_tokens.saturating_sub(pending_prompt_tokens);
+        self.record_outcome(now, endpoint, outcome);
     }
 
-    /// Notes what a run that goes on says of its endpoint.
-    pub fn judge(&mut self, now: Instant, endpoint: EndpointKey, outcome: Outcome) {
-        let Some(site) = self.sites.get_mut(&endpoint) else { return };
-        let (good, bad) = match outcome {
+    /// Records an outcome for the endpoint without ending the request.
+    pub fn record_outcome(&mut self, now: Instant, endpoint: EndpointKey, outcome: Outcome) {
+        let Some(state) = self.endpoints.get_mut(&endpoint) else { return };
+        let (successes, failures) = match outcome {
             Outcome::Good => (1, 0),
             Outcome::Bad => (0, 1),
             Outcome::Neutral | Outcome::Absent => (0, 0),
         };
-        if outcome == Outcome::Absent && !site.health.is_aside(now) {
-            let pause = site.health.set_aside(now);
-            self.news.push(SetAside { endpoint: site.endpoint.id.clone(), pause });
+        if outcome == Outcome::Absent && !state.health.is_ejected(now) {
+            let duration = state.health.eject(now);
+            self.ejections.push(Ejection { endpoint: state.endpoint.id.clone(), duration });
             return;
         }
-        site.touched = Some(now);
+        state.last_used = Some(now);
         if outcome == Outcome::Good {
-            site.answered = Some(now);
+            state.last_answer = Some(now);
         }
-        if bad > 0 {
-            self.last_bad = Some(now);
+        if failures > 0 {
+            self.last_failure = Some(now);
         }
-        site.good += u64::from(good);
-        site.bad += u64::from(bad);
-        site.health.note(now, good, bad);
+        state.successes += u64::from(successes);
+        state.failures += u64::from(failures);
+        state.health.record(now, successes, failures);
     }
 
-    /// The paces of all endpoints that are known, to note for later lives.
+    /// Latency estimates of all endpoints, to be persisted for later incarnations.
     pub fn known_paces(&self, now: Instant) -> Vec<(EndpointKey, u64)> {
         let mut paces: Vec<_> = self.paces(now).into_iter().map(|(e, ns)| (e, ns as u64)).collect();
         paces.sort();
         paces
     }
 
-    /// Starts from a pace that an earlier life noted, unless there is a measurement.
+    /// Restores a persisted latency estimate unless there are measurements already.
     pub fn restore_pace(&mut self, endpoint: EndpointKey, ns_per_unit: u64) {
-        let site = self.sites.get_mut(&endpoint).filter(|s| s.pace.as_parts().1 == 0);
-        if let Some(site) = site {
-            site.pace = pace::Pace::reported(ns_per_unit, NOTED_SAMPLES);
+        let state = self.endpoints.get_mut(&endpoint).filter(|s| s.pace.as_parts().1 == 0);
+        if let Some(state) = state {
+            state.pace = pace::LatencyEstimate::from_report(ns_per_unit, RESTORED_SAMPLES);
         }
     }
 
-    /// What was newly believed of endpoints since the last call.
-    pub fn take_news(&mut self) -> Vec<SetAside> {
-        std::mem::take(&mut self.news)
+    /// Returns the ejections since the last call.
+    pub fn take_ejections(&mut self) -> Vec<Ejection> {
+        std::mem::take(&mut self.ejections)
     }
 
-    /// Requests at an endpoint, of all instances that are heard.
+    /// Requests running at an endpoint, from all reachable instances.
     pub fn load(&self, now: Instant, endpoint: EndpointKey) -> u32 {
-        let mine = self.sites.get(&endpoint).map_or(0, |s| s.running);
+        let local = self.endpoints.get(&endpoint).map_or(0, |s| s.running);
         let loads = self.live_reports(now).flat_map(|r| &r.loads);
-        mine + loads.filter(|l| l.endpoint == endpoint).map(|l| l.running).sum::<u32>()
+        local + loads.filter(|l| l.endpoint == endpoint).map(|l| l.running).sum::<u32>()
     }
 
     fn paces(&self, now: Instant) -> HashMap<EndpointKey, f64> {
-        let mut all: HashMap<EndpointKey, Vec<pace::Pace>> = HashMap::new();
+        let mut all: HashMap<EndpointKey, Vec<pace::LatencyEstimate>> = HashMap::new();
         for (endpoint, pace) in self.live_peers(now).flat_map(|p| &p.paces) {
             all.entry(*endpoint).or_default().push(*pace);
         }
-        let of = |(key, s): (&EndpointKey, &Site)| {
+        let of = |(key, s): (&EndpointKey, &EndpointState)| {
             let others = all.get(key).into_iter().flatten().copied();
-            Some((*key, pace::Pace::combine(others.chain([s.pace]))?))
+            Some((*key, pace::LatencyEstimate::weighted_mean(others.chain([s.pace]))?))
         };
-        self.sites.iter().filter_map(of).collect()
+        self.endpoints.iter().filter_map(of).collect()
     }
 }
--- a/oxbowbend-core/src/cell/peer.rs
+++ b/oxbowbend-core/src/cell/peer.rs
@@ -1,29 +1,29 @@
-//! What an instance of the fleet has told, as far as later reports go on from it.
+//! State kept for each other instance.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-use super::fleet::Beyond;
+use super::fleet::RemoteInstances;
 use super::pace;
 use super::report::Report;
 use crate::ids::{AccountId, EndpointKey};
 use crate::rollout::evidence::EvidenceKey;
 
-/// Counters that an instance has told so far, which only grow in its life. Frequent reports leave them out.
+/// Last reported values of monotonic counters. Frequent reports omit them.
 #[derive(Clone, Debug)]
-pub(super) struct Counted<K> {
-    /// Its own.
+pub(super) struct CounterBaselines<K> {
+    /// The instance's own counters.
     pub(super) own: HashMap<K, u64>,
-    /// Those of its cell.
+    /// Totals of its cell.
     pub(super) cell: HashMap<K, u64>,
-    /// Those of all other cells, as it tells its own.
+    /// Totals of all other cells, as reported to its own cell.
     pub(super) fleet: HashMap<K, u64>,
 }
 
-impl<K> Default for Counted<K> {
-    fn default() -> Counted<K> {
-        Counted { own: HashMap::new(), cell: HashMap::new(), fleet: HashMap::new() }
+impl<K> Default for CounterBaselines<K> {
+    fn default() -> CounterBaselines<K> {
+        CounterBaselines { own: HashMap::new(), cell: HashMap::new(), fleet: HashMap::new() }
     }
 }
 
@@ -31,111 +31,129 @@
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) report: Report,
-    pub(super) heard: Instant,
-    /// When it was heard first in this life.
-    pub(super) since: Instant,
-    /// Good and bad answers told so far. Reports leave endpoints out that were not used lately.
-    pub(super) counted: HashMap<EndpointKey, (u64, u64)>,
-    /// Whether a full report was heard, which the counters go on from.
-    pub(super) is_counted: bool,
-    /// Units admitted, by account.
-    pub(super) spent: Counted<AccountId>,
-    /// Answers of versions that are rolled out.
-    pub(super) evidence: Counted<EvidenceKey>,
-    /// Whether a report with all of its own counters was heard, of those of its cell, of those of the others.
-    pub(super) knows_own: bool,
-    pub(super) knows_cell: bool,
-    pub(super) knows_fleet: bool,
-    /// When it last told of its cell as its representative, and its cell of all others, since it has been that.
-    pub(super) summed: Option<Instant>,
-    pub(super) summed_fleet: Option<Instant>,
-    /// When it last told of other cells.
-    pub(super) viewed: Option<Instant>,
-    /// Since when it has heard more of the cell than this instance.
-    pub(super) wider_since: Option<Instant>,
-    /// The paces told last.
-    pub(super) paces: HashMap<EndpointKey, pace::Pace>,
+    pub(super) last_heard: Instant,
+    /// Time of the first report of this incarnation.
+    pub(super) first_heard: Instant,
+    /// Last reported successes and failures by endpoint. Reports omit endpoints that were not used
+    /// recently.
+    pub(super) outcomes: HashMap<EndpointKey, (u64, u64)>,
+    /// Whether a report with all outcomes was received, which sets the baseline.
+    pub(super) has_outcome_baseline: bool,
+    /// Admitted units by client account.
+    pub(super) admitted_units: CounterBaselines<AccountId>,
+    /// Answers of versions being rolled out.
+    pub(super) evidence: CounterBaselines<EvidenceKey>,
+    /// Whether a report with all of its own counters, its cell's totals, or the other cells' totals
+    /// was received.
+    pub(super) has_own_baseline: bool,
+    pub(super) has_cell_baseline: bool,
+    pub(super) has_fleet_baseline: bool,
+    /// When it last reported the totals of its cell, or of the other cells to this cell, as a
+    /// representative.
+    pub(super) cell_totals_at: Option<Instant>,
+    pub(super) fleet_totals_at: Option<Instant>,
+    /// When it last reported a summary of other cells.
+    pub(super) fleet_summary_at: Option<Instant>,
+    /// Since when it has reached an instance of the cell that this instance does not.
+    pub(super) uncovered_since: Option<Instant>,
+    /// Latency estimates in its last reports.
+    pub(super) paces: HashMap<EndpointKey, pace::LatencyEstimate>,
 }
 
 impl Peer {
-    /// Goes on from its next full report with its own counters: others have told meanwhile what it admitted.
-    pub(super) fn recount(&mut self) {
-        self.spent.own.clear();
+    /// Discards the baseline of its own counters. The next complete report sets a new one, since
+    /// other instances have reported its counters meanwhile.
+    pub(super) fn reset_own_baseline(&mut self) {
+        self.admitted_units.own.clear();
         self.evidence.own.clear();
-        self.knows_own = false;
+        self.has_own_baseline = false;
     }
 
-    /// The same with those of its cell.
-    pub(super) fn recount_cell(&mut self) {
-        self.spent.cell.clear();
+    /// Discards the baseline of its cell's totals.
+    pub(super) fn reset_cell_baseline(&mut self) {
+        self.admitted_units.cell.clear();
         self.evidence.cell.clear();
-        self.knows_cell = false;
+        self.has_cell_baseline = false;
     }
 
-    /// The same with those of all other cells.
-    pub(super) fn recount_fleet(&mut self) {
-        self.spent.fleet.clear();
+    /// Discards the baseline of the other cells' totals.
+    pub(super) fn reset_fleet_baseline(&mut self) {
+        self.admitted_units.fleet.clear();
         self.evidence.fleet.clear();
-        self.knows_fleet = false;
+        self.has_fleet_baseline = false;
     }
 
     pub(super) fn new(now: Instant) -> Peer {
         Peer {
             report: Report::default(),
-            heard: now,
-            since: now,
-            counted: HashMap::new(),
-            is_counted: false,
-            spent: Counted::default(),
-            evidence: Counted::default(),
-            knows_own: false,
-            knows_cell: false,
-            knows_fleet: false,
-            summed: None,
-            summed_fleet: None,
-            viewed: None,
-            wider_since: None,
+            last_heard: now,
+            first_heard: now,
+            outcomes: HashMap::new(),
+            has_outcome_baseline: false,
+            admitted_units: CounterBaselines::default(),
+            evidence: CounterBaselines::default(),
+            has_own_baseline: false,
+            has_cell_baseline: false,
+            has_fleet_baseline: false,
+            cell_totals_at: None,
+            fleet_totals_at: None,
+            fleet_summary_at: None,
+            uncovered_since: None,
             paces: HashMap::new(),
         }
     }
 
-    /// What it told of other cells, if that is not too old.
-    pub(super) fn live_view(&self, now: Instant, ttl: Duration) -> Option<Beyond> {
-        let is_live = self.viewed.is_some_and(|at| now.saturating_duration_since(at) < ttl);
-        self.report.fleet.as_ref().filter(|_| is_live).map(|view| view.beyond)
+    /// Instances of other cells in its last summary, unless that is older than `ttl`.
+    pub(super) fn live_remote_instances(
+        &self,
+        now: Instant,
+        ttl: Duration,
+    ) -> Option<RemoteInstances> {
+        let is_live =
+            self.fleet_summary_at.is_some_and(|at| now.saturating_duration_since(at) < ttl);
+        self.report
+            .fleet_summary
+            .as_ref()
+            .filter(|_| is_live)
+            .map(|summary| summary.remote_instances)
     }
 
-    /// Takes in a report. What it leaves out stays as it was told before.
+    /// Stores a report. Optional fields that it omits keep their previous values.
     pub(super) fn take(&mut self, now: Instant, report: Report) {
-        let before = std::mem::take(&mut self.report);
-        self.viewed = if report.fleet.is_some() { Some(now) } else { self.viewed };
-        let peers = if report.peers.is_empty() { before.peers } else { report.peers.clone() };
+        let previous = std::mem::take(&mut self.report);
+        self.fleet_summary_at =
+            if report.fleet_summary.is_some() { Some(now) } else { self.fleet_summary_at };
+        let representative_addresses = if report.representative_addresses.is_empty() {
+            previous.representative_addresses
+        } else {
+            report.representative_addresses.clone()
+        };
         self.report = Report {
-            reach: report.reach.or(before.reach),
-            heard_names: report.heard_names.or(before.heard_names),
-            fleet: report.fleet.clone().or(before.fleet),
-            peers,
+            reachable_count: report.reachable_count.or(previous.reachable_count),
+            reachable_filter: report.reachable_filter.or(previous.reachable_filter),
+            fleet_summary: report.fleet_summary.clone().or(previous.fleet_summary),
+            representative_addresses,
             ..report
         };
-        self.heard = now;
+        self.last_heard = now;
     }
 
     pub(super) fn is_live(&self, now: Instant, ttl: Duration) -> bool {
-        now.saturating_duration_since(self.heard) < ttl
+        now.saturating_duration_since(self.last_heard) < ttl
     }
 }
 
-/// Takes in counters and returns by how much they have grown. Of one not seen before, all is growth
-/// unless it is the first report.
-pub(super) fn count_on<K: Clone + Eq + Hash>(
-    counted: &mut HashMap<K, u64>,
-    told: &[(K, u64)],
+/// Updates counters and returns by how much they have grown. A counter without a previous value
+/// starts at 0, or at its reported value in the first report.
+pub(super) fn advance_counters<K: Clone + Eq + Hash>(
+    counters: &mut HashMap<K, u64>,
+    reported: &[(K, u64)],
     is_first: bool,
 ) -> Vec<(K, u64)> {
-    let growth = told.iter().map(|(key, units)| {
-        let old = counted.insert(key.clone(), *units);
-        let old = old.unwrap_or(if is_first { *units } else { 0 });
-        (key.clone(), units.saturating_sub(old))
+    let deltas = reported.iter().map(|(key, units)| {
+        let previous = counters.insert(key.clone(), *units);
+        let previous = previous.unwrap_or(if is_first { *units } else { 0 });
+        (key.clone(), units.saturating_sub(previous))
     });
-    growth.collect()
+    deltas.collect()
 }
--- a/oxbowbend-core/src/ledger.rs
+++ b/oxbowbend-core/src/ledger.rs
@@ -1,13 +1,12 @@
-//! The record that makes a request with an idempotency key run at most once.
+//! The ledger, by which a request with an idempotency key runs at most once.
 //!
-//! The ledger lives in the platform's key-value service, split into shards. A shard is one value,
-//! changed only by compare-and-swap, so that every step has one place in one order however many
-//! instances write. Each step names the run that takes it: taking the same step again after a lost
-//! reply gives the same answer, and a paused holder that wakes after a takeover is told
-//! [`Verdict::Lost`].
+//! The ledger is stored in the platform's key-value service, split into shards. A shard is one
+//! value that changes only by compare-and-swap, which gives all steps on it a total order. Each
+//! step carries the id of its run: repeating a step after a lost reply has the same result, and a
+//! holder that was paused during a takeover gets [`StepResult::NotOwner`].
 //!
-//! Traded away: the whole shard is written at each step. Steps that arrive together share one
-//! write; `docs/CAPACITY.md` has the size at which shards must be split further.
+//! Each step writes its whole shard, but concurrent steps share one write. `docs/CAPACITY.md` lists
+//! the size at which the number of shards must be raised.
 
 use std::collections::BTreeMap;
 
@@ -21,123 +20,134 @@
 /// Seconds since the Unix epoch.
 pub type UnixSeconds = u64;
 
-/// Where a request stands.
+/// Stage of a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Stage {
-    /// An entry instance holds it; nothing has been sent to any endpoint.
+    /// Held by an ingress instance and not sent to any endpoint.
     Held {
-        /// The instance.
+        /// The ingress instance.
         holder: ids::InstanceId,
     },
-    /// It may have been sent to an endpoint.
+    /// Possibly sent to an endpoint.
     Dispatched {
         /// The endpoint.
         endpoint: ids::EndpointId,
     },
-    /// Its whole answer has been read from the endpoint.
+    /// The whole response was received from the endpoint.
     Done {
         /// The endpoint.
         endpoint: ids::EndpointId,
     },
 }
 
-/// One request in the ledger.
+/// The ledger entry of one request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Entry {
-    /// The run that took the last step; it doubles as the run id at the endpoint.
+    /// The run that made the last step, which is also the run id at the endpoint.
     pub run: ids::RequestId,
-    /// Where the request stands.
+    /// Stage of the request.
     pub stage: Stage,
-    /// Digest of the request's body.
-    pub body: u64,
-    /// When the entry may be forgotten.
+    /// Digest of the request body.
+    #[serde(rename = "body")]
+    pub body_digest: u64,
+    /// When the entry expires.
     pub expires: UnixSeconds,
 }
 
-/// A step to take.
+/// A change of one entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Step {
-    /// Entry to change.
+    /// Key of the entry.
     pub key: LedgerKey,
-    /// Run that takes the step.
+    /// Run that makes the step.
     pub run: ids::RequestId,
-    /// What to do.
+    /// The change to make.
     pub action: StepAction,
 }
 
-/// What a step does.
+/// Change made by a step.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum StepAction {
-    /// Begin to hold the request.
+    /// Hold a new request, or take over a held one.
     Hold {
-        /// Instance that holds it.
+        /// Instance that holds the request.
         holder: ids::InstanceId,
-        /// Digest of the body.
-        body: u64,
-        /// Whether to take the request over from another holder.
+        /// Digest of the request body.
+        #[serde(rename = "body")]
+        body_digest: u64,
+        /// Whether to take over a request held under another run.
         takeover: bool,
-        /// Seconds for which the entry is kept.
-        window: u64,
+        /// Seconds until the entry expires.
+        #[serde(rename = "window")]
+        retention_s: u64,
     },
-    /// Go from held to dispatched. Nothing may be sent before this is confirmed.
+    /// Change from held to dispatched. Must succeed before anything is sent to the endpoint.
     Dispatch {
-        /// Endpoint that is about to get the request.
+        /// Endpoint of the dispatch.
         endpoint: ids::EndpointId,
     },
-    /// Go back from dispatched to held; only for a holder that knows that no byte was sent.
+    /// Change from dispatched to held. Allowed only if nothing was sent to the endpoint.
     Undo {
-        /// Instance that goes on holding it.
+        /// Instance that holds the request.
         holder: ids::InstanceId,
     },
-    /// Go from dispatched to done.
+    /// Change from dispatched to done.
     Finish,
-    /// Give a held request up, so that a later one with this key may run.
+    /// Remove the entry of a held request, so that a later request with this key may run.
     Release,
 }
 
-/// Answer to a step.
+/// Result of a step.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Verdict {
-    /// The step is taken.
-    Taken,
+pub enum StepResult {
+    /// The step was applied.
+    #[serde(rename = "Taken")]
+    Applied,
     /// Another run holds the request.
     HeldBy {
-        /// Its holder.
+        /// Instance that holds it.
         holder: ids::InstanceId,
     },
     /// The request was dispatched under another run.
     Dispatched {
-        /// Endpoint that has it.
+        /// Endpoint that it was dispatched to.
         endpoint: ids::EndpointId,
         /// Run to resume there.
         run: ids::RequestId,
     },
-    /// The request was answered under another run.
+    /// The request was completed under another run.
     Done {
         /// Endpoint that ran it.
         endpoint: ids::EndpointId,
-        /// Run to fetch there.
+        /// Run whose response can be fetched there.
         run: ids::RequestId,
     },
-    /// The key was used for a request with another body.
-    OtherBody,
-    /// The run no longer has the entry: another one took it over, or it has expired.
-    Lost,
+    /// The key was used before for a request with another body.
+    #[serde(rename = "OtherBody")]
+    BodyMismatch,
+    /// The entry does not belong to the run: it was taken over or has expired.
+    #[serde(rename = "Lost")]
+    NotOwner,
 }
 
-/// One shard's value.
+/// The stored value of one shard.
 ///
 /// ```
-/// use oxbowbend_core::ledger::{Shard, Step, StepAction, Verdict};
+/// use oxbowbend_core::ledger::{Shard, Step, StepAction, StepResult};
 /// let mut shard = Shard::default();
 /// let hold = |run: &str| Step {
 ///     key: "k".into(),
 ///     run: run.into(),
-///     action: StepAction::Hold { holder: "i".into(), body: 1, takeover: false, window: 60 },
+///     action: StepAction::Hold {
+///         holder: "i".into(),
+///         body_digest: 1,
+///         takeover: false,
+///         retention_s: 60,
+///     },
 /// };
-/// assert_eq!(shard.apply(0, &hold("r1")), Verdict::Taken);
-/// assert_eq!(shard.apply(0, &hold("r1")), Verdict::Taken);
-/// assert_eq!(shard.apply(0, &hold("r2")), Verdict::HeldBy { holder: "i".into() });
+/// assert_eq!(shard.apply(0, &hold("r1")), StepResult::Applied);
+/// assert_eq!(shard.apply(0, &hold("r1")), StepResult::Applied);
+/// assert_eq!(shard.apply(0, &hold("r2")), StepResult::HeldBy { holder: "i".into() });
 /// ```
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Shard {
@@ -146,15 +156,15 @@
 }
 
 impl Shard {
-    /// Takes a step, or says why it cannot be taken. A refused step changes nothing.
-    pub fn apply(&mut self, now: UnixSeconds, step: &Step) -> Verdict {
+    /// Applies a step. A step that is rejected changes nothing.
+    pub fn apply(&mut self, now: UnixSeconds, step: &Step) -> StepResult {
         match &step.action {
-            StepAction::Hold { holder, body, takeover, window } => {
+            StepAction::Hold { holder, body_digest, takeover, retention_s } => {
                 let entry = Entry {
                     run: step.run.clone(),
                     stage: Stage::Held { holder: holder.clone() },
-                    body: *body,
-                    expires: now + window,
+                    body_digest: *body_digest,
+                    expires: now + retention_s,
                 };
                 self.hold(now, &step.key, entry, *takeover)
             }
@@ -165,90 +175,90 @@
         }
     }
 
-    /// Drops entries whose time is over.
+    /// Removes expired entries.
     pub fn expire(&mut self, now: UnixSeconds) {
         self.entries.retain(|_, e| e.expires > now);
     }
 
-    fn hold(&mut self, now: UnixSeconds, key: &str, new: Entry, takeover: bool) -> Verdict {
+    fn hold(&mut self, now: UnixSeconds, key: &str, new: Entry, takeover: bool) -> StepResult {
         let Some(old) = self.entries.get(key).filter(|e| e.expires > now) else {
             self.entries.insert(key.to_owned(), new);
-            return Verdict::Taken;
+            return StepResult::Applied;
         };
-        if old.body != new.body {
-            return Verdict::OtherBody;
+        if old.body_digest != new.body_digest {
+            return StepResult::BodyMismatch;
         }
         match &old.stage {
-            Stage::Held { .. } if old.run == new.run => Verdict::Taken,
+            Stage::Held { .. } if old.run == new.run => StepResult::Applied,
             Stage::Held { .. } if takeover => {
                 self.entries.insert(key.to_owned(), new);
-                Verdict::Taken
+                StepResult::Applied
             }
-            Stage::Held { holder } => Verdict::HeldBy { holder: holder.clone() },
+            Stage::Held { holder } => StepResult::HeldBy { holder: holder.clone() },
             Stage::Dispatched { endpoint } => {
-                Verdict::Dispatched { endpoint: endpoint.clone(), run: old.run.clone() }
+                StepResult::Dispatched { endpoint: endpoint.clone(), run: old.run.clone() }
             }
             Stage::Done { endpoint } => {
-                Verdict::Done { endpoint: endpoint.clone(), run: old.run.clone() }
+                StepResult::Done { endpoint: endpoint.clone(), run: old.run.clone() }
             }
         }
     }
 
-    fn mine(&mut self, step: &Step) -> Option<&mut Entry> {
+    fn owned_entry(&mut self, step: &Step) -> Option<&mut Entry> {
         self.entries.get_mut(&step.key).filter(|e| e.run == step.run)
     }
 
-    fn dispatch(&mut self, step: &Step, to: &ids::EndpointId) -> Verdict {
-        let Some(entry) = self.mine(step) else { return Verdict::Lost };
+    fn dispatch(&mut self, step: &Step, to: &ids::EndpointId) -> StepResult {
+        let Some(entry) = self.owned_entry(step) else { return StepResult::NotOwner };
         match &entry.stage {
             Stage::Held { .. } => {
                 entry.stage = Stage::Dispatched { endpoint: to.clone() };
-                Verdict::Taken
+                StepResult::Applied
             }
-            Stage::Dispatched { endpoint } if endpoint == to => Verdict::Taken,
-            _ => Verdict::Lost,
+            Stage::Dispatched { endpoint } if endpoint == to => StepResult::Applied,
+            _ => StepResult::NotOwner,
         }
     }
 
-    fn undo(&mut self, step: &Step, holder: &ids::InstanceId) -> Verdict {
-        let Some(entry) = self.mine(step) else { return Verdict::Lost };
+    fn undo(&mut self, step: &Step, holder: &ids::InstanceId) -> StepResult {
+        let Some(entry) = self.owned_entry(step) else { return StepResult::NotOwner };
         match &entry.stage {
-            Stage::Done { .. } => Verdict::Lost,
+            Stage::Done { .. } => StepResult::NotOwner,
             _ => {
                 entry.stage = Stage::Held { holder: holder.clone() };
-                Verdict::Taken
+                StepResult::Applied
             }
         }
     }
 
-    fn finish(&mut self, step: &Step) -> Verdict {
-        let Some(entry) = self.mine(step) else { return Verdict::Lost };
+    fn finish(&mut self, step: &Step) -> StepResult {
+        let Some(entry) = self.owned_entry(step) else { return StepResult::NotOwner };
         match &entry.stage {
-            Stage::Held { .. } => Verdict::Lost,
+            Stage::Held { .. } => StepResult::NotOwner,
             Stage::Dispatched { endpoint } => {
                 entry.stage = Stage::Done { endpoint: endpoint.clone() };
-                Verdict::Taken
+                StepResult::Applied
             }
-            Stage::Done { .. } => Verdict::Taken,
+            Stage::Done { .. } => StepResult::Applied,
         }
     }
 
-    /// A released entry is removed; releasing one that is gone already is no error, since the
-    /// reply to the first release may have been lost.
-    fn release(&mut self, step: &Step) -> Verdict {
+    /// Removes a held entry. Succeeds if there is none, since the reply to an earlier release may
+    /// have been lost.
+    fn release(&mut self, step: &Step) -> StepResult {
         match self.entries.get(&step.key) {
-            None => Verdict::Taken,
-            Some(e) if e.run != step.run => Verdict::Lost,
-            Some(e) if !matches!(e.stage, Stage::Held { .. }) => Verdict::Lost,
+            None => StepResult::Applied,
+            Some(e) if e.run != step.run => StepResult::NotOwner,
+            Some(e) if !matches!(e.stage, Stage::Held { .. }) => StepResult::NotOwner,
             Some(_) => {
                 self.entries.remove(&step.key);
-                Verdict::Taken
+                StepResult::Applied
             }
         }
     }
 }
 
-/// The shard that an entry is in.
+/// Returns the shard of an entry.
 ///
 /// ```
 /// assert!(oxbowbend_core::ledger::shard_of("key", 64) < 64);
@@ -257,7 +267,7 @@
     (xxh3::xxh3_64(key.as_bytes()) % u64::from(shards.max(1))) as u32
 }
 
-/// Digest of an account and an idempotency key.
+/// Returns the ledger key of a client account and idempotency key.
 ///
 /// ```
 /// use oxbowbend_core::ledger::ledger_key;
--- a/oxbowbend-core/src/lib.rs
+++ b/oxbowbend-core/src/lib.rs
@@ -7,7 +7,7 @@
 
 # Usage
 
-[`node::Node`] combines the components that one instance runs: the [`entry`] that holds callers'
+[`node::Node`] combines the components that one instance runs: the [`ingress`] that holds callers'
 requests, the [`scheduler`] of each pool assigned to this instance, and the [`permits`] that this
 instance owns. The daemon passes [`node::Event`]s to it and carries out the [`node::Action`]s that
 it returns.
@@ -30,9 +30,9 @@
 pub mod budget;
 pub mod cache;
 pub mod cell;
-pub mod entry;
 pub mod fingerprint;
 pub mod ids;
+pub mod ingress;
 pub mod ledger;
 pub mod membership;
 pub mod message;
--- a/oxbowbend-core/src/node/claims.rs
+++ b/oxbowbend-core/src/node/claims.rs
@@ -1,16 +1,16 @@
-//! Claims: how permits pass from one owner to another.
+//! Claims, by which permits change their owner.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-use super::{Action, Node, RECLAIM};
+use super::{Action, Node, CLAIM_RETRY_INTERVAL};
 use crate::ids;
 use crate::membership;
 use crate::message;
 
 impl Node {
-    pub(super) fn claim(&mut self, now: Instant) {
-        if self.quarantined || self.draining || !self.view.members.contains(&self.me) {
+    pub(super) fn start_claim(&mut self, now: Instant) {
+        if self.fenced || self.draining || !self.view.members.contains(&self.me) {
             return;
         }
         let others: BTreeSet<ids::InstanceId> = self.view.members.others().cloned().collect();
@@ -23,11 +23,11 @@
             let (list, permits) = (self.view.members.list().clone(), permits.clone());
             self.actions.push(Action::send(to, message::Message::Claim { nonce, list, permits }));
         }
-        self.next_claim = Some(now + RECLAIM);
-        self.settle_claim(now);
+        self.next_claim = Some(now + CLAIM_RETRY_INTERVAL);
+        self.complete_claim(now);
     }
 
-    pub(super) fn claimed(
+    pub(super) fn handle_claim(
         &mut self,
         now: Instant,
         from: &ids::InstanceId,
@@ -36,21 +36,21 @@
         permits: &[message::Permit],
     ) {
         if self.view.members.adopt(list) {
-            self.members_changed(now);
+            self.handle_member_change(now);
         }
         let desired = &self.desired;
         let (held, ceded) = self.permits.answer_claim(permits, |p| desired.contains(p));
-        let used = self.entry.users_of(permits);
+        let used = self.ingress.uses_of(permits);
         let reply = message::Message::ClaimReply { nonce, held, ceded, used };
         self.actions.push(Action::send(from, reply));
     }
 
-    pub(super) fn settle_claim(&mut self, now: Instant) {
-        let claimed: Vec<message::Permit> = self.permits.claimed().cloned().collect();
-        let own = self.entry.users_of(&claimed);
-        self.permits.note_own_uses(&self.me, &own);
-        let baseline = &self.baseline;
-        let fresh = |p: &message::Permit| baseline.get(&p.key).is_none_or(|n| p.index >= *n);
-        self.permits.settle(now, fresh);
+    pub(super) fn complete_claim(&mut self, now: Instant) {
+        let claimed: Vec<message::Permit> = self.permits.claimed_permits().cloned().collect();
+        let own = self.ingress.uses_of(&claimed);
+        self.permits.add_own_uses(&self.me, &own);
+        let preexisting = &self.preexisting;
+        let is_new = |p: &message::Permit| preexisting.get(&p.key).is_none_or(|n| p.index >= *n);
+        self.permits.complete_claim(now, is_new);
     }
 }
