--- a/oxbowbend-gateway/src/relay/mod.rs
+++ b/oxbowbend-gateway/src/relay/mod.rs
@@ -1,14 +1,14 @@
-//! The way of a request: admission, a place, the endpoint, the answer.
+//! Request handling: admission, queueing for an endpoint, forwarding, retries and the response.
 //!
-//! A request belongs to the future that serves it. When its caller leaves, that future is dropped,
-//! and with it go its place in the queue, its connection to the endpoint and its count as running;
-//! no cancellation has to be passed on.
+//! Each request is owned by the future that serves it. If the client disconnects, dropping that
+//! future removes the request from the queue, closes its connection to the endpoint and updates the
+//! running count, so cancellation needs no separate signal.
 
 mod admit;
 mod events;
-mod job;
 mod quarantine;
 mod refusal;
+mod request;
 mod run;
 mod stream;
 
@@ -21,7 +21,7 @@
 use http_body_util::{Either, StreamBody};
 use hyper::body::{Frame, Incoming};
 use oxbowbend_clock as clock;
-use oxbowbend_core::cell::{Assignment, Outcome, Patience, Want};
+use oxbowbend_core::cell::{Assignment, Outcome, QueuedRequest, RetryPolicy};
 use oxbowbend_core::ids::EndpointId;
 use oxbowbend_core::shutdown::Shutdown;
 use oxbowbend_http::h1;
@@ -29,25 +29,25 @@
 use crate::observe;
 use crate::seam::Wire;
 use crate::shared::Shared;
-use job::Job;
 use refusal::Refusal;
-use run::{Failure, Sent};
+use request::AdmittedRequest;
+use run::{AttemptError, AttemptResponse};
 
-/// Sends of one request that ended with the word, or the certainty, that it did not run. Each is a
-/// repeat at the service, so this bounds what one request may use of the allowance.
-const MAX_UNRUN: u32 = 3;
-/// Part of the objective for which a request waits for a place.
-const HOLD_SHARE: f64 = 0.8;
-/// Least time for which a request that was sent before waits for another place.
-const HOLD_AGAIN: Duration = Duration::from_millis(200);
+/// Maximum number of attempts at one request that end without executing it. Retries of those that
+/// reached an endpoint use up the retry budget, which is shared with other requests.
+const MAX_UNEXECUTED_ATTEMPTS: u32 = 3;
+/// Fraction of the latency objective that a request may spend in the queue.
+const QUEUE_TIMEOUT_FRACTION: f64 = 0.8;
+/// Minimum queue timeout of a request that is being retried.
+const MIN_RETRY_QUEUE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Part of the time that a caller has left up to which it waits when told to come back.
-const HONOURED_SHARE: f64 = 0.33;
+/// Maximum `Retry-After` delay as a fraction of the time left until the request's deadline.
+const MAX_RETRY_DELAY_FRACTION: f64 = 0.33;
 
-/// Body of an answer: whole, or a stream as it comes.
+/// Response body, either buffered or streamed.
 pub(crate) type Body<S> = Either<h1::Whole, StreamBody<S>>;
 
-/// Serves callers' requests; clones share everything.
+/// Serves client requests. Clones share their state.
 #[derive(Clone)]
 pub(crate) struct Relay<W> {
     wire: W,
@@ -55,14 +55,14 @@
     pool: h1::Pool,
 }
 
-/// What has been tried for a request.
+/// Results of the previous attempts to send a request.
 #[derive(Default)]
-pub(crate) struct Tries {
-    avoid: Vec<EndpointId>,
-    unrun: u32,
-    maybe_run: u32,
-    /// The endpoint's own failure, if there was one: better than one of ours.
-    kept: Option<Response<Bytes>>,
+pub(crate) struct AttemptHistory {
+    excluded_endpoints: Vec<EndpointId>,
+    unexecuted: u32,
+    possibly_executed: u32,
+    /// A server error returned by an endpoint, preferred over an error of the gateway.
+    endpoint_error: Option<Response<Bytes>>,
 }
 
 impl<W: Wire> Relay<W> {
@@ -70,207 +70,253 @@
         Relay { wire, shared, pool }
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub(crate) async fn serve(
         self,
         req: Request<Incoming>,
-    ) -> Response<Body<impl Stream<Item = Result<Frame<Bytes>, stream::BrokenOff>>>> {
-        let arrived = clock::now();
-        let job = match self.admit(req, arrived).await {
-            Ok(job) => Arc::new(job),
+    ) -> Response<Body<impl Stream<Item = Result<Frame<Bytes>, stream::StreamInterrupted>>>> {
+        let arrived_at = clock::now();
+        let request = match self.admit(req, arrived_at).await {
+            Ok(request) => Arc::new(request),
             Err((id, refusal)) => {
-                refusal.log(&id, "-", arrived);
-                observe::answered("-", refusal.outcome(), clock::since(arrived));
-                return refusal.into_answer().map(Either::Left);
+                refusal.log(&id, "-", arrived_at);
+                observe::answered("-", refusal.outcome(), clock::since(arrived_at));
+                return refusal.into_response().map(Either::Left);
             }
         };
-        match self.clone().fulfil(&job).await {
-            Ok(Sent::Whole(answer)) => answer.map(|body| Either::Left(h1::Whole::new(body))),
-            Ok(Sent::Stream(head, streaming)) => {
-                let body = StreamBody::new(stream::frames(self, job, streaming));
+        match self.clone().send_with_retries(&request).await {
+            Ok(AttemptResponse::Complete(response)) => {
+                response.map(|body| Either::Left(h1::Whole::new(body)))
+            }
+            Ok(AttemptResponse::Streaming(head, stream)) => {
+                let body = StreamBody::new(stream::frames(self, request, stream));
                 Response::from_parts(head, Either::Right(body))
             }
             Err(refusal) => {
-                if refusal.is_not_run() {
-                    self.give_back(&job);
+                if refusal.is_unexecuted() {
+                    self.refund_quota(&request);
                 }
-                refusal.log(&job.ask.id, &job.route.name, arrived);
-                observe::answered(&job.route.name, refusal.outcome(), clock::since(arrived));
-                refusal.into_answer().map(Either::Left)
+                refusal.log(&request.metadata.id, &request.route.name, arrived_at);
+                observe::answered(&request.route.name, refusal.outcome(), clock::since(arrived_at));
+                refusal.into_response().map(Either::Left)
             }
         }
     }
 
-    /// Sends a request to endpoints until one has answered or no more may be tried.
-    async fn fulfil(self, job: &Arc<Job>) -> Result<Sent, Refusal> {
-        let mut tries = Tries::default();
+    /// Sends a request to endpoints until one responds or no further attempt is allowed.
+    async fn send_with_retries(
+        self,
+        request: &Arc<AdmittedRequest>,
+    ) -> Result<AttemptResponse, Refusal> {
+        let mut history = AttemptHistory::default();
         loop {
-            let place =
-                match self.place(job, &tries).await.and_then(|p| self.check_shutdown(job, p)) {
-                    Ok(place) => place,
-                    Err(refusal) => return tries.settle(refusal),
-                };
-            let endpoint = place.endpoint.id.clone();
-            match self.send(job, place, job.ask.after).await {
-                Ok(Sent::Whole(answer)) if self.is_worth_another(job, &answer, &mut tries) => {
-                    tries.kept = Some(answer);
+            let slot = match self
+                .get_slot(request, &history)
+                .await
+                .and_then(|slot| self.check_shutdown(request, slot))
+            {
+                Ok(slot) => slot,
+                Err(refusal) => return history.final_result(refusal),
+            };
+            let endpoint = slot.endpoint.id.clone();
+            match self.send_to_endpoint(request, slot, request.metadata.after).await {
+                Ok(AttemptResponse::Complete(response))
+                    if self.should_retry_response(request, &response, &mut history) =>
+                {
+                    history.endpoint_error = Some(response);
                 }
-                Ok(sent) => return Ok(sent),
-                Err(Failure::Quarantined(left)) => {
-                    let fingerprint = job.fingerprint;
-                    let refusal = Refusal::Quarantined { fingerprint, retry_after: left };
-                    return tries.settle(refusal);
+                Ok(response) => return Ok(response),
+                Err(AttemptError::Quarantined(remaining)) => {
+                    let fingerprint = request.fingerprint;
+                    let refusal = Refusal::Quarantined { fingerprint, retry_after: remaining };
+                    return history.final_result(refusal);
                 }
-                Err(failure) if failure.is_not_run() => {
-                    tries.unrun += 1;
-                    let may = tries.unrun < MAX_UNRUN
-                        && (!failure.has_arrived() || self.may_repeat(job, "not_run"));
-                    if !may {
-                        return tries.settle(self.busy(job, false));
+                Err(error) if error.is_unexecuted() => {
+                    history.unexecuted += 1;
+                    let can_retry = history.unexecuted < MAX_UNEXECUTED_ATTEMPTS
+                        && (!error.reached_endpoint() || self.acquire_retry(request, "not_run"));
+                    if !can_retry {
+                        return history.final_result(self.busy_refusal(request, false));
                     }
                 }
-                Err(failure) => {
-                    tries.maybe_run += 1;
-                    let may = job.is_repeatable()
-                        && !failure.is_timeout()
-                        && tries.maybe_run < job.route.max_attempts
-                        && self.may_repeat(job, "failed");
-                    if !may {
-                        return tries.settle(failure.into_refusal());
+                Err(error) => {
+                    history.possibly_executed += 1;
+                    let can_retry = request.is_retryable()
+                        && !error.is_deadline_exceeded()
+                        && history.possibly_executed < request.route.max_attempts
+                        && self.acquire_retry(request, "failed");
+                    if !can_retry {
+                        return history.final_result(error.into_refusal());
                     }
                 }
             }
-            tries.avoid.push(endpoint);
+            history.excluded_endpoints.push(endpoint);
         }
     }
 
-    /// Whether an endpoint's own failure should be tried elsewhere; it is kept meanwhile.
-    fn is_worth_another(&self, job: &Job, answer: &Response<Bytes>, tries: &mut Tries) -> bool {
-        if !answer.status().is_server_error() || !job.is_repeatable() || tries.kept.is_some() {
+    /// Returns whether to retry a request after an endpoint returned `response`, and takes the retry
+    /// from the retry budget if so.
+    fn should_retry_response(
+        &self,
+        request: &AdmittedRequest,
+        response: &Response<Bytes>,
+        history: &mut AttemptHistory,
+    ) -> bool {
+        if !response.status().is_server_error()
+            || !request.is_retryable()
+            || history.endpoint_error.is_some()
+        {
             return false;
         }
-        tries.maybe_run += 1;
-        tries.maybe_run < job.route.max_attempts && self.may_repeat(job, "error")
+        history.possibly_executed += 1;
+        history.possibly_executed < request.route.max_attempts
+            && self.acquire_retry(request, "error")
     }
 
-    /// Whether the allowance has a repeat left; takes it.
-    fn may_repeat(&self, job: &Job, why: &'static str) -> bool {
+    /// Takes one retry from the retry budget and returns whether there was one left.
+    fn acquire_retry(&self, request: &AdmittedRequest, reason: &'static str) -> bool {
         let mut state = self.shared.lock();
         let instances = state.instances;
-        let may = state.repeats.try_retry(clock::now(), &job.service, instances);
+        let allowed = state.repeats.try_retry(clock::now(), &request.service, instances);
         drop(state);
-        if may {
-            observe::sent_again(why);
+        if allowed {
+            observe::sent_again(reason);
         }
         log::info!(
-            "event=repeat id={} service={} why={why} allowed={may} instances={instances}",
-            job.ask.id,
-            job.service
+            "event=repeat id={} service={} why={reason} allowed={allowed} instances={instances}",
+            request.metadata.id,
+            request.service
         );
-        may
+        allowed
     }
 
-    /// Waits for a place.
-    async fn place(&self, job: &Job, tries: &Tries) -> Result<Assignment, Refusal> {
+    /// Waits in the queue for a free slot at an endpoint.
+    async fn get_slot(
+        &self,
+        request: &AdmittedRequest,
+        history: &AttemptHistory,
+    ) -> Result<Assignment, Refusal> {
         let now = clock::now();
-        let left = job.limit.saturating_duration_since(now);
-        let earliest = if tries.avoid.is_empty() { now } else { now + HOLD_AGAIN };
-        let objective = job.route.objective;
-        let in_time = objective.saturating_sub(job.age).mul_f64(HOLD_SHARE);
-        let hold = (job.arrived + in_time.max(objective / 8)).max(earliest);
-        let hold = hold.saturating_duration_since(now).min(left);
-        // A stop ends whatever waits; without an answer the caller could not tell that it has not run.
+        let remaining = request.deadline.saturating_duration_since(now);
+        let min_queue_until =
+            if history.excluded_endpoints.is_empty() { now } else { now + MIN_RETRY_QUEUE_TIMEOUT };
+        let objective = request.route.objective;
+        let max_queue_time = objective.saturating_sub(request.age).mul_f64(QUEUE_TIMEOUT_FRACTION);
+        let queue_until =
+            (request.arrived_at + max_queue_time.max(objective / 8)).max(min_queue_until);
+        let queue_timeout = queue_until.saturating_duration_since(now).min(remaining);
+        // During a shutdown, stop waiting early enough to report that the request was not executed.
         let shutdown = self.shared.lock().shutdown;
-        let hold = shutdown.map_or(hold, |s| s.cap_wait(now, hold));
-        let service = self.shared.lock().deal(&job.service, tries.avoid.is_empty());
-        // Waiting is of no use where no endpoint wants a request in time.
-        if self.shared.lock().cell.opens_in(now, &service).is_some_and(|opens_in| opens_in > hold) {
-            return Err(self.busy(job, true));
+        let queue_timeout = shutdown.map_or(queue_timeout, |s| s.cap_wait(now, queue_timeout));
+        let service =
+            self.shared.lock().deal(&request.service, history.excluded_endpoints.is_empty());
+        // No endpoint accepts requests before the queue timeout.
+        if self
+            .shared
+            .lock()
+            .cell
+            .available_in(now, &service)
+            .is_some_and(|available_in| available_in > queue_timeout)
+        {
+            return Err(self.busy_refusal(request, true));
         }
-        let waiting = self.shared.arrive(Want {
+        let waiting = self.shared.arrive(QueuedRequest {
             service,
-            rank: job.rank,
-            prompt: job.ask.prompt,
-            output: job.ask.output.unwrap_or(0),
-            stall: job.stall,
-            arrived: job.arrived,
-            objective: job.route.objective.saturating_sub(job.age),
-            avoid: tries.avoid.clone(),
+            rank: request.rank,
+            prompt_tokens: request.metadata.prompt,
+            output_tokens: request.metadata.output.unwrap_or(0),
+            stall: request.prefill_stall,
+            arrived_at: request.arrived_at,
+            objective: request.route.objective.saturating_sub(request.age),
+            excluded_endpoints: history.excluded_endpoints.clone(),
         });
         if waiting.should_shed() {
-            return Err(self.busy(job, true));
+            return Err(self.busy_refusal(request, true));
         }
-        let place = waiting.place(hold).await.ok_or_else(|| self.busy(job, false))?;
+        let assignment =
+            waiting.place(queue_timeout).await.ok_or_else(|| self.busy_refusal(request, false))?;
         let waited = clock::since(now);
-        observe::placed(&job.route.name, waited, place.withheld > 0);
+        observe::placed(&request.route.name, waited, assignment.throttled_endpoints > 0);
         log::info!(
             "event=placed id={} endpoint={} load={} slots={} backlog={} expected_ms={} \
              waited_ms={} withheld={}",
-            job.ask.id,
-            place.endpoint.id,
-            place.load,
-            place.endpoint.slots,
-            place.backlog,
-            place.expected.as_millis(),
+            request.metadata.id,
+            assignment.endpoint.id,
+            assignment.load,
+            assignment.endpoint.slots,
+            assignment.backlog_tokens,
+            assignment.expected_first_event.as_millis(),
             waited.as_millis(),
-            place.withheld
+            assignment.throttled_endpoints
         );
-        Ok(place)
+        Ok(assignment)
     }
 
-    /// Makes sure that a request is not begun that a stop would cut off. Streams that have begun are
-    /// continued in any case.
-    fn check_shutdown(&self, job: &Job, place: Assignment) -> Result<Assignment, Refusal> {
+    /// Rejects a request that a shutdown in progress would probably interrupt. Not called when a
+    /// stream is resumed.
+    fn check_shutdown(
+        &self,
+        request: &AdmittedRequest,
+        assignment: Assignment,
+    ) -> Result<Assignment, Refusal> {
         let now = clock::now();
         let state = self.shared.lock();
-        let expected = if job.route.stream { place.whole } else { Some(job.route.objective) };
+        let expected = if request.route.stream {
+            assignment.expected_total
+        } else {
+            Some(request.route.objective)
+        };
         let admits = |s: Shutdown| s.admits(now, expected, state.are_others_ready(now));
         if state.shutdown.is_none_or(admits) {
-            return Ok(place);
+            return Ok(assignment);
         }
         drop(state);
-        self.shared.finish(place.endpoint.key(), place.prompt, Outcome::Neutral);
+        self.shared.finish(assignment.endpoint.key(), assignment.prompt_tokens, Outcome::Neutral);
         Err(Refusal::Stopping)
     }
 
-    fn busy(&self, job: &Job, on_arrival: bool) -> Refusal {
+    fn busy_refusal(&self, request: &AdmittedRequest, on_arrival: bool) -> Refusal {
         let now = clock::now();
-        let patience = Patience {
-            objective: job.route.objective,
-            longest: job.limit.saturating_duration_since(now).mul_f64(HONOURED_SHARE),
-            spread: rand::random(),
+        let retry_policy = RetryPolicy {
+            objective: request.route.objective,
+            max_delay: request
+                .deadline
+                .saturating_duration_since(now)
+                .mul_f64(MAX_RETRY_DELAY_FRACTION),
+            jitter: rand::random(),
         };
         let mut state = self.shared.lock();
-        let retry_after = state.cell.refuse(now, &job.service, job.rank, patience);
+        let retry_after = state.cell.refuse(now, &request.service, request.rank, retry_policy);
         drop(state);
-        if retry_after.is_withheld {
+        if retry_after.is_throttled {
             observe::withheld("refused");
         }
         Refusal::Busy { retry_after, on_arrival }
     }
 
-    fn give_back(&self, job: &Job) {
-        if let Some(account) = &job.account {
-            self.shared.lock().admission.refund(account, job.units);
+    fn refund_quota(&self, request: &AdmittedRequest) {
+        if let Some(account) = &request.account {
+            self.shared.lock().admission.refund(account, request.quota_units);
         }
     }
 }
 
-impl Tries {
-    /// The last word on a request that may not be tried any more: the endpoint's own failure if
-    /// there is one, and "not run" only if that is certain.
-    fn settle(&mut self, refusal: Refusal) -> Result<Sent, Refusal> {
-        if let Some(answer) = self.kept.take() {
-            return Ok(Sent::Whole(answer));
+impl AttemptHistory {
+    /// Returns the final result after the last attempt: the error response of an endpoint if there
+    /// was one, otherwise `refusal`, which becomes [`Refusal::Failed`] if it claims that the request
+    /// was not executed although an earlier attempt may have executed it.
+    fn final_result(&mut self, refusal: Refusal) -> Result<AttemptResponse, Refusal> {
+        if let Some(response) = self.endpoint_error.take() {
+            return Ok(AttemptResponse::Complete(response));
         }
-        if self.maybe_run > 0 && refusal.is_not_run() {
+        if self.possibly_executed > 0 && refusal.is_unexecuted() {
             return Err(Refusal::Failed);
         }
         Err(refusal)
     }
 }
 
-/// Time left until an instant.
-pub(crate) fn until(limit: Instant) -> Duration {
-    limit.saturating_duration_since(clock::now())
+/// Returns the time left until `deadline`, or zero if it has passed.
+pub(crate) fn time_until(deadline: Instant) -> Duration {
+    deadline.saturating_duration_since(clock::now())
 }
--- a/oxbowbend-gateway/src/relay/job.rs
+++ b/oxbowbend-gateway/src/relay/request.rs
@@ -1,20 +1,20 @@
-//! One request with all that is known of it.
+//! Admitted requests.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use http::{HeaderMap, Method, Uri};
-use oxbowbend_core::cell::Stall;
+use oxbowbend_core::cell::PrefillStall;
 use oxbowbend_core::fingerprint::Fingerprint;
 use oxbowbend_core::ids::{AccountId, ServiceId};
 use oxbowbend_core::routes::{Idempotency, Route};
 
 use crate::seam::Ask;
 
-/// One request.
-pub(crate) struct Job {
-    pub(crate) ask: Ask,
+/// A request that passed admission, with everything needed to forward it.
+pub(crate) struct AdmittedRequest {
+    pub(crate) metadata: Ask,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
@@ -23,19 +23,19 @@
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceId,
     pub(crate) account: Option<AccountId>,
-    pub(crate) units: u64,
+    pub(crate) quota_units: u64,
     pub(crate) rank: u16,
-    pub(crate) stall: Stall,
-    /// Time since the caller's first try.
+    pub(crate) prefill_stall: PrefillStall,
+    /// Estimated time since the client first sent the request, counting attempts that were refused.
     pub(crate) age: Duration,
-    pub(crate) arrived: Instant,
-    /// When the caller or the route gives the request up.
-    pub(crate) limit: Instant,
+    pub(crate) arrived_at: Instant,
+    /// The client's deadline or the route's timeout, whichever is earlier.
+    pub(crate) deadline: Instant,
 }
 
-impl Job {
-    /// Whether the request may run more than once.
-    pub(crate) fn is_repeatable(&self) -> bool {
+impl AdmittedRequest {
+    /// Returns whether the request may be executed more than once.
+    pub(crate) fn is_retryable(&self) -> bool {
         match self.route.stream {
             true => self.route.resumable,
             false => self.route.idempotency == Idempotency::Idempotent,
--- a/oxbowbend-gateway/src/relay/run.rs
+++ b/oxbowbend-gateway/src/relay/run.rs
@@ -1,4 +1,4 @@
-//! One exchange with one endpoint.
+//! A single attempt to have an endpoint execute a request.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,384 +10,425 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use oxbowbend_clock as clock;
-use oxbowbend_core::cell::{Assignment, Outcome, FIXED_UNITS};
+use oxbowbend_core::cell::{Assignment, Outcome, FIXED_WORK_UNITS};
 use oxbowbend_core::rollout::evidence::Answer;
 use oxbowbend_core::routes::{Endpoint, Route};
-use oxbowbend_core::silence::{self, Silence};
+use oxbowbend_core::silence::{self, TimeoutAction};
 use oxbowbend_http::h1;
 use thiserror::Error;
 
-use super::job::Job;
 use super::refusal::Refusal;
-use super::stream::Streaming;
-use super::{until, Relay};
+use super::request::AdmittedRequest;
+use super::stream::EndpointStream;
+use super::{time_until, Relay};
 use crate::observe;
 use crate::seam::{Onward, Verdict, Wire};
 use crate::shared::Shared;
 
-/// Units of work of an event of a stream, roughly: what is compared are answers on the same route.
-const EVENT_UNITS: u32 = 1000;
+/// Approximate work units per stream event. Only responses on the same route are compared, so the
+/// exact value matters little.
+const WORK_UNITS_PER_EVENT: u32 = 1000;
 
-/// An endpoint's answer.
-pub(crate) enum Sent {
-    /// All of it.
-    Whole(Response<Bytes>),
-    /// Its head, and the stream that has begun.
-    Stream(response::Parts, Box<Streaming>),
+/// The response of an endpoint.
+pub(crate) enum AttemptResponse {
+    /// A buffered response.
+    Complete(Response<Bytes>),
+    /// The head and body of a streamed response whose first event has arrived.
+    Streaming(response::Parts, Box<EndpointStream>),
 }
 
-/// Why an exchange brought no answer.
+/// Why an attempt produced no response.
 #[derive(Debug, Error)]
-pub(crate) enum Failure {
-    /// It ends the endpoints that run it, and was not sent; it may be for this long.
-    #[error("in quarantine for {0:?}")]
+pub(crate) enum AttemptError {
+    /// The request is quarantined for crashing endpoints and was not sent; holds the time left.
+    #[error("request is quarantined for {0:?}")]
     Quarantined(Duration),
-    /// The endpoint has said since the request got its place that it leaves, or wants rest; nothing was sent.
-    #[error("the endpoint wants no request any more")]
-    Unwanted,
-    /// No connection; nothing was sent.
-    #[error("not sent: {0}")]
-    Unsent(h1::CallError),
-    /// The endpoint did not run it.
-    #[error("not run: {0:?}")]
-    NotRun(Verdict),
-    /// The endpoint did not run it, and wants nothing from this instance for so long.
-    #[error("turned away: wants rest for {0:?}")]
-    TurnedAway(Duration),
-    /// It may have run: a broken connection, or bytes that are no answer to it.
-    #[error("broken: {0}")]
-    Broken(String),
-    /// The endpoint is suspected to hang.
-    #[error("no event for too long")]
-    Hanging,
-    /// The request's time is over.
-    #[error("the request's time is over")]
-    Timeout,
+    /// The endpoint signalled, after the request was assigned to it, that it is draining or backing
+    /// off; nothing was sent.
+    #[error("endpoint no longer accepts requests")]
+    NotAccepting,
+    /// The connection failed before anything was sent.
+    #[error("request not sent: {0}")]
+    NotSent(h1::CallError),
+    /// The endpoint did not execute the request.
+    #[error("request not executed: {0:?}")]
+    NotExecuted(Verdict),
+    /// The endpoint did not execute the request and asked this instance to back off for this long.
+    #[error("request not executed: endpoint asked to back off for {0:?}")]
+    BackoffRequested(Duration),
+    /// The connection failed, or the response does not belong to the request, which may have been
+    /// executed.
+    #[error("no valid response: {0}")]
+    NoValidResponse(String),
+    /// The endpoint did not start to respond in the expected time.
+    #[error("endpoint did not start to respond in time")]
+    Unresponsive,
+    /// The request's deadline passed.
+    #[error("request deadline exceeded")]
+    DeadlineExceeded,
 }
 
-impl Failure {
-    /// Whether the request has certainly not run.
-    pub(crate) fn is_not_run(&self) -> bool {
+impl AttemptError {
+    /// Returns whether it is certain that the request was not executed.
+    pub(crate) fn is_unexecuted(&self) -> bool {
         matches!(
             self,
-            Failure::Unsent(_)
-                | Failure::NotRun(_)
-                | Failure::TurnedAway(_)
-                | Failure::Quarantined(_)
-                | Failure::Unwanted
+            AttemptError::NotSent(_)
+                | AttemptError::NotExecuted(_)
+                | AttemptError::BackoffRequested(_)
+                | AttemptError::Quarantined(_)
+                | AttemptError::NotAccepting
         )
     }
 
-    /// Whether the request has reached the endpoint.
-    pub(crate) fn has_arrived(&self) -> bool {
-        !matches!(self, Failure::Unsent(_) | Failure::Quarantined(_) | Failure::Unwanted)
+    /// Returns whether the request may have reached the endpoint.
+    pub(crate) fn reached_endpoint(&self) -> bool {
+        !matches!(
+            self,
+            AttemptError::NotSent(_) | AttemptError::Quarantined(_) | AttemptError::NotAccepting
+        )
     }
 
-    /// Whether the request's time is over.
-    pub(crate) fn is_timeout(&self) -> bool {
-        matches!(self, Failure::Timeout)
+    pub(crate) fn is_deadline_exceeded(&self) -> bool {
+        matches!(self, AttemptError::DeadlineExceeded)
     }
 
-    /// The final answer that follows if nothing else may be tried.
+    /// Returns the refusal for a request that is not retried after this error.
     pub(crate) fn into_refusal(self) -> Refusal {
         match self {
-            Failure::Timeout | Failure::Hanging => Refusal::TimedOut,
+            AttemptError::DeadlineExceeded | AttemptError::Unresponsive => Refusal::TimedOut,
             _ => Refusal::Failed,
         }
     }
 }
 
-/// A request at an endpoint. Dropping it closes the connection and ends the run.
-pub(crate) struct Run {
+/// A request being executed by an endpoint. Dropping it closes the connection, which cancels the
+/// execution.
+pub(crate) struct Attempt {
     shared: Shared,
-    id: String,
+    request_id: String,
     pub(crate) endpoint: Endpoint,
     conn: Option<h1::Conn>,
-    began: Instant,
-    /// Tokens of the prompt, and of those that the endpoint had to read before.
-    prompt: u32,
-    backlog: u32,
-    /// Time to the first event, or to the whole answer; zero before that.
-    first: Duration,
-    /// Longest time between two events.
-    pause: Duration,
-    last_event: Instant,
-    /// Events so far.
-    events: u32,
-    /// Name of its route.
+    started_at: Instant,
+    /// Tokens of the request's prompt, and of the prompts queued before it at the endpoint.
+    prompt_tokens: u32,
+    backlog_tokens: u32,
+    /// Time to the first event, or to the end of a buffered response; zero until then.
+    time_to_first_event: Duration,
+    max_event_gap: Duration,
+    last_event_at: Instant,
+    event_count: u32,
     route: Arc<Route>,
-    is_over: bool,
+    is_finished: bool,
 }
 
-impl Run {
-    fn new(shared: &Shared, job: &Job, place: Assignment) -> Run {
-        let (shared, id) = (shared.clone(), job.ask.id.clone());
-        shared.run_began(&place.endpoint);
-        Run {
+impl Attempt {
+    fn new(shared: &Shared, request: &AdmittedRequest, assignment: Assignment) -> Attempt {
+        let (shared, request_id) = (shared.clone(), request.metadata.id.clone());
+        shared.run_began(&assignment.endpoint);
+        Attempt {
             shared,
-            id,
-            endpoint: place.endpoint,
-            prompt: place.prompt,
-            backlog: place.backlog,
+            request_id,
+            endpoint: assignment.endpoint,
+            prompt_tokens: assignment.prompt_tokens,
+            backlog_tokens: assignment.backlog_tokens,
             conn: None,
-            began: clock::now(),
-            first: Duration::ZERO,
-            pause: Duration::ZERO,
-            last_event: clock::now(),
-            events: 0,
-            route: job.route.clone(),
-            is_over: false,
+            started_at: clock::now(),
+            time_to_first_event: Duration::ZERO,
+            max_event_gap: Duration::ZERO,
+            last_event_at: clock::now(),
+            event_count: 0,
+            route: request.route.clone(),
+            is_finished: false,
         }
     }
 
-    /// Notes an event of the stream.
-    pub(crate) fn note_event(&mut self) {
+    /// Records an event of the stream.
+    pub(crate) fn record_event(&mut self) {
         let now = clock::now();
-        if !self.first.is_zero() {
-            self.pause = self.pause.max(now.duration_since(self.last_event));
+        if !self.time_to_first_event.is_zero() {
+            self.max_event_gap = self.max_event_gap.max(now.duration_since(self.last_event_at));
         }
-        self.last_event = now;
-        self.events += 1;
+        self.last_event_at = now;
+        self.event_count += 1;
     }
 
-    /// Ends the run after a clean end of its answer, and keeps the connection.
-    pub(crate) fn end_clean(mut self, pool: &h1::Pool, outcome: Outcome) {
+    /// Finishes the attempt after a complete response and returns the connection to the pool.
+    pub(crate) fn complete(mut self, pool: &h1::Pool, outcome: Outcome) {
         if let Some(conn) = self.conn.take() {
             pool.put(conn);
         }
-        self.end(outcome);
+        self.finish(outcome);
     }
 
-    /// Ends the run, and its connection with it.
-    pub(crate) fn end(&mut self, outcome: Outcome) {
-        self.is_over = true;
+    /// Finishes the attempt and closes its connection.
+    pub(crate) fn finish(&mut self, outcome: Outcome) {
+        self.is_finished = true;
         self.conn = None;
-        let unread = if self.first.is_zero() { self.prompt } else { 0 };
+        let unread_tokens = if self.time_to_first_event.is_zero() { self.prompt_tokens } else { 0 };
         let answer = match outcome {
-            Outcome::Good => Some(self.took()),
+            Outcome::Good => Some(self.timed_answer()),
             Outcome::Bad => Some(Answer::Failed),
             Outcome::Neutral | Outcome::Absent => None,
         };
         self.shared.run_ended(&self.endpoint, &self.route.name, answer);
-        self.shared.finish(self.endpoint.key(), unread, outcome);
+        self.shared.finish(self.endpoint.key(), unread_tokens, outcome);
     }
 
-    /// The time that it has taken, for each unit of work.
-    fn took(&self) -> Answer {
-        let units = self.prompt.saturating_add(self.backlog).saturating_add(FIXED_UNITS);
-        let units = units.saturating_add(self.events.saturating_mul(EVENT_UNITS));
-        let ns = clock::since(self.began).as_nanos() as f64;
+    /// Returns the time taken so far per unit of work.
+    fn timed_answer(&self) -> Answer {
+        let units =
+            self.prompt_tokens.saturating_add(self.backlog_tokens).saturating_add(FIXED_WORK_UNITS);
+        let units = units.saturating_add(self.event_count.saturating_mul(WORK_UNITS_PER_EVENT));
+        let ns = clock::since(self.started_at).as_nanos() as f64;
         Answer::Good { ns_per_unit: ns / f64::from(units) }
     }
 }
 
-impl Drop for Run {
+impl Drop for Attempt {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_finished {
             return;
         }
         log::info!(
             "event=caller_left id={} endpoint={} after_ms={}",
-            self.id,
+            self.request_id,
             self.endpoint.id,
-            clock::since(self.began).as_millis()
+            clock::since(self.started_at).as_millis()
         );
-        self.end(Outcome::Neutral);
+        self.finish(Outcome::Neutral);
     }
 }
 
 impl<W: Wire> Relay<W> {
-    /// Sends a request to the endpoint that it was given.
-    pub(super) async fn send(
+    /// Sends a request to the endpoint that it is assigned to.
+    pub(super) async fn send_to_endpoint(
         &self,
-        job: &Job,
-        place: Assignment,
-        after: Option<u64>,
-    ) -> Result<Sent, Failure> {
-        let (load, expected) = (place.load, place.expected);
-        let mut run = Run::new(&self.shared, job, place);
-        let is_crowded = load > run.endpoint.slots;
-        let result = self.exchange(job, &mut run, expected, after).await;
-        let failure = match result {
-            Ok(Begun::Whole(answer)) => {
-                let is_bad = answer.status().is_server_error();
+        request: &AdmittedRequest,
+        assignment: Assignment,
+        last_event_id: Option<u64>,
+    ) -> Result<AttemptResponse, AttemptError> {
+        let (load, expected) = (assignment.load, assignment.expected_first_event);
+        let mut attempt = Attempt::new(&self.shared, request, assignment);
+        let is_over_capacity = load > attempt.endpoint.slots;
+        let result = self.exchange(request, &mut attempt, expected, last_event_id).await;
+        let error = match result {
+            Ok(ResponseStart::Complete(response)) => {
+                let is_bad = response.status().is_server_error();
                 let outcome = if is_bad { Outcome::Bad } else { Outcome::Good };
-                log_answered(job, &run, answer.status().as_u16(), answer.body().len());
-                self.note_answer(job);
-                run.end_clean(&self.pool, outcome);
-                return Ok(Sent::Whole(answer));
+                log_response(request, &attempt, response.status().as_u16(), response.body().len());
+                self.record_success(request);
+                attempt.complete(&self.pool, outcome);
+                return Ok(AttemptResponse::Complete(response));
             }
-            Ok(Begun::Stream(head, first, body)) => {
-                let streaming = Box::new(Streaming::new(run, first, body));
-                return Ok(Sent::Stream(head, streaming));
+            Ok(ResponseStart::Streaming(head, first_frame, body)) => {
+                let stream = Box::new(EndpointStream::new(attempt, first_frame, body));
+                return Ok(AttemptResponse::Streaming(head, stream));
             }
-            Err(failure) => failure,
+            Err(error) => error,
         };
-        let outcome = match &failure {
-            Failure::NotRun(Verdict::NotThere) => Outcome::Absent,
-            Failure::Timeout
-            | Failure::Quarantined(_)
-            | Failure::TurnedAway(_)
-            | Failure::Unwanted => Outcome::Neutral,
-            Failure::NotRun(_) if is_crowded => Outcome::Neutral,
+        let outcome = match &error {
+            AttemptError::NotExecuted(Verdict::NotThere) => Outcome::Absent,
+            AttemptError::DeadlineExceeded
+            | AttemptError::Quarantined(_)
+            | AttemptError::BackoffRequested(_)
+            | AttemptError::NotAccepting => Outcome::Neutral,
+            AttemptError::NotExecuted(_) if is_over_capacity => Outcome::Neutral,
             _ => Outcome::Bad,
         };
         log::warn!(
             "event=send_failed id={} fingerprint={:016x} endpoint={} load={load} after_ms={} \
-             blame={outcome:?} failure=\"{failure}\"",
-            job.ask.id,
-            job.fingerprint,
-            run.endpoint.id,
-            clock::since(run.began).as_millis()
+             blame={outcome:?} failure=\"{error}\"",
+            request.metadata.id,
+            request.fingerprint,
+            attempt.endpoint.id,
+            clock::since(attempt.started_at).as_millis()
         );
-        if matches!(failure, Failure::Unsent(_)) {
-            self.pool.forget(run.endpoint.address);
+        if matches!(error, AttemptError::NotSent(_)) {
+            self.pool.forget(attempt.endpoint.address);
         }
-        run.end(outcome);
-        match &failure {
-            Failure::Broken(_) => self.check_end(job, &run.endpoint, true).await,
-            Failure::Unsent(e) if e.is_refused() => self.shared.endpoint_ended(&run.endpoint),
+        attempt.finish(outcome);
+        match &error {
+            AttemptError::NoValidResponse(_) => {
+                self.check_for_crash(request, &attempt.endpoint, true).await
+            }
+            AttemptError::NotSent(e) if e.is_refused() => {
+                self.shared.endpoint_ended(&attempt.endpoint)
+            }
             _ => {}
         }
-        Err(failure)
+        Err(error)
     }
 
     async fn exchange(
         &self,
-        job: &Job,
-        run: &mut Run,
+        request: &AdmittedRequest,
+        attempt: &mut Attempt,
         expected: Duration,
-        after: Option<u64>,
-    ) -> Result<Begun, Failure> {
-        let due = silence::due(expected, job.route.objective);
-        let limit = until(job.limit);
-        let (endpoint, began) = (run.endpoint.key(), run.began);
-        let beginning = self.begin(job, run, after);
-        pin_mut!(beginning);
-        if let Ok(begun) = future::timeout(due.min(limit), &mut beginning).await {
-            return begun;
+        last_event_id: Option<u64>,
+    ) -> Result<ResponseStart, AttemptError> {
+        let suspect_after = silence::delay(expected, request.route.objective);
+        let time_left = time_until(request.deadline);
+        let (endpoint, started_at) = (attempt.endpoint.key(), attempt.started_at);
+        let response_start = self.await_response_start(request, attempt, last_event_id);
+        pin_mut!(response_start);
+        if let Ok(result) = future::timeout(suspect_after.min(time_left), &mut response_start).await
+        {
+            return result;
         }
-        match silence::judge(due, limit, job.is_repeatable()) {
-            Silence::TimedOut => return Err(Failure::Timeout),
-            Silence::GivenUp => return Err(Failure::Hanging),
-            Silence::Suspected => {
-                self.shared.lock().cell.suspect(clock::now(), endpoint, began);
+        match silence::timeout_action(suspect_after, time_left, request.is_retryable()) {
+            TimeoutAction::Fail => return Err(AttemptError::DeadlineExceeded),
+            TimeoutAction::Retry => return Err(AttemptError::Unresponsive),
+            TimeoutAction::MarkSuspect => {
+                self.shared.lock().cell.record_slow_response(clock::now(), endpoint, started_at);
             }
         }
-        match future::timeout(until(job.limit), beginning).await {
-            Ok(begun) => begun,
-            Err(_) => Err(Failure::Timeout),
+        match future::timeout(time_until(request.deadline), response_start).await {
+            Ok(result) => result,
+            Err(_) => Err(AttemptError::DeadlineExceeded),
         }
     }
 
-    /// Sends the request; returns with the whole answer, or with the first event of a stream.
-    async fn begin(&self, job: &Job, run: &mut Run, after: Option<u64>) -> Result<Begun, Failure> {
-        let answer = self.ask(job, run, after).await?;
-        let (mut head, mut body) = answer.into_parts();
-        let verdict = self.wire.judge(&head, &job.ask.id);
+    /// Sends the request and waits for the complete response, or for the first event of a stream.
+    async fn await_response_start(
+        &self,
+        request: &AdmittedRequest,
+        attempt: &mut Attempt,
+        last_event_id: Option<u64>,
+    ) -> Result<ResponseStart, AttemptError> {
+        let response = self.send_request(request, attempt, last_event_id).await?;
+        let (mut head, mut body) = response.into_parts();
+        let verdict = self.wire.judge(&head, &request.metadata.id);
         if matches!(verdict, Verdict::Answer | Verdict::NotRun) {
             let signals = self.wire.signals(&head);
-            self.shared.endpoint_said(&run.endpoint, &job.ask.id, run.began, signals);
-            if let (Verdict::NotRun, Some(rest)) = (verdict, signals.backoff.value()) {
-                return Err(Failure::TurnedAway(rest));
+            self.shared.endpoint_said(
+                &attempt.endpoint,
+                &request.metadata.id,
+                attempt.started_at,
+                signals,
+            );
+            if let (Verdict::NotRun, Some(delay)) = (verdict, signals.backoff.value()) {
+                return Err(AttemptError::BackoffRequested(delay));
             }
         }
         match verdict {
             Verdict::Answer => {}
             Verdict::Foreign => {
                 let status = head.status;
-                return Err(Failure::Broken(format!("no answer to this request: {status}")));
+                return Err(AttemptError::NoValidResponse(format!(
+                    "response does not match the request (status {status})"
+                )));
             }
-            verdict => return Err(Failure::NotRun(verdict)),
+            verdict => return Err(AttemptError::NotExecuted(verdict)),
         }
         self.wire.back(&mut head.headers);
-        let broken = |e: hyper::Error| Failure::Broken(e.to_string());
-        if job.route.stream && head.status.is_success() {
-            let first = match body.frame().await {
-                Some(frame) => Some(frame.map_err(broken)?),
+        let no_valid_response = |e: hyper::Error| AttemptError::NoValidResponse(e.to_string());
+        if request.route.stream && head.status.is_success() {
+            let first_frame = match body.frame().await {
+                Some(frame) => Some(frame.map_err(no_valid_response)?),
                 None => None,
             };
-            run.note_event();
-            run.first = clock::since(run.began);
-            self.shared.began(run.endpoint.key(), run.prompt, run.backlog, run.first);
-            observe::began(&job.route.name, clock::since(job.arrived));
-            return Ok(Begun::Stream(head, first, body));
+            attempt.record_event();
+            attempt.time_to_first_event = clock::since(attempt.started_at);
+            self.shared.began(
+                attempt.endpoint.key(),
+                attempt.prompt_tokens,
+                attempt.backlog_tokens,
+                attempt.time_to_first_event,
+            );
+            observe::began(&request.route.name, clock::since(request.arrived_at));
+            return Ok(ResponseStart::Streaming(head, first_frame, body));
         }
-        let whole = body.collect().await.map_err(broken)?.to_bytes();
+        let body = body.collect().await.map_err(no_valid_response)?.to_bytes();
         if head.status.is_success() {
-            run.first = clock::since(run.began);
-            self.shared.began(run.endpoint.key(), run.prompt, run.backlog, run.first);
+            attempt.time_to_first_event = clock::since(attempt.started_at);
+            self.shared.began(
+                attempt.endpoint.key(),
+                attempt.prompt_tokens,
+                attempt.backlog_tokens,
+                attempt.time_to_first_event,
+            );
         }
-        Ok(Begun::Whole(Response::from_parts(head, whole)))
+        Ok(ResponseStart::Complete(Response::from_parts(head, body)))
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
-        job: &Job,
-        run: &mut Run,
-        after: Option<u64>,
-    ) -> Result<Response<Incoming>, Failure> {
-        let address = run.endpoint.address;
-        let mut conn = self.pool.get(address).await.map_err(Failure::Unsent)?;
-        // A new connection takes up to a second, in which other answers come.
-        if !self.shared.lock().cell.may_send(clock::now(), run.endpoint.key()) {
+        request: &AdmittedRequest,
+        attempt: &mut Attempt,
+        last_event_id: Option<u64>,
+    ) -> Result<Response<Incoming>, AttemptError> {
+        let address = attempt.endpoint.address;
+        let mut conn = self.pool.get(address).await.map_err(AttemptError::NotSent)?;
+        // Responses that arrived while connecting may have carried new signals of the endpoint.
+        if !self.shared.lock().cell.may_send(clock::now(), attempt.endpoint.key()) {
             self.pool.put(conn);
-            return Err(Failure::Unwanted);
+            return Err(AttemptError::NotAccepting);
         }
-        let is_trial = self.pass_gate(job)?;
-        let mut result = conn.send(self.request(job, run, after)).await;
+        let is_trial = self.check_send_permission(request)?;
+        let mut result = conn.send(self.build_request(request, attempt, last_event_id)).await;
         if conn.is_reused() && matches!(&result, Err(e) if e.is_unsent()) {
-            conn = self.pool.connect(address).await.map_err(Failure::Unsent)?;
+            conn = self.pool.connect(address).await.map_err(AttemptError::NotSent)?;
             if !is_trial {
-                self.pass_gate(job)?;
+                self.check_send_permission(request)?;
             }
-            result = conn.send(self.request(job, run, after)).await;
+            result = conn.send(self.build_request(request, attempt, last_event_id)).await;
         }
-        run.conn = Some(conn);
+        attempt.conn = Some(conn);
         result.map_err(|e| match e.is_unsent() {
-            true => Failure::Unsent(e),
-            false => Failure::Broken(e.to_string()),
+            true => AttemptError::NotSent(e),
+            false => AttemptError::NoValidResponse(e.to_string()),
         })
     }
 
-    fn request(&self, job: &Job, run: &Run, after: Option<u64>) -> Request<Bytes> {
-        let onward = Onward {
-            left: until(job.limit),
-            endpoint: &run.endpoint.id,
-            account: job.account.as_ref(),
-            after,
+    fn build_request(
+        &self,
+        request: &AdmittedRequest,
+        attempt: &Attempt,
+        last_event_id: Option<u64>,
+    ) -> Request<Bytes> {
+        let forwarding = Onward {
+            left: time_until(request.deadline),
+            endpoint: &attempt.endpoint.id,
+            account: request.account.as_ref(),
+            after: last_event_id,
         };
-        let mut req = Request::new(job.body.clone());
-        *req.method_mut() = job.method.clone();
-        *req.uri_mut() = path_only(&job.uri);
-        *req.headers_mut() = self.wire.forward(&job.headers, onward);
+        let mut req = Request::new(request.body.clone());
+        *req.method_mut() = request.method.clone();
+        *req.uri_mut() = path_only(&request.uri);
+        *req.headers_mut() = self.wire.forward(&request.headers, forwarding);
         req
     }
 }
 
-/// What an exchange has brought so far.
-enum Begun {
-    Whole(Response<Bytes>),
-    Stream(response::Parts, Option<hyper::body::Frame<Bytes>>, Incoming),
+/// A buffered response, or the head and first frame of a streamed one.
+enum ResponseStart {
+    Complete(Response<Bytes>),
+    Streaming(response::Parts, Option<hyper::body::Frame<Bytes>>, Incoming),
 }
 
-/// Path and query, as endpoints expect them.
+/// Returns the path and query of `uri` without scheme and authority.
 fn path_only(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
 }
 
-/// Logs an answer that is complete.
-pub(crate) fn log_answered(job: &Job, run: &Run, status: u16, bytes: usize) {
-    observe::answered(&job.route.name, "answered", clock::since(job.arrived));
+/// Logs a completed response and updates the metrics.
+pub(crate) fn log_response(
+    request: &AdmittedRequest,
+    attempt: &Attempt,
+    status: u16,
+    bytes: usize,
+) {
+    observe::answered(&request.route.name, "answered", clock::since(request.arrived_at));
     log::info!(
         "event=answered id={} endpoint={} status={status} bytes={bytes} first_ms={} pause_ms={} at_endpoint_ms={} \
          total_ms={}",
-        job.ask.id,
-        run.endpoint.id,
-        run.first.as_millis(),
-        run.pause.as_millis(),
-        clock::since(run.began).as_millis(),
-        clock::since(job.arrived).as_millis()
+        request.metadata.id,
+        attempt.endpoint.id,
+        attempt.time_to_first_event.as_millis(),
+        attempt.max_event_gap.as_millis(),
+        clock::since(attempt.started_at).as_millis(),
+        clock::since(request.arrived_at).as_millis()
     );
 }
--- a/oxbowbend-gateway/src/signals.rs
+++ b/oxbowbend-gateway/src/signals.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use oxbowbend_clock as clock;
-use oxbowbend_core::cell::{Leaver, LimitChange, Said, Signals};
+use oxbowbend_core::cell::{DrainNotice, LimitChange, SignalValue, Signals};
 use oxbowbend_core::ids::EndpointKey;
 use oxbowbend_core::routes::Endpoint;
 
@@ -19,7 +19,9 @@
         sent: Instant,
         signals: Signals,
     ) {
-        if signals.rate_limit == Said::Unreadable || signals.backoff == Said::Unreadable {
+        if signals.rate_limit == SignalValue::Unreadable
+            || signals.backoff == SignalValue::Unreadable
+        {
             log::warn!(
                 "event=endpoint_said_unreadable endpoint={} id={id} {signals:?}",
                 endpoint.id
@@ -34,7 +36,7 @@
             );
         }
         let mut state = self.lock();
-        state.cell.endpoint_said(clock::now(), endpoint.key(), sent, signals);
+        state.cell.apply_signals(clock::now(), endpoint.key(), sent, signals);
         if state.log_said() {
             drop(state);
             self.tell_others();
@@ -45,33 +47,33 @@
 impl State {
     /// Logs what is newly believed of endpoints' words; `true` if there is anything.
     pub(crate) fn log_said(&mut self) -> bool {
-        let (limits, leavers) = (self.cell.take_limit_changes(), self.cell.take_leavers());
+        let (limits, notices) = (self.cell.take_limit_changes(), self.cell.take_drain_notices());
         for change in &limits {
             self.log_limit(change);
         }
-        for leaver in &leavers {
-            self.log_leaver(leaver);
+        for notice in &notices {
+            self.log_drain_notice(notice);
         }
-        let is_news = !limits.is_empty() || !leavers.is_empty();
+        let is_news = !limits.is_empty() || !notices.is_empty();
         if is_news {
-            observe::limited(self.cell.limited());
-            observe::leaving(self.cell.leavers());
+            observe::limited(self.cell.limited_count());
+            observe::leaving(self.cell.draining_count());
         }
         is_news
     }
 
     fn log_limit(&self, change: &LimitChange) {
-        let LimitChange { endpoint, per_s, before, origin, age } = change;
+        let LimitChange { endpoint, per_s, previous, origin, age } = change;
         log::info!(
-            "event=endpoint_limit endpoint={} start={endpoint:08x} per_s={per_s:?} before={before:?} from={origin:?} \
+            "event=endpoint_limit endpoint={} start={endpoint:08x} per_s={per_s:?} before={previous:?} from={origin:?} \
              age_ms={}",
             self.name_of(*endpoint),
             age.as_millis()
         );
     }
 
-    fn log_leaver(&self, leaver: &Leaver) {
-        let Leaver { endpoint, origin } = leaver;
+    fn log_drain_notice(&self, notice: &DrainNotice) {
+        let DrainNotice { endpoint, origin } = notice;
         let name = self.name_of(*endpoint);
         log::info!("event=endpoint_leaving endpoint={name} start={endpoint:08x} from={origin:?}");
     }
--- a/oxbowbend-standin/src/experiment/policy.rs
+++ b/oxbowbend-standin/src/experiment/policy.rs
@@ -30,7 +30,12 @@
 /// Something that is told what happens and decides where requests go.
 pub trait Policy {
     /// A request has arrived.
-    fn arrive(&mut self, now: Instant, request: usize, record: message::Record) -> Vec<Verdict>;
+    fn arrive(
+        &mut self,
+        now: Instant,
+        request: usize,
+        record: message::RequestInfo,
+    ) -> Vec<Verdict>;
     /// A request has ended at an engine; `up` tells whether a scheduler is there to hear of it.
     fn ended(
         &mut self,
@@ -70,7 +75,7 @@
 }
 
 impl<C: SelectionPolicy> Policy for Straight<C> {
-    fn arrive(&mut self, _: Instant, request: usize, _: message::Record) -> Vec<Verdict> {
+    fn arrive(&mut self, _: Instant, request: usize, _: message::RequestInfo) -> Vec<Verdict> {
         let living = (0..self.alive.len()).filter(|e| self.alive[*e]);
         let candidates: Vec<selection::Candidate> = living
             .map(|index| selection::Candidate {
@@ -122,11 +127,11 @@
         None
     }
 
-    fn entries(&self, _: &ids::PoolId) -> Vec<ids::InstanceId> {
+    fn ingress_instances(&self, _: &ids::PoolId) -> Vec<ids::InstanceId> {
         vec![ENTRY.into()]
     }
 
-    fn is_lowest(&self, tier: ids::TierLevel) -> bool {
+    fn is_lowest_tier(&self, tier: ids::TierLevel) -> bool {
         tier >= 2
     }
 }
@@ -137,8 +142,8 @@
     fresh: Box<dyn Fn() -> C>,
     config: topology::Pool,
     free: Vec<u32>,
-    asks: u64,
-    held: BTreeMap<usize, (message::Record, Option<usize>)>,
+    last_seq: u64,
+    held: BTreeMap<usize, (message::RequestInfo, Option<usize>)>,
 }
 
 impl<C: SelectionPolicy> Scheduled<C> {
@@ -150,7 +155,7 @@
             fresh: Box::new(fresh),
             config,
             free,
-            asks: 0,
+            last_seq: 0,
             held: BTreeMap::new(),
         };
         scheduled.offer_all();
@@ -171,24 +176,24 @@
             endpoint: endpoint.as_str().into(),
             free: self.free[engine],
             owned,
-            asks_seen: self.asks,
+            last_seq: self.last_seq,
         };
-        self.scheduler.offer(&ENTRY.into(), &offer);
+        self.scheduler.handle_offer(&ENTRY.into(), &offer);
     }
 
     fn decide(&mut self, now: Instant) -> Vec<Verdict> {
         let mut actions = Vec::new();
-        self.scheduler.pump(now, &Alone, &mut actions);
+        self.scheduler.schedule(now, &Alone, &mut actions);
         let mut verdicts = Vec::new();
         for action in actions {
             match action {
                 node::Action::Send { message: message::Message::Grant(grant), .. } => {
                     let request = request_number(&grant.request);
                     let engine = engine_number(&grant.endpoint);
-                    self.asks = self.asks.max(grant.ask);
+                    self.last_seq = self.last_seq.max(grant.seq);
                     self.free[engine] = self.free[engine].saturating_sub(1);
                     self.offer(engine);
-                    self.scheduler.taken(&(grant.request.clone(), grant.attempt));
+                    self.scheduler.handle_accepted(&(grant.request.clone(), grant.attempt));
                     if let Some(held) = self.held.get_mut(&request) {
                         held.1 = Some(engine);
                     }
@@ -198,17 +203,19 @@
                     message: message::Message::Refuse { request, attempt, .. },
                     ..
                 } => {
-                    self.scheduler.withdraw(&(request.clone(), attempt));
+                    self.scheduler.handle_withdraw(&(request.clone(), attempt));
                     self.held.remove(&request_number(&request));
                     verdicts.push(Verdict::Refuse(request_number(&request)));
                 }
-                node::Action::Send { message: message::Message::Floor { seq, .. }, .. } => {
-                    let beat = oxbowbend_core::message::PoolBeat {
+                node::Action::Send {
+                    message: message::Message::ShedThreshold { seq, .. }, ..
+                } => {
+                    let digest = oxbowbend_core::message::PoolDigest {
                         pool: POOL.into(),
                         digest: 0,
-                        floor: seq,
+                        threshold_seq: seq,
                     };
-                    self.scheduler.beat(&ENTRY.into(), &beat);
+                    self.scheduler.handle_digest(&ENTRY.into(), &digest);
                 }
                 _ => {}
             }
@@ -218,7 +225,12 @@
 }
 
 impl<C: SelectionPolicy> Policy for Scheduled<C> {
-    fn arrive(&mut self, now: Instant, request: usize, record: message::Record) -> Vec<Verdict> {
+    fn arrive(
+        &mut self,
+        now: Instant,
+        request: usize,
+        record: message::RequestInfo,
+    ) -> Vec<Verdict> {
         self.held.insert(request, (record.clone(), None));
         self.scheduler.enqueue(now, &ENTRY.into(), record);
         self.decide(now)
@@ -237,7 +249,7 @@
         if !up {
             return Vec::new();
         }
-        self.scheduler.done(now, &(request_name(request).as_str().into(), 1), report);
+        self.scheduler.handle_done(now, &(request_name(request).as_str().into(), 1), report);
         self.offer(engine);
         self.decide(now)
     }
@@ -248,7 +260,7 @@
 
     fn loads(&mut self, loads: &[u32]) {
         for (engine, load) in loads.iter().enumerate() {
-            self.scheduler.load(&engine_name(engine).as_str().into(), *load);
+            self.scheduler.handle_load(&engine_name(engine).as_str().into(), *load);
         }
     }
 
@@ -274,8 +286,8 @@
                 Some(e) => running.push((record.clone(), engine_name(*e).as_str().into())),
             }
         }
-        self.scheduler.report(now, &ENTRY.into(), waiting, running);
-        self.asks = 0;
+        self.scheduler.handle_snapshot(now, &ENTRY.into(), waiting, running);
+        self.last_seq = 0;
         self.offer_all();
     }
 }
