--- a/oxbowbend-core/src/shutdown.rs
+++ b/oxbowbend-core/src/shutdown.rs
@@ -83,7 +83,7 @@
     /// assert!(shutdown.admits(later, Some(Duration::from_millis(200)), false));
     /// assert!(!shutdown.admits(later, Some(Duration::from_secs(2)), false));
     /// assert!(!shutdown.admits(later, None, false));
-    /// // OtherCells are ready.
+    /// // Others are ready.
     /// assert!(!shutdown.admits(later, Some(Duration::from_millis(200)), true));
     /// ```
     pub fn admits(
