--- a/oxbowbend-core/tests/restarts.rs
+++ b/oxbowbend-core/tests/restarts.rs
@@ -6,14 +6,13 @@
 
 use cells::{cell, endpoint, placed, want, MS};
 use oxbowbend_core::cell::{Cell, Outcome, ReportDetail, REPORT_DELAY};
-
 use oxbowbend_core::routes::Endpoint;
 
 fn endpoint_started_at(n: u8, slots: u32, started_at_ms: u64) -> Endpoint {
     Endpoint { started_at_ms, ..endpoint(n, slots) }
 }
 
-fn arrive(cell: &mut Cell, now: Instant, requests: u32) {
+fn enqueue(cell: &mut Cell, now: Instant, requests: u32) {
     for _ in 0..requests {
         cell.enqueue(want(0, 100, now));
     }
@@ -24,10 +23,10 @@
     let now = Instant::now();
     let (old, new) = (endpoint_started_at(0, 2, 1000), endpoint_started_at(0, 2, 2000));
     let mut cell = cell("a", std::slice::from_ref(&old));
-    arrive(&mut cell, now, 2);
+    enqueue(&mut cell, now, 2);
     assert_eq!(placed(&mut cell, now).len(), 2);
     cell.set_endpoints([new.clone()]);
-    arrive(&mut cell, now, 3);
+    enqueue(&mut cell, now, 3);
     assert_eq!(placed(&mut cell, now).len(), 2);
     // The end of a request from the earlier run frees no slot of the new one.
     (0..2).for_each(|_| cell.finish(now, old.key(), 100, Outcome::Bad));
@@ -54,7 +53,7 @@
     assert_eq!(cell.known_paces(now), [(other.key(), 20_000)]);
     (0..4).for_each(|_| cell.record_outcome(now, old.key(), Outcome::Bad));
     cell.record_slow_response(now, old.key(), now);
-    arrive(&mut cell, now, 4);
+    enqueue(&mut cell, now, 4);
     let used = placed(&mut cell, now);
     assert!(used.iter().any(|(_, endpoint)| endpoint == "e0"), "{used:?}");
     assert_eq!(cell.take_ejections(), []);
