--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -358,7 +358,7 @@
     }
 
     /// Decides what time and evidence bring.
-    pub fn settle(&mut self, now: Instant) {
+    pub fn advance(&mut self, now: Instant) {
         for rollout in self.rollouts.values_mut() {
             self.changes.extend(rollout.advance(now));
         }
--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -236,7 +236,7 @@
     let mut complete = None;
     for tick in 0..200_u32 {
         let at = now + tick * 100 * MS;
-        rollouts.settle(at);
+        rollouts.advance(at);
         let shifted = phase(&mut rollouts, at) == Phase::Shift;
         if shifted && tick % 160 == 0 {
             rollouts.request_finished(at, &old, "r", None);
@@ -253,7 +253,7 @@
     let parts = rollouts.set_endpoints(complete, &endpoints());
     assert!(parts[..20].iter().all(|p| *p == EndpointRole::Excluded));
     assert!(parts[20..].iter().all(|p| matches!(p, EndpointRole::Version(_))));
-    rollouts.settle(complete + 11 * S);
+    rollouts.advance(complete + 11 * S);
     assert!(rollouts
         .set_endpoints(complete, &endpoints())
         .iter()
@@ -273,7 +273,7 @@
             rollouts.request_finished(now, &new, "r", Some(ResponseOutcome::Failure));
         }
     }
-    rollouts.settle(now);
+    rollouts.advance(now);
     let changes = rollouts.take_changes();
     assert!(matches!(changes.last().map(|c| c.reason), Some(PhaseReason::Worse(_))), "{changes:?}");
     for again in [order("2"), RolloutSpec { duration: S, ..order("2") }] {
@@ -296,9 +296,9 @@
     // Meanwhile all of it is served by all of them.
     assert!(parts.iter().all(|part| matches!(part, EndpointRole::Version(_))), "{parts:?}");
     (0..20).for_each(|_| assert_ne!(rollouts.assign_request(&"s".into(), true, true), "s".into()));
-    rollouts.settle(now);
+    rollouts.advance(now);
     assert_eq!(rollouts.due_status_writes(now)[0].1, Status::Running);
-    rollouts.settle(now + 4 * S);
+    rollouts.advance(now + 4 * S);
     assert_eq!(rollouts.due_status_writes(now + 4 * S)[0].1, Status::Complete);
 }
 
@@ -307,13 +307,13 @@
     let now = Instant::now();
     let mut rollouts = Rollouts::new(BOUNDS);
     rollouts.start(now, order("2"), LONGEST);
-    rollouts.settle(now + DURATION);
+    rollouts.advance(now + DURATION);
     assert!(
         rollouts.due_status_writes(now + DURATION).is_empty(),
         "of an unknown service nothing is told"
     );
     rollouts.set_endpoints(now, &[endpoint("a", "1")]);
-    rollouts.settle(now + DURATION);
+    rollouts.advance(now + DURATION);
     assert_eq!(rollouts.due_status_writes(now + DURATION)[0].1, Status::RolledBack);
 }
 
@@ -381,7 +381,7 @@
                         Some(ResponseOutcome::Failure),
                     )
                 });
-                self.instances[n].settle(now);
+                self.instances[n].advance(now);
             }
             Event::Tell(from, to) => {
                 let told = self.instances[from].make_records(now, PeerLocation::SameCell);
@@ -392,7 +392,7 @@
             }
             Event::Time => {
                 self.now += 15 * S;
-                self.instances.iter_mut().for_each(|i| i.settle(now + 15 * S));
+                self.instances.iter_mut().for_each(|i| i.advance(now + 15 * S));
             }
             Event::Restart(n) => {
                 self.instances[n] = Rollouts::new(BOUNDS);
--- a/oxbowbend-gateway/src/rollouts.rs
+++ b/oxbowbend-gateway/src/rollouts.rs
@@ -66,7 +66,7 @@
 
     /// Decides what time and evidence bring.
     pub(crate) fn settle_rollouts(&mut self, now: Instant) {
-        self.rollouts.settle(now);
+        self.rollouts.advance(now);
         self.follow_rollouts(now);
     }
 
