--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -289,7 +289,7 @@
 
     /// Notes that a request began to run at an endpoint.
     pub fn request_started(&mut self, endpoint: &Endpoint) {
-        if let Some(rollout) = self.rollouts.get_mut(base(&endpoint.service)) {
+        if let Some(rollout) = self.rollouts.get_mut(base_service(&endpoint.service)) {
             if rollout.group(endpoint) == Some(VersionGroup::Baseline) {
                 rollout.baseline_in_flight += 1;
             }
@@ -304,7 +304,7 @@
         route: &str,
         answer: Option<ResponseOutcome>,
     ) {
-        let Some(rollout) = self.rollouts.get_mut(base(&endpoint.service)) else { return };
+        let Some(rollout) = self.rollouts.get_mut(base_service(&endpoint.service)) else { return };
         let Some(side) = rollout.group(endpoint) else { return };
         if side == VersionGroup::Baseline {
             rollout.baseline_in_flight = rollout.baseline_in_flight.saturating_sub(1);
@@ -381,6 +381,6 @@
 }
 
 /// A service's name without that of a part.
-fn base(service: &ServiceId) -> &str {
+fn base_service(service: &ServiceId) -> &str {
     service.split(VERSION_SEPARATOR).next().unwrap_or(service)
 }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -6,7 +6,7 @@
 use super::detector;
 use super::responses::{ResponseHistory, RolloutId, VersionGroup};
 use super::{
-    base, EndpointRole, PeerLocation, Phase, PhaseChange, PhaseReason, RolloutSpec, Status,
+    base_service, EndpointRole, PeerLocation, Phase, PhaseChange, PhaseReason, RolloutSpec, Status,
     VERSION_SEPARATOR,
 };
 use crate::ids::{InstanceId, ServiceId};
@@ -116,7 +116,7 @@
 
     /// On which side an endpoint is, if it belongs to the service.
     pub(super) fn group(&self, endpoint: &Endpoint) -> Option<VersionGroup> {
-        if base(&endpoint.service) != &*self.spec.service {
+        if base_service(&endpoint.service) != &*self.spec.service {
             return None;
         }
         let is_new = endpoint.version == self.spec.destination;
