--- a/oxbowbend-core/src/rollout/responses.rs
+++ b/oxbowbend-core/src/rollout/responses.rs
@@ -20,7 +20,7 @@
 /// Class of failures.
 const FAILURE_BUCKET: u8 = LATENCY_BUCKETS as u8;
 /// Nanoseconds for a unit of work up to which an answer is in the first class.
-const FIRST_BUCKET_MAX_NS: f64 = 1_000.0;
+const BUCKET_BASE_NS: f64 = 1_000.0;
 /// Time for which answers are added up.
 const SLOT_DURATION: Duration = Duration::from_millis(500);
 /// Times that are kept: what is older says nothing of a version that has turned bad since.
@@ -92,7 +92,7 @@
 }
 
 fn latency_bucket(ns_per_unit: f64) -> u8 {
-    let times = (ns_per_unit / FIRST_BUCKET_MAX_NS).max(1.0).log2();
+    let times = (ns_per_unit / BUCKET_BASE_NS).max(1.0).log2();
     (times as usize).min(LATENCY_BUCKETS - 1) as u8
 }
 
