--- a/oxbowbend-core/src/quarantine/crashes.rs
+++ b/oxbowbend-core/src/quarantine/crashes.rs
@@ -28,14 +28,14 @@
 }
 
 impl From<(Fingerprint, bool)> for InterruptedAttempt {
-    fn from((fingerprint, is_quiet): (Fingerprint, bool)) -> InterruptedAttempt {
-        InterruptedAttempt { fingerprint, awaiting_response: is_quiet }
+    fn from((fingerprint, awaiting_response): (Fingerprint, bool)) -> InterruptedAttempt {
+        InterruptedAttempt { fingerprint, awaiting_response }
     }
 }
 
 impl From<InterruptedAttempt> for (Fingerprint, bool) {
-    fn from(run: InterruptedAttempt) -> (Fingerprint, bool) {
-        (run.fingerprint, run.awaiting_response)
+    fn from(attempt: InterruptedAttempt) -> (Fingerprint, bool) {
+        (attempt.fingerprint, attempt.awaiting_response)
     }
 }
 
@@ -58,23 +58,26 @@
 impl Crash {
     /// All that ran there.
     pub(super) fn fingerprints(&self) -> impl Iterator<Item = Fingerprint> + '_ {
-        self.attempts.iter().map(|run| run.fingerprint)
+        self.attempts.iter().map(|attempt| attempt.fingerprint)
     }
 
     /// What is suspected of having ended it: that of whose answers nothing had come.
     pub(super) fn suspects(&self) -> impl Iterator<Item = Fingerprint> + '_ {
-        self.attempts.iter().filter(|run| run.awaiting_response).map(|run| run.fingerprint)
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.awaiting_response)
+            .map(|attempt| attempt.fingerprint)
     }
 
-    fn add_attempt(&mut self, run: InterruptedAttempt) -> bool {
-        let known = self.attempts.iter_mut().find(|known| known.fingerprint == run.fingerprint);
+    fn add_attempt(&mut self, attempt: InterruptedAttempt) -> bool {
+        let known = self.attempts.iter_mut().find(|known| known.fingerprint == attempt.fingerprint);
         if let Some(known) = known {
-            let is_news = run.awaiting_response && !known.awaiting_response;
-            known.awaiting_response |= run.awaiting_response;
-            return is_news;
+            let is_new = attempt.awaiting_response && !known.awaiting_response;
+            known.awaiting_response |= attempt.awaiting_response;
+            return is_new;
         }
         let has_room = self.attempts.len() < MAX_ATTEMPTS_PER_CRASH;
-        self.attempts.extend(has_room.then_some(run));
+        self.attempts.extend(has_room.then_some(attempt));
         has_room
     }
 }
@@ -88,25 +91,25 @@
 impl Crashes {
     /// Those of which it is known what ran there.
     pub(super) fn settled(&self) -> impl Iterator<Item = &Crash> {
-        self.crashes.iter().filter(|end| end.is_settled)
+        self.crashes.iter().filter(|crash| crash.is_settled)
     }
 
     /// Settles what was learned of so long ago; tells whether there is something new to judge by.
-    pub(super) fn mark_settled(&mut self, now: Instant, after: Duration) -> bool {
-        let is_due = |end: &&mut Crash| {
-            !end.is_settled && now.saturating_duration_since(end.first_seen_at) >= after
+    pub(super) fn mark_settled(&mut self, now: Instant, settling_time: Duration) -> bool {
+        let is_due = |crash: &&mut Crash| {
+            !crash.is_settled && now.saturating_duration_since(crash.first_seen_at) >= settling_time
         };
-        let due = self.crashes.iter_mut().filter(is_due).map(|end| end.is_settled = true);
+        let due = self.crashes.iter_mut().filter(is_due).map(|crash| crash.is_settled = true);
         due.count() > 0
     }
 
     pub(super) fn is_known(&self, endpoint: EndpointKey) -> bool {
-        self.crashes.iter().any(|end| end.endpoint == endpoint)
+        self.crashes.iter().any(|crash| crash.endpoint == endpoint)
     }
 
     /// Whether a request was at an end.
     pub(super) fn involves(&self, fingerprint: Fingerprint) -> bool {
-        self.crashes.iter().any(|end| end.fingerprints().any(|f| f == fingerprint))
+        self.crashes.iter().any(|crash| crash.fingerprints().any(|f| f == fingerprint))
     }
 
     /// Takes runs in of an end at `at`; tells whether something is new.
@@ -115,10 +118,10 @@
         now: Instant,
         at: Instant,
         endpoint: EndpointKey,
-        runs: &[InterruptedAttempt],
-        is_own: bool,
+        attempts: &[InterruptedAttempt],
+        is_local: bool,
     ) -> bool {
-        let known = self.crashes.iter().position(|end| end.endpoint == endpoint);
+        let known = self.crashes.iter().position(|crash| crash.endpoint == endpoint);
         let index = known.unwrap_or_else(|| {
             if self.crashes.len() >= MAX_CRASHES {
                 self.crashes.pop_front();
@@ -129,29 +132,29 @@
                 updated_at: now,
                 first_seen_at: now,
                 is_settled: false,
-                is_local: is_own,
+                is_local,
                 attempts: Vec::new(),
             });
             self.crashes.len() - 1
         });
-        let end = &mut self.crashes[index];
-        end.is_local |= is_own;
-        let added = runs.iter().filter(|run| end.add_attempt(**run)).count();
+        let crash = &mut self.crashes[index];
+        crash.is_local |= is_local;
+        let added = attempts.iter().filter(|attempt| crash.add_attempt(**attempt)).count();
         if added > 0 {
-            end.updated_at = now;
+            crash.updated_at = now;
         }
         added > 0 || known.is_none()
     }
 
     /// Takes a request off all ends up to an instant; tells whether it was there.
     pub(super) fn remove_request(&mut self, fingerprint: Fingerprint, until: Instant) -> bool {
-        let mut was_there = false;
-        for end in self.crashes.iter_mut().filter(|end| end.crashed_at <= until) {
-            let before = end.attempts.len();
-            end.attempts.retain(|run| run.fingerprint != fingerprint);
-            was_there |= end.attempts.len() < before;
+        let mut was_present = false;
+        for crash in self.crashes.iter_mut().filter(|crash| crash.crashed_at <= until) {
+            let count = crash.attempts.len();
+            crash.attempts.retain(|attempt| attempt.fingerprint != fingerprint);
+            was_present |= crash.attempts.len() < count;
         }
-        was_there
+        was_present
     }
 
     /// The newest of which something was learned lately, here or, to be passed on, from others. `in_full` also older ones
@@ -160,26 +163,29 @@
     pub(super) fn collect_records(
         &self,
         now: Instant,
-        lately: Duration,
-        passes_on: bool,
-        in_full: bool,
+        max_age: Duration,
+        include_remote: bool,
+        is_full: bool,
     ) -> Vec<CrashRecord> {
-        let repeated = if in_full { self.repeat_suspects() } else { HashSet::new() };
-        let is_late = |end: &Crash| now.saturating_duration_since(end.updated_at) < lately;
-        let is_again = |end: &Crash| end.is_local && end.suspects().any(|f| repeated.contains(&f));
-        let is_told = |end: &&Crash| (is_late(end) && (end.is_local || passes_on)) || is_again(end);
-        let told = self.crashes.iter().rev().filter(is_told).take(MAX_RECORDS_PER_UPDATE);
-        let told = told.map(|end| CrashRecord {
-            endpoint: end.endpoint,
-            age_ms: age_ms(now, end.crashed_at),
-            attempts: end.attempts.clone(),
+        let repeated = if is_full { self.repeat_suspects() } else { HashSet::new() };
+        let is_recent = |crash: &Crash| now.saturating_duration_since(crash.updated_at) < max_age;
+        let is_repeat =
+            |crash: &Crash| crash.is_local && crash.suspects().any(|f| repeated.contains(&f));
+        let is_included = |crash: &&Crash| {
+            (is_recent(crash) && (crash.is_local || include_remote)) || is_repeat(crash)
+        };
+        let records = self.crashes.iter().rev().filter(is_included).take(MAX_RECORDS_PER_UPDATE);
+        let records = records.map(|crash| CrashRecord {
+            endpoint: crash.endpoint,
+            age_ms: age_ms(now, crash.crashed_at),
+            attempts: crash.attempts.clone(),
         });
-        told.collect()
+        records.collect()
     }
 
     /// Requests that are suspected of several ends.
     fn repeat_suspects(&self) -> HashSet<Fingerprint> {
-        let mut once = HashSet::new();
-        self.crashes.iter().flat_map(Crash::suspects).filter(|f| !once.insert(*f)).collect()
+        let mut seen = HashSet::new();
+        self.crashes.iter().flat_map(Crash::suspects).filter(|f| !seen.insert(*f)).collect()
     }
 }
--- a/oxbowbend-core/src/quarantine/decisions.rs
+++ b/oxbowbend-core/src/quarantine/decisions.rs
@@ -76,36 +76,37 @@
     }
 
     fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
-        self.decisions.get(&fingerprint).is_some_and(|v| v.trial_due.is_some())
+        self.decisions.get(&fingerprint).is_some_and(|d| d.trial_due.is_some())
     }
 
     /// Requests in quarantine.
     pub(super) fn quarantined(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.decisions
             .iter()
-            .filter(|(_, v)| v.trial_due.is_some())
+            .filter(|(_, d)| d.trial_due.is_some())
             .map(|(fingerprint, _)| *fingerprint)
     }
 
     pub(super) fn trials(&self, fingerprint: Fingerprint) -> u32 {
-        self.decisions.get(&fingerprint).map_or(0, |v| v.trials)
+        self.decisions.get(&fingerprint).map_or(0, |d| d.trials)
     }
 
     pub(super) fn blocked_for(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
-        let until = self.decisions.get(&fingerprint)?.trial_due? + self.trial_jitter(fingerprint);
-        (now < until).then(|| until - now)
+        let trial_at =
+            self.decisions.get(&fingerprint)?.trial_due? + self.trial_jitter(fingerprint);
+        (now < trial_at).then(|| trial_at - now)
     }
 
     pub(super) fn check_send(&mut self, now: Instant, fingerprint: Fingerprint) -> SendPermission {
-        if let Some(left) = self.blocked_for(now, fingerprint) {
-            return SendPermission::Blocked(left);
+        if let Some(remaining) = self.blocked_for(now, fingerprint) {
+            return SendPermission::Blocked(remaining);
         }
-        match self.decisions.get_mut(&fingerprint).filter(|v| v.trial_due.is_some()) {
+        match self.decisions.get_mut(&fingerprint).filter(|d| d.trial_due.is_some()) {
             None => SendPermission::Allowed,
-            Some(verdict) => {
-                verdict.trials += 1;
-                verdict.trial_due = Some(now + trial_delay(verdict.trials));
-                (verdict.updated_at, verdict.is_local) = (now, true);
+            Some(decision) => {
+                decision.trials += 1;
+                decision.trial_due = Some(now + trial_delay(decision.trials));
+                (decision.updated_at, decision.is_local) = (now, true);
                 SendPermission::Trial
             }
         }
@@ -120,19 +121,18 @@
     /// Quarantines a request; returns for how long.
     pub(super) fn quarantine(&mut self, now: Instant, fingerprint: Fingerprint) -> Duration {
         self.evict_if_full(now);
-        let epoch = self.decisions.get(&fingerprint).map_or(0, |v| v.epoch) + 1;
-        let until = Some(now + trial_delay(0));
-        let verdict =
-            Decision { epoch, trials: 0, trial_due: until, updated_at: now, is_local: true };
-        self.decisions.insert(fingerprint, verdict);
+        let epoch = self.decisions.get(&fingerprint).map_or(0, |d| d.epoch) + 1;
+        let trial_due = Some(now + trial_delay(0));
+        let decision = Decision { epoch, trials: 0, trial_due, updated_at: now, is_local: true };
+        self.decisions.insert(fingerprint, decision);
         trial_delay(0)
     }
 
     /// Ends a quarantine; tells whether there was one.
     pub(super) fn release(&mut self, now: Instant, fingerprint: Fingerprint) -> bool {
-        let held = self.decisions.get_mut(&fingerprint).filter(|v| v.trial_due.is_some());
-        let Some(verdict) = held else { return false };
-        (verdict.trial_due, verdict.updated_at, verdict.is_local) = (None, now, true);
+        let active = self.decisions.get_mut(&fingerprint).filter(|d| d.trial_due.is_some());
+        let Some(decision) = active else { return false };
+        (decision.trial_due, decision.updated_at, decision.is_local) = (None, now, true);
         true
     }
 
@@ -140,44 +140,44 @@
     pub(super) fn apply_record(
         &mut self,
         now: Instant,
-        told: &DecisionRecord,
+        record: &DecisionRecord,
     ) -> Option<DecisionOutcome> {
-        let known = self.decisions.get(&told.fingerprint);
-        let order = |epoch, is_over, trials| (epoch, is_over, trials);
-        let theirs = order(told.epoch, told.remaining_ms.is_none(), told.trials);
+        let known = self.decisions.get(&record.fingerprint);
+        let version = |epoch, is_over, trials| (epoch, is_over, trials);
+        let incoming = version(record.epoch, record.remaining_ms.is_none(), record.trials);
         let is_old =
-            known.is_some_and(|v| order(v.epoch, v.trial_due.is_none(), v.trials) >= theirs);
-        if is_old || (known.is_none() && told.remaining_ms.is_none()) {
+            known.is_some_and(|d| version(d.epoch, d.trial_due.is_none(), d.trials) >= incoming);
+        if is_old || (known.is_none() && record.remaining_ms.is_none()) {
             return None;
         }
         self.evict_if_full(now);
-        let left = told
+        let remaining = record
             .remaining_ms
             .map(|ms| Duration::from_millis(u64::from(ms)).min(TRIAL_DELAY_RANGE.1));
-        let verdict = Decision {
-            epoch: told.epoch,
-            trials: told.trials,
-            trial_due: left.map(|left| now + left),
+        let decision = Decision {
+            epoch: record.epoch,
+            trials: record.trials,
+            trial_due: remaining.map(|remaining| now + remaining),
             updated_at: now,
             is_local: false,
         };
-        self.decisions.insert(told.fingerprint, verdict);
-        Some(left.map_or(DecisionOutcome::Released, DecisionOutcome::Quarantined))
+        self.decisions.insert(record.fingerprint, decision);
+        Some(remaining.map_or(DecisionOutcome::Released, DecisionOutcome::Quarantined))
     }
 
     fn evict_if_full(&mut self, now: Instant) {
-        let is_kept = |v: &Decision| {
-            let over = v.trial_due.unwrap_or(v.updated_at).max(v.updated_at);
-            now.saturating_duration_since(over) < DECISION_RETENTION
+        let is_kept = |d: &Decision| {
+            let ends_at = d.trial_due.unwrap_or(d.updated_at).max(d.updated_at);
+            now.saturating_duration_since(ends_at) < DECISION_RETENTION
         };
         if self.decisions.len() < MAX_DECISIONS {
             return;
         }
-        self.decisions.retain(|_, v| is_kept(v));
+        self.decisions.retain(|_, d| is_kept(d));
         let first = self
             .decisions
             .iter()
-            .min_by_key(|(_, v)| v.trial_due)
+            .min_by_key(|(_, d)| d.trial_due)
             .map(|(fingerprint, _)| *fingerprint);
         if self.decisions.len() >= MAX_DECISIONS {
             first.map(|fingerprint| self.decisions.remove(&fingerprint));
@@ -187,48 +187,48 @@
     pub(super) fn collect_records(
         &mut self,
         now: Instant,
-        lately: Duration,
-        in_full: bool,
+        max_age: Duration,
+        is_full: bool,
     ) -> Vec<DecisionRecord> {
-        let is_late = |v: &Decision| now.saturating_duration_since(v.updated_at) < lately;
-        let late = self.decisions.iter().filter(|(_, v)| is_late(v)).take(MAX_RECORDS_PER_UPDATE);
-        let mut told: Vec<_> = late.map(|(f, v)| v.to_record(now, *f)).collect();
-        if in_full {
+        let is_recent = |d: &Decision| now.saturating_duration_since(d.updated_at) < max_age;
+        let recent =
+            self.decisions.iter().filter(|(_, d)| is_recent(d)).take(MAX_RECORDS_PER_UPDATE);
+        let mut records: Vec<_> = recent.map(|(f, d)| d.to_record(now, *f)).collect();
+        if is_full {
             let rest = self
                 .decisions
                 .range(self.sync_cursor..)
-                .filter(|(_, v)| !is_late(v))
+                .filter(|(_, d)| !is_recent(d))
                 .take(MAX_RECORDS_PER_UPDATE);
-            let rest: Vec<_> = rest.map(|(f, v)| v.to_record(now, *f)).collect();
+            let rest: Vec<_> = rest.map(|(f, d)| d.to_record(now, *f)).collect();
             self.sync_cursor = rest.last().map_or(0, |last| last.fingerprint.wrapping_add(1));
-            told.extend(rest);
+            records.extend(rest);
         }
-        told
+        records
     }
 
-    pub(super) fn records_to_store(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
-        let is_noted = |v: &Decision| v.trial_due.is_some() && (all || v.is_local);
-        let mut noted: Vec<_> = self.decisions.iter().filter(|(_, v)| is_noted(v)).collect();
-        noted.sort_by_key(|(_, v)| std::cmp::Reverse(v.updated_at));
-        let noted = noted.into_iter().take(MAX_RECORDS_PER_UPDATE);
+    pub(super) fn records_to_store(
+        &self,
+        now: Instant,
+        include_remote: bool,
+    ) -> Vec<DecisionRecord> {
+        let is_stored = |d: &Decision| d.trial_due.is_some() && (include_remote || d.is_local);
+        let mut stored: Vec<_> = self.decisions.iter().filter(|(_, d)| is_stored(d)).collect();
+        stored.sort_by_key(|(_, d)| std::cmp::Reverse(d.updated_at));
+        let stored = stored.into_iter().take(MAX_RECORDS_PER_UPDATE);
         // Whoever reads it does not know how old it is: its time begins anew, and the note stays as it is.
-        let note = |f: Fingerprint, v: &Decision| DecisionRecord {
-            remaining_ms: Some(trial_delay(v.trials).as_millis() as u32),
-            ..v.to_record(now, f)
+        let to_stored_record = |f: Fingerprint, d: &Decision| DecisionRecord {
+            remaining_ms: Some(trial_delay(d.trials).as_millis() as u32),
+            ..d.to_record(now, f)
         };
-        noted.map(|(f, v)| note(*f, v)).collect()
+        stored.map(|(f, d)| to_stored_record(*f, d)).collect()
     }
 }
 
 impl Decision {
     fn to_record(&self, now: Instant, fingerprint: Fingerprint) -> DecisionRecord {
-        let left_ms = self.trial_due.map(|until| age_ms(until, now));
-        DecisionRecord {
-            fingerprint,
-            epoch: self.epoch,
-            trials: self.trials,
-            remaining_ms: left_ms,
-        }
+        let remaining_ms = self.trial_due.map(|trial_due| age_ms(trial_due, now));
+        DecisionRecord { fingerprint, epoch: self.epoch, trials: self.trials, remaining_ms }
     }
 }
 
@@ -249,29 +249,38 @@
 /// Judges anew by all ends that are known. The request that was at most of them explains these, then the one
 /// that was at most of the rest, and so on: one that was taken for a culprit since it ran beside several of them is
 /// cleared when they are found.
-pub(super) fn analyze_crashes(ends: &Crashes, verdicts: &Decisions) -> CrashAnalysis {
-    let mut known: HashMap<Fingerprint, u32> = HashMap::new();
-    ends.settled().flat_map(Crash::fingerprints).for_each(|f| *known.entry(f).or_default() += 1);
-    let held: Vec<_> = known.keys().copied().filter(|f| verdicts.is_quarantined(*f)).collect();
+pub(super) fn analyze_crashes(crashes: &Crashes, decisions: &Decisions) -> CrashAnalysis {
+    let mut crash_counts: HashMap<Fingerprint, u32> = HashMap::new();
+    crashes
+        .settled()
+        .flat_map(Crash::fingerprints)
+        .for_each(|f| *crash_counts.entry(f).or_default() += 1);
+    let quarantined: Vec<_> =
+        crash_counts.keys().copied().filter(|f| decisions.is_quarantined(*f)).collect();
     // Of these not enough is known here to judge anew.
-    let mut found: HashSet<_> =
-        held.iter().copied().filter(|f| known[f] < CRASH_THRESHOLD as u32).collect();
-    let mut culprits = Vec::new();
+    let mut known_causes: HashSet<_> =
+        quarantined.iter().copied().filter(|f| crash_counts[f] < CRASH_THRESHOLD as u32).collect();
+    let mut causes = Vec::new();
     loop {
-        let next = most_likely_causes(ends, &found);
+        let next = most_likely_causes(crashes, &known_causes);
         if next.is_empty() {
             break;
         }
-        found.extend(next.iter().map(|culprit| culprit.fingerprint));
-        culprits.extend(next);
+        known_causes.extend(next.iter().map(|cause| cause.fingerprint));
+        causes.extend(next);
     }
     let is_explained = |f: &Fingerprint| {
-        let mut mine = ends.settled().filter(|end| end.fingerprints().any(|run| run == *f));
-        !found.contains(f) && mine.all(|end| end.fingerprints().any(|run| found.contains(&run)))
+        let mut involved = crashes
+            .settled()
+            .filter(|crash| crash.fingerprints().any(|fingerprint| fingerprint == *f));
+        !known_causes.contains(f)
+            && involved.all(|crash| {
+                crash.fingerprints().any(|fingerprint| known_causes.contains(&fingerprint))
+            })
     };
-    let cleared = held.into_iter().filter(is_explained).collect();
-    culprits.retain(|culprit| !verdicts.is_quarantined(culprit.fingerprint));
-    CrashAnalysis { causes: culprits, cleared }
+    let cleared = quarantined.into_iter().filter(is_explained).collect();
+    causes.retain(|cause| !decisions.is_quarantined(cause.fingerprint));
+    CrashAnalysis { causes, cleared }
 }
 
 /// The request that must have ended most endpoints at whose end none of those found was.
@@ -279,12 +288,13 @@
 /// It must be suspected of [`CRASH_THRESHOLD`] ends, and no other one may be suspected of all of them too: the two
 /// could not be told apart, and one more end tells. If it does not, both are held. Against requests that end
 /// endpoints late, when something has come of their answers, being at [`PRESENCE_THRESHOLD`] ends is enough.
-fn most_likely_causes(ends: &Crashes, found: &HashSet<Fingerprint>) -> Vec<CrashCause> {
-    let open = ends.settled().filter(|end| !end.fingerprints().any(|f| found.contains(&f)));
-    let (mut suspected, mut beside) = (CrashesByRequest::default(), CrashesByRequest::default());
-    for end in open {
-        end.suspects().for_each(|f| suspected.add(f, end.endpoint));
-        end.fingerprints().for_each(|f| beside.add(f, end.endpoint));
+fn most_likely_causes(crashes: &Crashes, known_causes: &HashSet<Fingerprint>) -> Vec<CrashCause> {
+    let unexplained =
+        crashes.settled().filter(|crash| !crash.fingerprints().any(|f| known_causes.contains(&f)));
+    let (mut suspected, mut present) = (CrashesByRequest::default(), CrashesByRequest::default());
+    for crash in unexplained {
+        crash.suspects().for_each(|f| suspected.add(f, crash.endpoint));
+        crash.fingerprints().for_each(|f| present.add(f, crash.endpoint));
     }
     let suspects = suspected.top_causes();
     let is_certain = suspects.len() == 1;
@@ -293,8 +303,8 @@
     }) {
         return suspects;
     }
-    let is_enough = |culprit: &CrashCause| culprit.crashes.len() >= PRESENCE_THRESHOLD;
-    beside.top_causes().into_iter().filter(is_enough).collect()
+    let is_enough = |cause: &CrashCause| cause.crashes.len() >= PRESENCE_THRESHOLD;
+    present.top_causes().into_iter().filter(is_enough).collect()
 }
 
 /// Ends by request.
@@ -315,18 +325,20 @@
         if most < CRASH_THRESHOLD {
             return Vec::new();
         }
-        let groups = self.crashes.values().filter(|ends| ends.len() == most);
-        let groups = groups.map(|ends| self.indistinguishable_from(ends));
+        let groups = self.crashes.values().filter(|crashes| crashes.len() == most);
+        let groups = groups.map(|crashes| self.indistinguishable_from(crashes));
         groups.min_by_key(|group| (group.len(), group[0].fingerprint)).unwrap_or_default()
     }
 
     /// Requests that were at all of these ends, in order.
-    fn indistinguishable_from(&self, ends: &[EndpointKey]) -> Vec<CrashCause> {
-        let is_like = |theirs: &&Vec<EndpointKey>| ends.iter().all(|end| theirs.contains(end));
-        let alike = self.crashes.iter().filter(|(_, theirs)| is_like(theirs));
-        let alike = alike.map(|(f, ends)| CrashCause { fingerprint: *f, crashes: ends.clone() });
-        let mut alike: Vec<_> = alike.collect();
-        alike.sort_by_key(|culprit| culprit.fingerprint);
-        alike
+    fn indistinguishable_from(&self, crashes: &[EndpointKey]) -> Vec<CrashCause> {
+        let includes_all =
+            |other: &&Vec<EndpointKey>| crashes.iter().all(|crash| other.contains(crash));
+        let group = self.crashes.iter().filter(|(_, other)| includes_all(other));
+        let group =
+            group.map(|(f, crashes)| CrashCause { fingerprint: *f, crashes: crashes.clone() });
+        let mut group: Vec<_> = group.collect();
+        group.sort_by_key(|cause| cause.fingerprint);
+        group
     }
 }
--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -112,7 +112,7 @@
 ///
 /// use oxbowbend_core::quarantine::{SendPermission, Quarantine, InterruptedAttempt, CRASH_SETTLING_TIME};
 ///
-/// let (mut quarantine, now) = (Quarantine::candidate(&"i-1".into()), Instant::now());
+/// let (mut quarantine, now) = (Quarantine::new(&"i-1".into()), Instant::now());
 /// for endpoint in 0..3 {
 ///     assert_eq!(quarantine.check_send(now, 7), SendPermission::Allowed);
 ///     quarantine.attempt_interrupted(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, awaiting_response: true });
@@ -148,12 +148,12 @@
     /// Whether a request may be sent to an endpoint now. To be asked right before that, since a trial counts as
     /// begun with it.
     pub fn check_send(&mut self, now: Instant, fingerprint: Fingerprint) -> SendPermission {
-        let gate = self.decisions.check_send(now, fingerprint);
-        if gate == SendPermission::Trial {
+        let permission = self.decisions.check_send(now, fingerprint);
+        if permission == SendPermission::Trial {
             let trials = self.decisions.trials(fingerprint);
             self.events.push(QuarantineEvent::TrialStarted { fingerprint, trials });
         }
-        gate
+        permission
     }
 
     /// For how long a request is not to be sent, if so.
@@ -167,10 +167,10 @@
         now: Instant,
         endpoint: &EndpointId,
         key: EndpointKey,
-        run: InterruptedAttempt,
+        attempt: InterruptedAttempt,
     ) {
         if self.crashes.is_known(key) {
-            self.add_crash(now, now, key, vec![run], true);
+            self.add_crash(now, now, key, vec![attempt], true);
             return;
         }
         self.pending.retain(|p| {
@@ -183,7 +183,7 @@
             endpoint: endpoint.clone(),
             key,
             interrupted_at: now,
-            attempt: run,
+            attempt,
         });
     }
 
@@ -194,16 +194,16 @@
 
     /// Notes that a start of an endpoint has ended.
     pub fn endpoint_crashed(&mut self, now: Instant, key: EndpointKey) {
-        let (ended, rest) =
+        let (confirmed, rest) =
             std::mem::take(&mut self.pending).into_iter().partition(|p| p.key == key);
         self.pending = rest;
         let is_fresh = |p: &PendingAttempt| {
             now.saturating_duration_since(p.interrupted_at) < CRASH_CONFIRMATION_TIMEOUT
         };
-        let runs: Vec<InterruptedAttempt> =
-            Vec::into_iter(ended).filter(is_fresh).map(|p| p.attempt).collect();
-        if !runs.is_empty() {
-            self.add_crash(now, now, key, runs, true);
+        let attempts: Vec<InterruptedAttempt> =
+            Vec::into_iter(confirmed).filter(is_fresh).map(|p| p.attempt).collect();
+        if !attempts.is_empty() {
+            self.add_crash(now, now, key, attempts, true);
         }
     }
 
@@ -233,58 +233,58 @@
         &mut self,
         now: Instant,
         extent: Extent,
-        passes_on: bool,
+        include_remote: bool,
     ) -> QuarantineUpdate {
-        let in_full = extent == Extent::Full;
-        let (ends_for, rest_for) = match extent {
+        let is_full = extent == Extent::Full;
+        let (crash_max_age, max_age) = match extent {
             Extent::Loads => (IMMEDIATE_GOSSIP_PERIOD, IMMEDIATE_GOSSIP_PERIOD),
             Extent::Changes | Extent::Full => (CRASH_GOSSIP_PERIOD, GOSSIP_PERIOD),
         };
         QuarantineUpdate {
-            crashes: self.crashes.collect_records(now, ends_for, passes_on, in_full),
-            decisions: self.decisions.collect_records(now, rest_for, in_full),
-            successes: self.successes.collect_records(now, rest_for),
+            crashes: self.crashes.collect_records(now, crash_max_age, include_remote, is_full),
+            decisions: self.decisions.collect_records(now, max_age, is_full),
+            successes: self.successes.collect_records(now, max_age),
         }
     }
 
     /// Takes in what another instance tells; whatever it tells twice changes nothing. Returns the starts of endpoints
     /// that are newly known to have ended.
-    pub fn apply_update(&mut self, now: Instant, told: &QuarantineUpdate) -> Vec<EndpointKey> {
-        for answer in &told.successes {
-            let at = instant_before(now, answer.age_ms);
-            if self.successes.record_remote(now, answer.fingerprint, at) {
-                self.clear_suspicion(now, answer.fingerprint, at);
+    pub fn apply_update(&mut self, now: Instant, update: &QuarantineUpdate) -> Vec<EndpointKey> {
+        for success in &update.successes {
+            let at = instant_before(now, success.age_ms);
+            if self.successes.record_remote(now, success.fingerprint, at) {
+                self.clear_suspicion(now, success.fingerprint, at);
             }
         }
-        self.apply_decisions(now, &told.decisions);
-        let mut ended = Vec::new();
-        for end in &told.crashes {
-            if !self.crashes.is_known(end.endpoint) {
-                ended.push(end.endpoint);
+        self.apply_decisions(now, &update.decisions);
+        let mut new_crashes = Vec::new();
+        for crash in &update.crashes {
+            if !self.crashes.is_known(crash.endpoint) {
+                new_crashes.push(crash.endpoint);
             }
-            let at = instant_before(now, end.age_ms);
-            self.add_crash(now, at, end.endpoint, end.attempts.clone(), false);
+            let at = instant_before(now, crash.age_ms);
+            self.add_crash(now, at, crash.endpoint, crash.attempts.clone(), false);
         }
-        ended
+        new_crashes
     }
 
     /// Takes in decisions of other instances, or that the store holds.
-    pub fn apply_decisions(&mut self, now: Instant, verdicts: &[DecisionRecord]) {
-        for told in verdicts {
-            match self.decisions.apply_record(now, told) {
+    pub fn apply_decisions(&mut self, now: Instant, records: &[DecisionRecord]) {
+        for record in records {
+            match self.decisions.apply_record(now, record) {
                 Some(DecisionOutcome::Released) => {
-                    self.events.push(QuarantineEvent::Released { fingerprint: told.fingerprint });
+                    self.events.push(QuarantineEvent::Released { fingerprint: record.fingerprint });
                 }
-                Some(DecisionOutcome::Quarantined(pause)) if told.trials == 0 => {
-                    let (fingerprint, ends) = (told.fingerprint, Vec::new());
+                Some(DecisionOutcome::Quarantined(trial_delay)) if record.trials == 0 => {
+                    let (fingerprint, crashes) = (record.fingerprint, Vec::new());
                     self.events.push(QuarantineEvent::Quarantined {
                         fingerprint,
-                        crashes: ends,
-                        trial_delay: pause,
+                        crashes,
+                        trial_delay,
                     });
                 }
                 Some(DecisionOutcome::Quarantined(_)) => {
-                    let (fingerprint, trials) = (told.fingerprint, told.trials);
+                    let (fingerprint, trials) = (record.fingerprint, record.trials);
                     self.events.push(QuarantineEvent::TrialStarted { fingerprint, trials });
                 }
                 None => {}
@@ -293,8 +293,8 @@
     }
 
     /// Decisions to note in the store: all, or those that this instance came to.
-    pub fn decisions_to_store(&self, now: Instant, all: bool) -> Vec<DecisionRecord> {
-        self.decisions.records_to_store(now, all)
+    pub fn decisions_to_store(&self, now: Instant, include_remote: bool) -> Vec<DecisionRecord> {
+        self.decisions.records_to_store(now, include_remote)
     }
 
     /// Requests in quarantine.
@@ -313,25 +313,26 @@
         now: Instant,
         at: Instant,
         key: EndpointKey,
-        runs: Vec<InterruptedAttempt>,
-        is_own: bool,
+        attempts: Vec<InterruptedAttempt>,
+        is_local: bool,
     ) {
-        let is_new_end = !self.crashes.is_known(key);
-        let floor = at.checked_sub(SUCCESS_LOOKBACK).unwrap_or(at);
-        let was_answered =
-            |run: &InterruptedAttempt| self.successes.succeeded_since(run.fingerprint, floor);
-        let (cleared, runs): (Vec<_>, Vec<_>) = runs.into_iter().partition(was_answered);
-        cleared.iter().for_each(|run| self.publish_success(now, run.fingerprint));
-        let is_news = self.crashes.record(now, at, key, &runs, is_own);
-        if is_new_end {
-            let suspects = runs.iter().map(|run| run.fingerprint).collect();
+        let is_new_crash = !self.crashes.is_known(key);
+        let earliest = at.checked_sub(SUCCESS_LOOKBACK).unwrap_or(at);
+        let has_succeeded = |attempt: &InterruptedAttempt| {
+            self.successes.succeeded_since(attempt.fingerprint, earliest)
+        };
+        let (cleared, attempts): (Vec<_>, Vec<_>) = attempts.into_iter().partition(has_succeeded);
+        cleared.iter().for_each(|attempt| self.publish_success(now, attempt.fingerprint));
+        let is_new = self.crashes.record(now, at, key, &attempts, is_local);
+        if is_new_crash {
+            let suspects = attempts.iter().map(|attempt| attempt.fingerprint).collect();
             self.events.push(QuarantineEvent::EndpointCrashed {
                 endpoint: key,
                 suspects,
-                is_local: is_own,
+                is_local,
             });
         }
-        self.needs_analysis |= is_news;
+        self.needs_analysis |= is_new;
     }
 
     /// Judges by what is known of ends for [`CRASH_SETTLING_TIME`]. To be called often, a few times in that.
@@ -343,15 +344,11 @@
     }
 
     fn update_decisions(&mut self, now: Instant) {
-        let CrashAnalysis { causes: culprits, cleared } =
+        let CrashAnalysis { causes, cleared } =
             decisions::analyze_crashes(&self.crashes, &self.decisions);
-        for CrashCause { fingerprint, crashes: ends } in culprits {
-            let pause = self.decisions.quarantine(now, fingerprint);
-            self.events.push(QuarantineEvent::Quarantined {
-                fingerprint,
-                crashes: ends,
-                trial_delay: pause,
-            });
+        for CrashCause { fingerprint, crashes } in causes {
+            let trial_delay = self.decisions.quarantine(now, fingerprint);
+            self.events.push(QuarantineEvent::Quarantined { fingerprint, crashes, trial_delay });
         }
         for fingerprint in cleared {
             self.decisions.release(now, fingerprint);
--- a/oxbowbend-core/src/quarantine/successes.rs
+++ b/oxbowbend-core/src/quarantine/successes.rs
@@ -37,11 +37,11 @@
 
 impl RecentSuccesses {
     pub(super) fn record(&mut self, at: Instant, fingerprint: Fingerprint) {
-        let place = &mut self.table[index(fingerprint)];
+        let entry = &mut self.table[index(fingerprint)];
         let is_later =
-            place.fingerprint == fingerprint && place.succeeded_at.is_some_and(|known| known > at);
+            entry.fingerprint == fingerprint && entry.succeeded_at.is_some_and(|known| known > at);
         if !is_later {
-            *place = TableEntry { fingerprint, succeeded_at: Some(at) };
+            *entry = TableEntry { fingerprint, succeeded_at: Some(at) };
         }
     }
 
@@ -60,8 +60,8 @@
     }
 
     fn last_success(&self, fingerprint: Fingerprint) -> Option<Instant> {
-        let place = &self.table[index(fingerprint)];
-        place.succeeded_at.filter(|_| place.fingerprint == fingerprint)
+        let entry = &self.table[index(fingerprint)];
+        entry.succeeded_at.filter(|_| entry.fingerprint == fingerprint)
     }
 
     /// Whether a request was answered well since an instant.
@@ -78,14 +78,18 @@
         self.queued.push((fingerprint, now));
     }
 
-    pub(super) fn collect_records(&mut self, now: Instant, lately: Duration) -> Vec<SuccessRecord> {
-        self.queued.retain(|(_, since)| now.saturating_duration_since(*since) < lately);
-        let told =
+    pub(super) fn collect_records(
+        &mut self,
+        now: Instant,
+        max_age: Duration,
+    ) -> Vec<SuccessRecord> {
+        self.queued.retain(|(_, queued_at)| now.saturating_duration_since(*queued_at) < max_age);
+        let records =
             self.queued.iter().rev().take(MAX_RECORDS_PER_UPDATE).filter_map(|(fingerprint, _)| {
                 let at = self.last_success(*fingerprint)?;
                 Some(SuccessRecord { fingerprint: *fingerprint, age_ms: age_ms(now, at) })
             });
-        told.collect()
+        records.collect()
     }
 }
 
