--- a/oxbowbend-core/src/quarantine/crashes.rs
+++ b/oxbowbend-core/src/quarantine/crashes.rs
@@ -1,4 +1,4 @@
-//! Ends of endpoints, and what ran there.
+//! Endpoint crashes and the attempts that they interrupted.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -8,22 +8,21 @@
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
 
-/// Ends that are kept, the newest: those of 13 s in which half of 160 endpoints end every 4 s. A request that ends
-/// endpoints that fast needs less than a second for three.
+/// Number of most recent crashes kept, enough for 13 s in which half of 160 endpoints crash every 4
+/// s.
 const MAX_CRASHES: usize = 256;
-/// Requests that are kept of one end. Endpoints run 4 to 10 at once, and have some more in their queues.
+/// Endpoints execute 4 to 10 requests at once, and queue some more.
 const MAX_ATTEMPTS_PER_CRASH: usize = 64;
-/// Ends that one report tells.
 const MAX_RECORDS_PER_UPDATE: usize = 8;
 
-/// A run that broke off when its endpoint ended. It travels as a list of its parts in this order.
+/// An attempt that was interrupted on an endpoint. It is serialized as a tuple of its fields.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(from = "(Fingerprint, bool)", into = "(Fingerprint, bool)")]
 pub struct InterruptedAttempt {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Whether nothing had come of its answer yet. What ends an endpoint does so soon after it begins, so others
-    /// of whose answer something had come did not.
+    /// Whether no part of the response had arrived. A query of death usually crashes its endpoint
+    /// before that.
     pub awaiting_response: bool,
 }
 
@@ -39,29 +38,29 @@
     }
 }
 
-/// One end of an endpoint.
+/// A crash of one endpoint incarnation.
 #[derive(Clone, Debug)]
 pub(super) struct Crash {
     pub(super) endpoint: EndpointKey,
     crashed_at: Instant,
-    /// When something was last learned of it.
+    /// When an attempt was last added.
     updated_at: Instant,
-    /// When it was first learned of.
+    /// When this instance learned of the crash.
     first_seen_at: Instant,
-    /// Whether what ran there is taken to be known.
+    /// Whether all attempts are assumed to be known.
     is_settled: bool,
-    /// Whether this instance had a run there.
+    /// Whether this instance had an attempt in flight there.
     is_local: bool,
     attempts: Vec<InterruptedAttempt>,
 }
 
 impl Crash {
-    /// All that ran there.
+    /// Returns all requests that were in flight.
     pub(super) fn fingerprints(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.attempts.iter().map(|attempt| attempt.fingerprint)
     }
 
-    /// What is suspected of having ended it: that of whose answers nothing had come.
+    /// Returns the requests that had not received any part of a response.
     pub(super) fn suspects(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.attempts
             .iter()
@@ -82,19 +81,19 @@
     }
 }
 
-/// The ends that are known, the oldest first.
+/// The known crashes, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct Crashes {
     crashes: VecDeque<Crash>,
 }
 
 impl Crashes {
-    /// Those of which it is known what ran there.
+    /// Returns the crashes whose attempts are assumed to be known.
     pub(super) fn settled(&self) -> impl Iterator<Item = &Crash> {
         self.crashes.iter().filter(|crash| crash.is_settled)
     }
 
-    /// Settles what was learned of so long ago; tells whether there is something new to judge by.
+    /// Settles the crashes that have been known for `settling_time`; returns whether there are any.
     pub(super) fn mark_settled(&mut self, now: Instant, settling_time: Duration) -> bool {
         let is_due = |crash: &&mut Crash| {
             !crash.is_settled && now.saturating_duration_since(crash.first_seen_at) >= settling_time
@@ -107,12 +106,12 @@
         self.crashes.iter().any(|crash| crash.endpoint == endpoint)
     }
 
-    /// Whether a request was at an end.
+    /// Returns whether a request was in flight in any crash.
     pub(super) fn involves(&self, fingerprint: Fingerprint) -> bool {
         self.crashes.iter().any(|crash| crash.fingerprints().any(|f| f == fingerprint))
     }
 
-    /// Takes runs in of an end at `at`; tells whether something is new.
+    /// Adds attempts to the crash of an endpoint at `at`; returns whether anything was new.
     pub(super) fn record(
         &mut self,
         now: Instant,
@@ -146,7 +145,7 @@
         added > 0 || known.is_none()
     }
 
-    /// Takes a request off all ends up to an instant; tells whether it was there.
+    /// Removes a request from all crashes up to `until`; returns whether it was in any.
     pub(super) fn remove_request(&mut self, fingerprint: Fingerprint, until: Instant) -> bool {
         let mut was_present = false;
         for crash in self.crashes.iter_mut().filter(|crash| crash.crashed_at <= until) {
@@ -157,9 +156,9 @@
         was_present
     }
 
-    /// The newest of which something was learned lately, here or, to be passed on, from others. `in_full` also older ones
-    /// that this instance saw, if a request was at several that nobody else explains: who was cut off meanwhile does
-    /// not know of them.
+    /// Returns the most recently updated crashes, of this instance or, with `include_remote`, of
+    /// all. With `is_full` it also returns older crashes observed here that share a suspect, for
+    /// instances that were partitioned.
     pub(super) fn collect_records(
         &self,
         now: Instant,
@@ -183,7 +182,7 @@
         records.collect()
     }
 
-    /// Requests that are suspected of several ends.
+    /// Returns the requests that are suspects in more than one crash.
     fn repeat_suspects(&self) -> HashSet<Fingerprint> {
         let mut seen = HashSet::new();
         self.crashes.iter().flat_map(Crash::suspects).filter(|f| !seen.insert(*f)).collect()
--- a/oxbowbend-core/src/quarantine/successes.rs
+++ b/oxbowbend-core/src/quarantine/successes.rs
@@ -1,4 +1,4 @@
-//! Requests that had a good answer lately, and so do not end endpoints.
+//! Requests that recently succeeded and are therefore not the cause of a crash.
 
 use std::time::{Duration, Instant};
 
@@ -6,12 +6,10 @@
 use super::records::SuccessRecord;
 use crate::fingerprint::Fingerprint;
 
-/// Places of the table; a later request may take an earlier one's. With the 60 requests a second of a busy instance
-/// one in 25 is forgotten within the 3 s for which it counts.
+/// Number of slots in the direct-mapped table. A collision evicts the earlier request: at 60
+/// requests per second, 1 in 25 is lost within the 3 s for which it matters.
 const TABLE_SIZE: usize = 4096;
-/// Answers that one report tells.
 const MAX_RECORDS_PER_UPDATE: usize = 16;
-/// Answers that wait to be told.
 const MAX_QUEUED: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
@@ -20,11 +18,11 @@
     succeeded_at: Option<Instant>,
 }
 
-/// When requests were last answered well.
+/// The time of the last success of each request, in a direct-mapped table.
 #[derive(Debug)]
 pub(super) struct RecentSuccesses {
     table: Box<[TableEntry]>,
-    /// What others hold against a request that was answered, and since when they are told.
+    /// Successes to send to other instances, and when they were queued.
     queued: Vec<(Fingerprint, Instant)>,
 }
 
@@ -45,7 +43,7 @@
         }
     }
 
-    /// Notes what another instance tells; returns whether it is news.
+    /// Records a success reported by another instance; returns whether it was new.
     pub(super) fn record_remote(
         &mut self,
         now: Instant,
@@ -64,12 +62,12 @@
         entry.succeeded_at.filter(|_| entry.fingerprint == fingerprint)
     }
 
-    /// Whether a request was answered well since an instant.
+    /// Returns whether a request succeeded at or after `since`.
     pub(super) fn succeeded_since(&self, fingerprint: Fingerprint, since: Instant) -> bool {
         self.last_success(fingerprint).is_some_and(|at| at >= since)
     }
 
-    /// Lets others know, who may hold an end against it.
+    /// Queues the success of a request for instances that may suspect it.
     pub(super) fn queue_for_gossip(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.queued.retain(|(known, _)| *known != fingerprint);
         if self.queued.len() >= MAX_QUEUED {
