--- a/oxbowbend-core/src/quarantine/decisions.rs
+++ b/oxbowbend-core/src/quarantine/decisions.rs
@@ -1,4 +1,4 @@
-//! Which request is quarantined, and until when.
+//! Quarantine decisions: which requests are quarantined, and until when.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -11,38 +11,37 @@
 use crate::fingerprint::Fingerprint;
 use crate::ids::{EndpointKey, InstanceId};
 
-/// Ends that a request must be suspected of.
+/// Number of crashes a request must be suspected of to be quarantined.
 pub const CRASH_THRESHOLD: usize = 3;
-/// Ends among whose requests it was, whatever had come of its answers, if it is in as many as any other. Streams that
-/// are continued elsewhere three times and come back once were beside six at most.
+/// Number of crashes, at least as many as for any other request, in which a request must have been
+/// in flight if it had received part of a response.
 const PRESENCE_THRESHOLD: usize = 5;
-/// First time until a trial, and the longest one. A trial that ends its endpoint costs it some 4 s and what runs
-/// there: one in fifteen of an endpoint's time.
+/// Shortest and longest delay before a trial. A failed trial costs its endpoint about 4 s.
 const TRIAL_DELAY_RANGE: (Duration, Duration) =
     (Duration::from_secs(60), Duration::from_secs(3600));
-/// Time by which instances' trials are apart, so that one has told the others before the next would begin: word
-/// takes 0.01 s within a cell and 0.5 s beyond it.
+/// Spreads the trials of the instances, so that the first is known everywhere before the next would
+/// start: updates take 0.01 s within a cell and 0.5 s between cells.
 const MAX_TRIAL_JITTER: Duration = Duration::from_secs(10);
-/// Decisions that are kept: 0.4 MB. Those go first that are over, then those whose time ends first.
+/// Takes 0.4 MB. Released requests are evicted first, then those whose trial is due soonest.
 const MAX_DECISIONS: usize = 4096;
-/// Decisions that one report tells beside the new ones, and the store is given.
+/// Applies to recent and to older decisions separately, and to those written to the store.
 const MAX_RECORDS_PER_UPDATE: usize = 16;
-/// Time after its trial is due, or its end, for which a decision is kept.
+/// How long a decision is kept after its trial was due or its request was released.
 const DECISION_RETENTION: Duration = Duration::from_secs(3600);
 
-/// A request that ended endpoints.
+/// A request and the crashes attributed to it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct CrashCause {
     pub(super) fingerprint: Fingerprint,
     pub(super) crashes: Vec<EndpointKey>,
 }
 
-/// What a decision says.
+/// The effect of a decision.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum DecisionOutcome {
-    /// It is held for this long.
+    /// Blocked for this long.
     Quarantined(Duration),
-    /// It may be sent.
+    /// Released from quarantine.
     Released,
 }
 
@@ -50,19 +49,19 @@
 struct Decision {
     epoch: u32,
     trials: u32,
-    /// When the next trial is due; none if it is over.
+    /// `None` once the request is released.
     trial_due: Option<Instant>,
     updated_at: Instant,
-    /// Whether this instance came to it.
+    /// Whether this instance made the decision.
     is_local: bool,
 }
 
-/// All decisions.
+/// All known decisions, by request.
 #[derive(Debug)]
 pub(super) struct Decisions {
     decisions: BTreeMap<Fingerprint, Decision>,
     jitter_seed: u64,
-    /// Where the next full report goes on.
+    /// First request to include in the next full update.
     sync_cursor: Fingerprint,
 }
 
@@ -79,7 +78,7 @@
         self.decisions.get(&fingerprint).is_some_and(|d| d.trial_due.is_some())
     }
 
-    /// Requests in quarantine.
+    /// Returns the requests in quarantine.
     pub(super) fn quarantined(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.decisions
             .iter()
@@ -112,13 +111,13 @@
         }
     }
 
-    /// By how much this instance's trial is later than the first one might be.
+    /// Returns the delay that this instance adds to the trials of a request.
     fn trial_jitter(&self, fingerprint: Fingerprint) -> Duration {
         let hash = xxh3_64_with_seed(&fingerprint.to_be_bytes(), self.jitter_seed);
         MAX_TRIAL_JITTER.mul_f64((hash >> 32) as f64 / f64::from(u32::MAX))
     }
 
-    /// Quarantines a request; returns for how long.
+    /// Quarantines a request; returns the delay before its first trial.
     pub(super) fn quarantine(&mut self, now: Instant, fingerprint: Fingerprint) -> Duration {
         self.evict_if_full(now);
         let epoch = self.decisions.get(&fingerprint).map_or(0, |d| d.epoch) + 1;
@@ -128,7 +127,7 @@
         trial_delay(0)
     }
 
-    /// Ends a quarantine; tells whether there was one.
+    /// Releases a request; returns whether it was quarantined.
     pub(super) fn release(&mut self, now: Instant, fingerprint: Fingerprint) -> bool {
         let active = self.decisions.get_mut(&fingerprint).filter(|d| d.trial_due.is_some());
         let Some(decision) = active else { return false };
@@ -136,7 +135,8 @@
         true
     }
 
-    /// Takes in what another instance or the store tells; returns what it says if that is news.
+    /// Applies a decision of another instance or from the store; returns its effect if it is newer
+    /// than the known one.
     pub(super) fn apply_record(
         &mut self,
         now: Instant,
@@ -216,7 +216,8 @@
         let mut stored: Vec<_> = self.decisions.iter().filter(|(_, d)| is_stored(d)).collect();
         stored.sort_by_key(|(_, d)| std::cmp::Reverse(d.updated_at));
         let stored = stored.into_iter().take(MAX_RECORDS_PER_UPDATE);
-        // Whoever reads it does not know how old it is: its time begins anew, and the note stays as it is.
+        // The reader can't tell the age of a stored record, so store the full delay. This also
+        // keeps the record unchanged until the next trial.
         let to_stored_record = |f: Fingerprint, d: &Decision| DecisionRecord {
             remaining_ms: Some(trial_delay(d.trials).as_millis() as u32),
             ..d.to_record(now, f)
@@ -232,23 +233,23 @@
     }
 }
 
-/// Time until the next trial after so many.
+/// Returns the delay after the given number of trials.
 fn trial_delay(trials: u32) -> Duration {
     (TRIAL_DELAY_RANGE.0 * (1 << trials.min(6))).min(TRIAL_DELAY_RANGE.1)
 }
 
-/// What the ends that are known come to.
+/// The result of attributing crashes to requests.
 #[derive(Debug)]
 pub(super) struct CrashAnalysis {
-    /// Requests to be held.
+    /// Requests to quarantine.
     pub(super) causes: Vec<CrashCause>,
-    /// Requests that are held, and of whose ends each has another culprit.
+    /// Quarantined requests to release, because other requests explain all of their crashes.
     pub(super) cleared: Vec<Fingerprint>,
 }
 
-/// Judges anew by all ends that are known. The request that was at most of them explains these, then the one
-/// that was at most of the rest, and so on: one that was taken for a culprit since it ran beside several of them is
-/// cleared when they are found.
+/// Attributes crashes to requests with a greedy set cover: the request involved in most crashes
+/// explains them, then the one involved in most of the rest, and so on. Requests that were
+/// quarantined because they ran beside several causes are cleared once these are found.
 pub(super) fn analyze_crashes(crashes: &Crashes, decisions: &Decisions) -> CrashAnalysis {
     let mut crash_counts: HashMap<Fingerprint, u32> = HashMap::new();
     crashes
@@ -257,7 +258,7 @@
         .for_each(|f| *crash_counts.entry(f).or_default() += 1);
     let quarantined: Vec<_> =
         crash_counts.keys().copied().filter(|f| decisions.is_quarantined(*f)).collect();
-    // Of these not enough is known here to judge anew.
+    // Too few of their crashes are known on this instance to reconsider these.
     let mut known_causes: HashSet<_> =
         quarantined.iter().copied().filter(|f| crash_counts[f] < CRASH_THRESHOLD as u32).collect();
     let mut causes = Vec::new();
@@ -283,11 +284,12 @@
     CrashAnalysis { causes, cleared }
 }
 
-/// The request that must have ended most endpoints at whose end none of those found was.
+/// Returns the most likely cause of the crashes that involve none of `known_causes`.
 ///
-/// It must be suspected of [`CRASH_THRESHOLD`] ends, and no other one may be suspected of all of them too: the two
-/// could not be told apart, and one more end tells. If it does not, both are held. Against requests that end
-/// endpoints late, when something has come of their answers, being at [`PRESENCE_THRESHOLD`] ends is enough.
+/// It must be suspected of [`CRASH_THRESHOLD`] crashes, and be the only suspect shared by all of
+/// them. If several requests can't be told apart, one more crash is awaited before all of them are
+/// returned. Requests that crash endpoints late, after part of the response has arrived, must be in
+/// flight in [`PRESENCE_THRESHOLD`] crashes.
 fn most_likely_causes(crashes: &Crashes, known_causes: &HashSet<Fingerprint>) -> Vec<CrashCause> {
     let unexplained =
         crashes.settled().filter(|crash| !crash.fingerprints().any(|f| known_causes.contains(&f)));
@@ -307,7 +309,7 @@
     present.top_causes().into_iter().filter(is_enough).collect()
 }
 
-/// Ends by request.
+/// The crashes in which each request was involved.
 #[derive(Default)]
 struct CrashesByRequest {
     crashes: HashMap<Fingerprint, Vec<EndpointKey>>,
@@ -318,8 +320,8 @@
         self.crashes.entry(fingerprint).or_default().push(endpoint);
     }
 
-    /// The request with most ends, with those that were at all of them too. Of several such groups it is a smallest
-    /// one: whoever is alone can be told from the others.
+    /// Returns the request with the most crashes, together with those involved in all of the same
+    /// crashes. Of several such groups it returns the smallest, whose cause is the least ambiguous.
     fn top_causes(&self) -> Vec<CrashCause> {
         let most = self.crashes.values().map(Vec::len).max().unwrap_or(0);
         if most < CRASH_THRESHOLD {
@@ -330,7 +332,7 @@
         groups.min_by_key(|group| (group.len(), group[0].fingerprint)).unwrap_or_default()
     }
 
-    /// Requests that were at all of these ends, in order.
+    /// Returns the requests involved in all of these crashes, ordered by fingerprint.
     fn indistinguishable_from(&self, crashes: &[EndpointKey]) -> Vec<CrashCause> {
         let includes_all =
             |other: &&Vec<EndpointKey>| crashes.iter().all(|crash| other.contains(crash));
