--- a/oxbowbend-core/src/quarantine/mod.rs
+++ b/oxbowbend-core/src/quarantine/mod.rs
@@ -1,16 +1,21 @@
-//! Requests that end the endpoints that run them, also known as queries of death.
+//! Quarantine for requests that crash the endpoints executing them (queries of death).
 //!
-//! Such a request comes back under new ids at any instance, so it is known by its [`Fingerprint`]. When an endpoint
-//! ends, requests that ran there and of whose answers nothing had come are suspected; one that must have ended three
-//! endpoints is quarantined: no instance sends it to an endpoint, and its caller hears at once that it has not run. Instances tell each other
-//! what they have seen, and what was decided ([`QuarantineUpdate`]): whole facts, each of which may be lost, come twice or
-//! late, and comes to the same whoever passes it on. Decisions are also noted in the store, so that they outlast all
-//! instances.
+//! Callers retry such a request under new ids and through any instance, so it is identified by its
+//! [`Fingerprint`]. When an endpoint crashes, the requests in flight there that had not yet
+//! received any part of a response become suspects. A request that is the most likely cause of
+//! [`CRASH_THRESHOLD`] crashes is quarantined: no instance forwards it to an endpoint, and the
+//! caller is told immediately that it was not executed.
 //!
-//! A good answer to the same request clears it, before an end and after it. A quarantine ends by itself: once its
-//! time is over one trial is let through, and if that brings no answer the next one comes twice as late.
+//! Instances exchange crashes, successes and decisions in a [`QuarantineUpdate`]. Every record is
+//! self-contained and idempotent, so updates may be lost, duplicated, reordered or relayed.
+//! Decisions are also written to the store so that they survive a restart of all instances.
 //!
-//! What was traded: the first three endpoints are lost, and whoever was wrongly quarantined waits for a minute.
+//! A successful response clears a request of earlier crashes and of those shortly afterwards. A
+//! quarantine expires into a trial: one attempt is let through, and if it gets no response the
+//! delay before the next trial doubles.
+//!
+//! The cost is three crashes before a request is quarantined, and a delay of a minute for a request
+//! that was quarantined wrongly.
 
 mod crashes;
 mod decisions;
@@ -30,71 +35,72 @@
 use decisions::{CrashAnalysis, CrashCause, DecisionOutcome, Decisions};
 use successes::RecentSuccesses;
 
-/// Time before an end in which a good answer to the same request speaks for it: it is then served several times
-/// in the time in which three endpoints can end under it.
+/// A success clears the request of crashes up to this long afterwards, besides all earlier ones.
 const SUCCESS_LOOKBACK: Duration = Duration::from_secs(3);
-/// Time for which decisions and answers are told: some twenty beats within a cell and ten beyond it.
+/// How long decisions and successes are included in updates: about 20 heartbeats within a cell and
+/// 10 between cells.
 const GOSSIP_PERIOD: Duration = Duration::from_secs(3);
-/// The same for ends, which are longer: eight beats. Endpoints that crash by dozens would else be most of what reports tell.
+/// The same for crashes, whose records are larger; short, so that mass crashes do not fill the
+/// reports.
 const CRASH_GOSSIP_PERIOD: Duration = Duration::from_secs(1);
-/// Time for which news also goes into reports between beats, of which there are up to 200 a second: one or two of them.
+/// How long new records are also included in the reports between heartbeats, of which there are up
+/// to 200 per second.
 const IMMEDIATE_GOSSIP_PERIOD: Duration = Duration::from_millis(20);
-/// Time for which a run that broke off waits for word that its endpoint has ended. Entries of endpoints that end go
-/// after three of their heartbeats, of some 0.4 s.
+/// How long an interrupted attempt waits for confirmation that its endpoint crashed. The entry of a
+/// crashed endpoint expires after three heartbeats of about 0.4 s.
 const CRASH_CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time from learning of an end until it is judged by, in which other instances tell what ran there for them: that
-/// takes some 20 ms. Judged at once, whoever was beside the culprit of another instance looked like the only suspect.
+/// Delay between learning of a crash and analyzing it, in which other instances report their own
+/// attempts on the endpoint. Without it, a bystander can appear to be the only suspect.
 pub const CRASH_SETTLING_TIME: Duration = Duration::from_millis(150);
-/// Runs that wait for such word at most.
 const MAX_PENDING_ATTEMPTS: usize = 512;
 
 /// Whether a request may be sent to an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SendPermission {
-    /// It may.
+    /// The request is not quarantined.
     Allowed,
-    /// It may, as the one trial of its quarantine.
+    /// The request may be sent as the trial of its quarantine.
     Trial,
-    /// It may not, for this long.
+    /// The request is quarantined for this much longer.
     Blocked(Duration),
 }
 
-/// A change of what is believed of a request, for the log.
+/// A change to the quarantine state, for logging.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum QuarantineEvent {
-    /// An endpoint ended, with these requests running there as far as is known here.
+    /// An endpoint crashed.
     EndpointCrashed {
-        /// The endpoint's start.
+        /// The incarnation that crashed.
         endpoint: EndpointKey,
-        /// What ran there.
+        /// Requests that this instance knows to have been in flight there.
         suspects: Vec<Fingerprint>,
-        /// Whether this instance saw it, and was not told.
+        /// Whether this instance observed the crash itself.
         is_local: bool,
     },
-    /// A request is quarantined.
+    /// A request was quarantined.
     Quarantined {
         /// The request.
         fingerprint: Fingerprint,
-        /// The starts that it ended; none if this instance was only told.
+        /// The crashes attributed to it; empty if another instance decided.
         crashes: Vec<EndpointKey>,
-        /// Until its trial.
+        /// Time until the first trial.
         trial_delay: Duration,
     },
-    /// A request's trial begins, here or elsewhere.
+    /// A trial of a request started on this or another instance.
     TrialStarted {
         /// The request.
         fingerprint: Fingerprint,
-        /// Trials so far.
+        /// Number of trials so far, including this one.
         trials: u32,
     },
-    /// A request had a good answer, and its quarantine is over.
+    /// A request was released from quarantine.
     Released {
         /// The request.
         fingerprint: Fingerprint,
     },
 }
 
-/// A run that broke off at an endpoint that may have ended.
+/// An interrupted attempt whose endpoint is not yet known to have crashed.
 #[derive(Clone, Debug)]
 struct PendingAttempt {
     endpoint: EndpointId,
@@ -103,22 +109,25 @@
     attempt: InterruptedAttempt,
 }
 
-/// What one instance knows of such requests.
+/// The quarantine state of one instance.
 ///
 /// # Examples
 ///
 /// ```
 /// use std::time::Instant;
 ///
-/// use oxbowbend_core::quarantine::{SendPermission, Quarantine, InterruptedAttempt, CRASH_SETTLING_TIME};
+/// use oxbowbend_core::quarantine::{
+///     InterruptedAttempt, Quarantine, SendPermission, CRASH_SETTLING_TIME,
+/// };
 ///
 /// let (mut quarantine, now) = (Quarantine::new(&"i-1".into()), Instant::now());
 /// for endpoint in 0..3 {
 ///     assert_eq!(quarantine.check_send(now, 7), SendPermission::Allowed);
-///     quarantine.attempt_interrupted(now, &"e".into(), endpoint, InterruptedAttempt { fingerprint: 7, awaiting_response: true });
+///     let attempt = InterruptedAttempt { fingerprint: 7, awaiting_response: true };
+///     quarantine.attempt_interrupted(now, &"e".into(), endpoint, attempt);
 ///     quarantine.endpoint_crashed(now, endpoint);
 /// }
-/// quarantine.mark_settled(now + CRASH_SETTLING_TIME);
+/// quarantine.evaluate(now + CRASH_SETTLING_TIME);
 /// assert!(matches!(quarantine.check_send(now, 7), SendPermission::Blocked(_)));
 /// ```
 #[derive(Debug)]
@@ -127,13 +136,13 @@
     crashes: Crashes,
     successes: RecentSuccesses,
     decisions: Decisions,
-    /// Whether something was learned since it was last judged.
+    /// Whether crashes were added or updated since the last analysis.
     needs_analysis: bool,
     events: Vec<QuarantineEvent>,
 }
 
 impl Quarantine {
-    /// Starts with nothing known.
+    /// Creates an empty quarantine for the instance `me`.
     pub fn new(me: &InstanceId) -> Quarantine {
         Quarantine {
             pending: Vec::new(),
@@ -145,8 +154,8 @@
         }
     }
 
-    /// Whether a request may be sent to an endpoint now. To be asked right before that, since a trial counts as
-    /// begun with it.
+    /// Returns whether a request may be sent to an endpoint. Call it immediately before sending,
+    /// because [`SendPermission::Trial`] starts the trial.
     pub fn check_send(&mut self, now: Instant, fingerprint: Fingerprint) -> SendPermission {
         let permission = self.decisions.check_send(now, fingerprint);
         if permission == SendPermission::Trial {
@@ -156,12 +165,12 @@
         permission
     }
 
-    /// For how long a request is not to be sent, if so.
+    /// Returns how much longer a request is quarantined, or `None` if it may be sent.
     pub fn blocked_for(&self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
         self.decisions.blocked_for(now, fingerprint)
     }
 
-    /// Notes a run that broke off at an endpoint that was in service and may have ended.
+    /// Records an attempt that was interrupted on an endpoint in service, which may have crashed.
     pub fn attempt_interrupted(
         &mut self,
         now: Instant,
@@ -187,12 +196,13 @@
         });
     }
 
-    /// Whether runs wait for word of an endpoint's start.
+    /// Returns whether interrupted attempts are waiting for confirmation that this incarnation
+    /// crashed.
     pub fn has_pending_attempts(&self, key: EndpointKey) -> bool {
         self.pending.iter().any(|p| p.key == key)
     }
 
-    /// Notes that a start of an endpoint has ended.
+    /// Records that an endpoint incarnation crashed.
     pub fn endpoint_crashed(&mut self, now: Instant, key: EndpointKey) {
         let (confirmed, rest) =
             std::mem::take(&mut self.pending).into_iter().partition(|p| p.key == key);
@@ -207,8 +217,8 @@
         }
     }
 
-    /// Notes that an endpoint's entry has gone, or tells of a later start: the starts at which runs broke off have
-    /// ended.
+    /// Records that an endpoint's store entry was removed or replaced by that of a newer
+    /// incarnation, which confirms the crash of those with interrupted attempts.
     pub fn endpoint_entry_changed(&mut self, now: Instant, endpoint: &EndpointId) {
         let keys = self.pending.iter().filter(|p| p.endpoint == *endpoint).map(|p| p.key);
         let mut keys: Vec<_> = keys.collect();
@@ -216,7 +226,7 @@
         keys.into_iter().for_each(|key| self.endpoint_crashed(now, key));
     }
 
-    /// Notes a good answer to a request.
+    /// Records a successful response to a request.
     pub fn request_succeeded(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.successes.record(now, fingerprint);
         self.clear_suspicion(now, fingerprint, now);
@@ -226,9 +236,9 @@
         }
     }
 
-    /// What to tell other instances in a report of an extent: what is new, and in full ones also older decisions in
-    /// turn. What others have seen is told on by those who pass it on: in a fleet of several cells, their
-    /// representatives.
+    /// Returns the update to include in a report of the given extent: recent records and, in a full
+    /// report, also older decisions in rotation. With `include_remote`, crashes observed by other
+    /// instances are relayed, as representatives of a cell do.
     pub fn make_update(
         &mut self,
         now: Instant,
@@ -247,8 +257,8 @@
         }
     }
 
-    /// Takes in what another instance tells; whatever it tells twice changes nothing. Returns the starts of endpoints
-    /// that are newly known to have ended.
+    /// Applies an update from another instance; duplicates have no effect. Returns the incarnations
+    /// newly known to have crashed.
     pub fn apply_update(&mut self, now: Instant, update: &QuarantineUpdate) -> Vec<EndpointKey> {
         for success in &update.successes {
             let at = instant_before(now, success.age_ms);
@@ -268,7 +278,7 @@
         new_crashes
     }
 
-    /// Takes in decisions of other instances, or that the store holds.
+    /// Applies decisions made by other instances or read from the store.
     pub fn apply_decisions(&mut self, now: Instant, records: &[DecisionRecord]) {
         for record in records {
             match self.decisions.apply_record(now, record) {
@@ -292,22 +302,24 @@
         }
     }
 
-    /// Decisions to note in the store: all, or those that this instance came to.
+    /// Returns the active decisions to write to the store: those made here or, with
+    /// `include_remote`, all of them.
     pub fn decisions_to_store(&self, now: Instant, include_remote: bool) -> Vec<DecisionRecord> {
         self.decisions.records_to_store(now, include_remote)
     }
 
-    /// Requests in quarantine.
+    /// Returns the number of requests in quarantine.
     pub fn quarantined_count(&self) -> usize {
         self.decisions.quarantined().count()
     }
 
-    /// What has newly been believed since the last call.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<QuarantineEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Takes runs that ended with an endpoint at `at` for evidence, and decides.
+    /// Records attempts interrupted by a crash at `at`, except those of requests that succeeded
+    /// shortly before it.
     fn add_crash(
         &mut self,
         now: Instant,
@@ -335,7 +347,8 @@
         self.needs_analysis |= is_new;
     }
 
-    /// Judges by what is known of ends for [`CRASH_SETTLING_TIME`]. To be called often, a few times in that.
+    /// Analyzes the crashes that are older than [`CRASH_SETTLING_TIME`]. Call it several times
+    /// within that time.
     pub fn evaluate(&mut self, now: Instant) {
         let is_settled = self.crashes.mark_settled(now, CRASH_SETTLING_TIME);
         if is_settled || std::mem::take(&mut self.needs_analysis) {
@@ -356,14 +369,15 @@
         }
     }
 
-    /// Takes a request off the evidence up to a while after a good answer to it.
+    /// Removes a request that succeeded at `at` from earlier crashes and those shortly afterwards.
     fn clear_suspicion(&mut self, now: Instant, fingerprint: Fingerprint, at: Instant) {
         if self.crashes.remove_request(fingerprint, at + SUCCESS_LOOKBACK) {
             self.publish_success(now, fingerprint);
         }
     }
 
-    /// Lets the others know that a request was answered, and ends its quarantine if nothing is left against it.
+    /// Queues a success for other instances, and releases the request if no crash involves it any
+    /// more.
     fn publish_success(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.successes.queue_for_gossip(now, fingerprint);
         if !self.crashes.involves(fingerprint) && self.decisions.release(now, fingerprint) {
@@ -372,12 +386,11 @@
     }
 }
 
-/// An instant so many milliseconds ago.
 fn instant_before(now: Instant, age_ms: u32) -> Instant {
     now.checked_sub(Duration::from_millis(u64::from(age_ms))).unwrap_or(now)
 }
 
-/// Milliseconds since an instant.
+/// Returns the milliseconds from `at` to `now`, saturating.
 fn age_ms(now: Instant, at: Instant) -> u32 {
     now.saturating_duration_since(at).as_millis().min(u128::from(u32::MAX)) as u32
 }
--- a/oxbowbend-core/src/quarantine/records.rs
+++ b/oxbowbend-core/src/quarantine/records.rs
@@ -1,40 +1,40 @@
-//! What instances tell each other, and note in the store.
+//! Records exchanged between instances and written to the store.
 
 use super::crashes::InterruptedAttempt;
 use crate::fingerprint::Fingerprint;
 use crate::ids::EndpointKey;
 
-/// What one report tells. Ages are sent instead of times, since no two clocks agree.
+/// The quarantine part of a report. It contains ages instead of times, because clocks differ.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct QuarantineUpdate {
-    /// Ends of endpoints.
+    /// Endpoint crashes.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<CrashRecord>,
-    /// Decisions.
+    /// Quarantine decisions.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub decisions: Vec<DecisionRecord>,
-    /// Good answers to requests that were suspected.
+    /// Successful responses to requests that were suspected.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub successes: Vec<SuccessRecord>,
 }
 
 impl QuarantineUpdate {
-    /// Whether there is nothing to tell.
+    /// Returns whether the update contains no records.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.decisions.is_empty() && self.successes.is_empty()
     }
 }
 
-/// An end of an endpoint.
+/// A crash of an endpoint.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct CrashRecord {
-    /// The start that ended.
+    /// The incarnation that crashed.
     #[serde(rename = "k")]
     pub endpoint: EndpointKey,
-    /// Milliseconds since then.
+    /// Milliseconds since the crash.
     #[serde(rename = "a")]
     pub age_ms: u32,
-    /// What ran there.
+    /// Attempts that were in flight.
     #[serde(rename = "r")]
     pub attempts: Vec<InterruptedAttempt>,
 }
@@ -45,24 +45,24 @@
     /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
-    /// Which of its quarantines it is about; of two the later one holds.
+    /// Number of the quarantine of this request; the higher one takes precedence.
     #[serde(rename = "n")]
     pub epoch: u32,
-    /// Trials in this quarantine; of two the larger number is the later one.
+    /// Number of trials in this quarantine; the higher one takes precedence.
     #[serde(rename = "t", default)]
     pub trials: u32,
-    /// Milliseconds until the next trial; none if the quarantine is over.
+    /// Milliseconds until the next trial; `None` if the request was released.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub remaining_ms: Option<u32>,
 }
 
-/// A good answer to a request.
+/// A successful response to a request.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct SuccessRecord {
     /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
-    /// Milliseconds since then.
+    /// Milliseconds since the response.
     #[serde(rename = "a")]
     pub age_ms: u32,
 }
