--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -10,13 +10,13 @@
 };
 
 /// A request that ends endpoints, and others.
-const BAD: u64 = 7;
-const WORSE: u64 = 8;
-const GOOD: u64 = 1;
+const CRASHING: u64 = 7;
+const ALSO_CRASHING: u64 = 8;
+const HARMLESS: u64 = 1;
 /// Longest time until the first trial, that of the last instance to try.
-const TRIAL: Duration = Duration::from_secs(71);
+const MAX_FIRST_TRIAL_DELAY: Duration = Duration::from_secs(71);
 
-fn instance(name: &str) -> Quarantine {
+fn new_quarantine(name: &str) -> Quarantine {
     Quarantine::new(&name.into())
 }
 
@@ -25,32 +25,40 @@
 }
 
 /// An endpoint ends, at which these ran for one instance; of those under `begun` something had come.
-fn end(q: &mut Quarantine, now: Instant, key: EndpointKey, quiet: &[u64], begun: &[u64]) {
-    let quiet =
-        quiet.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: true });
-    let begun =
-        begun.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: false });
-    quiet.chain(begun).for_each(|run| q.attempt_interrupted(now, &"e".into(), key, run));
-    q.endpoint_crashed(now, key);
-    q.evaluate(now + CRASH_SETTLING_TIME);
+fn crash(
+    quarantine: &mut Quarantine,
+    now: Instant,
+    key: EndpointKey,
+    awaiting: &[u64],
+    started: &[u64],
+) {
+    let awaiting =
+        awaiting.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: true });
+    let started =
+        started.iter().map(|f| InterruptedAttempt { fingerprint: *f, awaiting_response: false });
+    awaiting
+        .chain(started)
+        .for_each(|attempt| quarantine.attempt_interrupted(now, &"e".into(), key, attempt));
+    quarantine.endpoint_crashed(now, key);
+    quarantine.evaluate(now + CRASH_SETTLING_TIME);
 }
 
-fn is_closed(q: &Quarantine, now: Instant, fingerprint: u64) -> bool {
-    q.blocked_for(now, fingerprint).is_some()
+fn is_blocked(quarantine: &Quarantine, now: Instant, fingerprint: u64) -> bool {
+    quarantine.blocked_for(now, fingerprint).is_some()
 }
 
 /// Everything is told both ways.
 fn exchange(now: Instant, a: &mut Quarantine, b: &mut Quarantine) {
-    let told = a.make_update(now, Extent::Full, true);
-    b.apply_update(now, &told);
-    let told = b.make_update(now, Extent::Full, true);
-    a.apply_update(now, &told);
+    let update = a.make_update(now, Extent::Full, true);
+    b.apply_update(now, &update);
+    let update = b.make_update(now, Extent::Full, true);
+    a.apply_update(now, &update);
     a.evaluate(now + CRASH_SETTLING_TIME);
     b.evaluate(now + CRASH_SETTLING_TIME);
 }
 
 #[test]
-fn whoever_was_at_three_ends_is_held_and_nobody_else() {
+fn quarantines_only_requests_that_explain_enough_crashes() {
     // (ends with what was quiet and what had begun, held after them)
     type Case = (&'static [(&'static [u64], &'static [u64])], &'static [u64]);
     let cases: [Case; 11] = [
@@ -82,260 +90,304 @@
             &[7, 8],
         ),
     ];
-    for (n, (ends, held)) in cases.into_iter().enumerate() {
-        let (mut q, now) = (instance("a"), Instant::now());
-        for (key, (quiet, begun)) in ends.iter().enumerate() {
-            end(&mut q, now, key as u32, quiet, begun);
+    for (n, (crashes, expected)) in cases.into_iter().enumerate() {
+        let (mut quarantine, now) = (new_quarantine("a"), Instant::now());
+        for (key, (awaiting, started)) in crashes.iter().enumerate() {
+            crash(&mut quarantine, now, key as u32, awaiting, started);
         }
-        let found: Vec<u64> = (1..=9).filter(|f| is_closed(&q, now, *f)).collect();
-        assert_eq!(found, held, "case {n}");
+        let blocked: Vec<u64> = (1..=9).filter(|f| is_blocked(&quarantine, now, *f)).collect();
+        assert_eq!(blocked, expected, "case {n}");
     }
 }
 
 #[test]
-fn runs_at_one_start_of_an_endpoint_count_once_wherever_they_came_from() {
-    let (mut a, mut b, now) = (instance("a"), instance("b"), Instant::now());
+fn attempts_on_one_incarnation_count_as_one_crash() {
+    let (mut a, mut b, now) = (new_quarantine("a"), new_quarantine("b"), Instant::now());
     for key in 0..2 {
-        end(&mut a, now, key, &[BAD], &[]);
-        end(&mut b, now, key, &[BAD, BAD], &[]);
+        crash(&mut a, now, key, &[CRASHING], &[]);
+        crash(&mut b, now, key, &[CRASHING, CRASHING], &[]);
         exchange(now, &mut a, &mut b);
     }
-    assert!(!is_closed(&a, now, BAD) && !is_closed(&b, now, BAD));
-    end(&mut b, now, 2, &[BAD], &[]);
+    assert!(!is_blocked(&a, now, CRASHING) && !is_blocked(&b, now, CRASHING));
+    crash(&mut b, now, 2, &[CRASHING], &[]);
     exchange(now, &mut a, &mut b);
-    assert!(is_closed(&a, now, BAD) && is_closed(&b, now, BAD));
+    assert!(is_blocked(&a, now, CRASHING) && is_blocked(&b, now, CRASHING));
 }
 
 #[test]
-fn a_broken_connection_is_no_end() {
-    let (mut q, now) = (instance("a"), Instant::now());
-    let run = InterruptedAttempt { fingerprint: BAD, awaiting_response: true };
+fn interrupted_attempts_without_a_crash_are_ignored() {
+    let (mut quarantine, now) = (new_quarantine("a"), Instant::now());
+    let attempt = InterruptedAttempt { fingerprint: CRASHING, awaiting_response: true };
     for key in 0..10 {
-        q.attempt_interrupted(now, &"e".into(), key, run);
+        quarantine.attempt_interrupted(now, &"e".into(), key, attempt);
     }
-    assert!(!is_closed(&q, now, BAD));
+    assert!(!is_blocked(&quarantine, now, CRASHING));
     // Word that comes long after speaks of something else.
-    (0..10).for_each(|key| q.endpoint_crashed(after(now, 6000), key));
-    assert!(!is_closed(&q, after(now, 6000), BAD));
+    (0..10).for_each(|key| quarantine.endpoint_crashed(after(now, 6000), key));
+    assert!(!is_blocked(&quarantine, after(now, 6000), CRASHING));
 }
 
 #[test]
-fn an_entry_that_goes_soon_after_tells_of_an_end() {
-    let (mut q, now) = (instance("a"), Instant::now());
+fn removed_entry_confirms_a_crash() {
+    let (mut quarantine, now) = (new_quarantine("a"), Instant::now());
     for key in 0..CRASH_THRESHOLD as u32 {
         let endpoint = format!("e-{key}").as_str().into();
-        q.attempt_interrupted(
+        quarantine.attempt_interrupted(
             now,
             &endpoint,
             key,
-            InterruptedAttempt { fingerprint: BAD, awaiting_response: true },
+            InterruptedAttempt { fingerprint: CRASHING, awaiting_response: true },
         );
-        q.endpoint_entry_changed(after(now, 1500), &endpoint);
+        quarantine.endpoint_entry_changed(after(now, 1500), &endpoint);
     }
-    q.evaluate(after(now, 1500) + CRASH_SETTLING_TIME);
-    assert!(is_closed(&q, after(now, 1500), BAD));
+    quarantine.evaluate(after(now, 1500) + CRASH_SETTLING_TIME);
+    assert!(is_blocked(&quarantine, after(now, 1500), CRASHING));
 }
 
 #[test]
-fn a_good_answer_clears_before_an_end_after_it_and_by_word_of_others() {
+fn success_clears_before_and_after_a_crash_and_remotely() {
     let now = Instant::now();
-    for (answered, is_held) in [(0, true), (2000, false), (4900, false), (5500, false)] {
-        let (mut a, mut b) = (instance("a"), instance("b"));
-        if answered <= 5000 {
-            b.request_succeeded(after(now, answered), BAD);
+    for (succeeded_ms, is_quarantined) in [(0, true), (2000, false), (4900, false), (5500, false)] {
+        let (mut a, mut b) = (new_quarantine("a"), new_quarantine("b"));
+        if succeeded_ms <= 5000 {
+            b.request_succeeded(after(now, succeeded_ms), CRASHING);
         }
         for key in 0..CRASH_THRESHOLD as u32 {
-            end(&mut a, after(now, 5000), key, &[BAD], &[]);
+            crash(&mut a, after(now, 5000), key, &[CRASHING], &[]);
         }
-        if answered > 5000 {
-            b.request_succeeded(after(now, answered), BAD);
+        if succeeded_ms > 5000 {
+            b.request_succeeded(after(now, succeeded_ms), CRASHING);
         }
         exchange(after(now, 5600), &mut a, &mut b);
         exchange(after(now, 5700), &mut a, &mut b);
-        let held = (is_closed(&a, after(now, 5700), BAD), is_closed(&b, after(now, 5700), BAD));
-        assert_eq!(held, (is_held, is_held), "answered at {answered} ms");
+        let blocked = (
+            is_blocked(&a, after(now, 5700), CRASHING),
+            is_blocked(&b, after(now, 5700), CRASHING),
+        );
+        assert_eq!(blocked, (is_quarantined, is_quarantined), "answered at {succeeded_ms} ms");
     }
 }
 
 #[test]
-fn word_of_a_good_answer_takes_ends_off_where_nothing_is_decided_yet() {
-    let (mut a, mut b, now) = (instance("a"), instance("b"), Instant::now());
-    b.request_succeeded(now, GOOD);
-    end(&mut a, after(now, 100), 0, &[GOOD], &[]);
-    end(&mut a, after(now, 200), 1, &[GOOD], &[]);
-    let told = a.make_update(after(now, 210), Extent::Changes, true);
-    b.apply_update(after(now, 210), &told);
-    let told = b.make_update(after(now, 220), Extent::Changes, true);
-    a.apply_update(after(now, 220), &told);
-    end(&mut a, after(now, 9000), 2, &[GOOD], &[]);
-    assert!(!is_closed(&a, after(now, 9200), GOOD));
+fn remote_success_clears_crashes_before_a_decision() {
+    let (mut a, mut b, now) = (new_quarantine("a"), new_quarantine("b"), Instant::now());
+    b.request_succeeded(now, HARMLESS);
+    crash(&mut a, after(now, 100), 0, &[HARMLESS], &[]);
+    crash(&mut a, after(now, 200), 1, &[HARMLESS], &[]);
+    let update = a.make_update(after(now, 210), Extent::Changes, true);
+    b.apply_update(after(now, 210), &update);
+    let update = b.make_update(after(now, 220), Extent::Changes, true);
+    a.apply_update(after(now, 220), &update);
+    crash(&mut a, after(now, 9000), 2, &[HARMLESS], &[]);
+    assert!(!is_blocked(&a, after(now, 9200), HARMLESS));
 }
 
 #[test]
-fn a_good_answer_of_what_was_sent_before_ends_a_quarantine_everywhere() {
-    let (mut a, mut b, mut c, now) = (instance("a"), instance("b"), instance("c"), Instant::now());
+fn success_releases_a_request_on_all_instances() {
+    let (mut a, mut b, mut c, now) =
+        (new_quarantine("a"), new_quarantine("b"), new_quarantine("c"), Instant::now());
     for key in 0..CRASH_THRESHOLD as u32 {
-        end(&mut a, now, key, &[GOOD], &[]);
+        crash(&mut a, now, key, &[HARMLESS], &[]);
     }
     exchange(now, &mut a, &mut b);
     exchange(now, &mut b, &mut c);
-    assert!(is_closed(&c, now, GOOD));
-    let old = c.make_update(now, Extent::Full, true);
-    let noted = c.decisions_to_store(now, true);
+    assert!(is_blocked(&c, now, HARMLESS));
+    let stale_update = c.make_update(now, Extent::Full, true);
+    let stored = c.decisions_to_store(now, true);
     let now = after(now, 200);
-    b.request_succeeded(now, GOOD);
+    b.request_succeeded(now, HARMLESS);
     exchange(now, &mut a, &mut b);
     // What was said before comes late.
-    a.apply_update(now, &old);
-    a.apply_decisions(now, &noted);
-    assert!(!is_closed(&a, now, GOOD) && !is_closed(&b, now, GOOD));
+    a.apply_update(now, &stale_update);
+    a.apply_decisions(now, &stored);
+    assert!(!is_blocked(&a, now, HARMLESS) && !is_blocked(&b, now, HARMLESS));
     exchange(now, &mut a, &mut c);
-    assert!(!is_closed(&c, now, GOOD));
+    assert!(!is_blocked(&c, now, HARMLESS));
 }
 
 #[test]
-fn one_trial_at_a_time_each_later_than_the_last() {
-    let (mut a, mut b, mut now) = (instance("a"), instance("b"), Instant::now());
+fn trials_do_not_overlap_and_back_off() {
+    let (mut a, mut b, mut now) = (new_quarantine("a"), new_quarantine("b"), Instant::now());
     for key in 0..CRASH_THRESHOLD as u32 {
-        end(&mut a, now, key, &[BAD], &[]);
+        crash(&mut a, now, key, &[CRASHING], &[]);
     }
     exchange(now, &mut a, &mut b);
     let start = now;
     let mut trials = Vec::new();
     while now < start + Duration::from_secs(500) {
-        for q in [&mut a, &mut b] {
-            if q.check_send(now, BAD) == SendPermission::Trial {
+        for quarantine in [&mut a, &mut b] {
+            if quarantine.check_send(now, CRASHING) == SendPermission::Trial {
                 trials.push(now - start);
-                end(q, now, 100 + trials.len() as u32, &[BAD], &[]);
+                crash(quarantine, now, 100 + trials.len() as u32, &[CRASHING], &[]);
             }
         }
         exchange(now, &mut a, &mut b);
         now += Duration::from_millis(500);
     }
     assert_eq!(trials.len(), 3, "{trials:?}");
-    let pauses = [trials[0], trials[1] - trials[0], trials[2] - trials[1]];
-    for (pause, least) in pauses.into_iter().zip([60, 120, 240]) {
-        let least = Duration::from_secs(least);
-        assert!(pause >= least && pause < least + Duration::from_secs(11), "{trials:?}");
+    let delays = [trials[0], trials[1] - trials[0], trials[2] - trials[1]];
+    for (delay, minimum) in delays.into_iter().zip([60, 120, 240]) {
+        let minimum = Duration::from_secs(minimum);
+        assert!(delay >= minimum && delay < minimum + Duration::from_secs(11), "{trials:?}");
     }
 }
 
 #[test]
-fn a_trial_that_is_answered_ends_the_quarantine() {
-    let (mut q, now) = (instance("a"), Instant::now());
+fn successful_trial_releases_the_request() {
+    let (mut quarantine, now) = (new_quarantine("a"), Instant::now());
     for key in 0..CRASH_THRESHOLD as u32 {
-        end(&mut q, now, key, &[GOOD], &[]);
+        crash(&mut quarantine, now, key, &[HARMLESS], &[]);
     }
-    assert_eq!(q.check_send(now + TRIAL, GOOD), SendPermission::Trial);
-    assert!(matches!(q.check_send(now + TRIAL, GOOD), SendPermission::Blocked(_)));
-    q.request_succeeded(now + TRIAL, GOOD);
-    assert_eq!(q.check_send(now + TRIAL, GOOD), SendPermission::Allowed);
+    assert_eq!(quarantine.check_send(now + MAX_FIRST_TRIAL_DELAY, HARMLESS), SendPermission::Trial);
+    assert!(matches!(
+        quarantine.check_send(now + MAX_FIRST_TRIAL_DELAY, HARMLESS),
+        SendPermission::Blocked(_)
+    ));
+    quarantine.request_succeeded(now + MAX_FIRST_TRIAL_DELAY, HARMLESS);
+    assert_eq!(
+        quarantine.check_send(now + MAX_FIRST_TRIAL_DELAY, HARMLESS),
+        SendPermission::Allowed
+    );
     // It takes as many ends again.
-    end(&mut q, now + TRIAL + Duration::from_secs(9), 90, &[GOOD], &[]);
-    assert_eq!(q.check_send(now + TRIAL + Duration::from_secs(9), GOOD), SendPermission::Allowed);
+    crash(
+        &mut quarantine,
+        now + MAX_FIRST_TRIAL_DELAY + Duration::from_secs(9),
+        90,
+        &[HARMLESS],
+        &[],
+    );
+    assert_eq!(
+        quarantine.check_send(now + MAX_FIRST_TRIAL_DELAY + Duration::from_secs(9), HARMLESS),
+        SendPermission::Allowed
+    );
 }
 
 #[test]
-fn what_was_noted_outlasts_all_instances() {
-    let (mut a, now) = (instance("a"), Instant::now());
+fn stored_decisions_survive_a_restart_of_all_instances() {
+    let (mut a, now) = (new_quarantine("a"), Instant::now());
     for key in 0..CRASH_THRESHOLD as u32 {
-        end(&mut a, now, key, &[BAD], &[]);
+        crash(&mut a, now, key, &[CRASHING], &[]);
     }
-    let noted = a.decisions_to_store(now, false);
-    assert_eq!(noted, a.decisions_to_store(after(now, 5000), false), "a note is written once");
-    let mut next = instance("a");
-    next.apply_decisions(now, &noted);
-    assert!(is_closed(&next, now, BAD));
-    assert!(next.decisions_to_store(now, false).is_empty(), "whoever was told notes only for all");
-    assert_eq!(next.decisions_to_store(now, true), noted);
+    let stored = a.decisions_to_store(now, false);
+    assert_eq!(
+        stored,
+        a.decisions_to_store(after(now, 5000), false),
+        "a stored record does not change"
+    );
+    let mut restarted = new_quarantine("a");
+    restarted.apply_decisions(now, &stored);
+    assert!(is_blocked(&restarted, now, CRASHING));
+    assert!(
+        restarted.decisions_to_store(now, false).is_empty(),
+        "decisions of others are stored only on request"
+    );
+    assert_eq!(restarted.decisions_to_store(now, true), stored);
 }
 
 #[test]
-fn what_is_known_is_bounded_and_held_requests_stay() {
-    let (mut q, now) = (instance("a"), Instant::now());
+fn state_is_bounded_and_keeps_active_quarantines() {
+    let (mut quarantine, now) = (new_quarantine("a"), Instant::now());
     for key in 0..CRASH_THRESHOLD as u32 {
-        end(&mut q, now, key, &[BAD], &[]);
+        crash(&mut quarantine, now, key, &[CRASHING], &[]);
     }
     for n in 0..3_000_u64 {
-        end(&mut q, after(now, n), 1000 + n as u32, &[100_000 + n, 200_000 + n / 2], &[]);
+        crash(
+            &mut quarantine,
+            after(now, n),
+            1000 + n as u32,
+            &[100_000 + n, 200_000 + n / 2],
+            &[],
+        );
     }
-    let verdict =
+    let decision =
         |fingerprint| DecisionRecord { fingerprint, epoch: 1, trials: 0, remaining_ms: Some(9000) };
-    let told: Vec<_> = (300_000..310_000).map(verdict).collect();
-    q.apply_decisions(after(now, 3_000), &told);
-    assert!(is_closed(&q, after(now, 3_000), BAD), "it is held longer than those");
-    assert!(q.quarantined_count() <= 4096, "{}", q.quarantined_count());
-    assert!(q.make_update(after(now, 3_000), Extent::Full, true).decisions.len() <= 32);
+    let records: Vec<_> = (300_000..310_000).map(decision).collect();
+    quarantine.apply_decisions(after(now, 3_000), &records);
+    assert!(
+        is_blocked(&quarantine, after(now, 3_000), CRASHING),
+        "the longer quarantine was evicted"
+    );
+    assert!(quarantine.quarantined_count() <= 4096, "{}", quarantine.quarantined_count());
+    assert!(quarantine.make_update(after(now, 3_000), Extent::Full, true).decisions.len() <= 32);
 }
 
 #[test]
-fn each_change_is_told_to_the_log_once() {
-    let (mut a, mut b, now) = (instance("a"), instance("b"), Instant::now());
+fn each_change_emits_one_event() {
+    let (mut a, mut b, now) = (new_quarantine("a"), new_quarantine("b"), Instant::now());
     for key in 0..CRASH_THRESHOLD as u32 {
-        end(&mut a, now, key, &[BAD, WORSE], &[GOOD]);
-        end(&mut a, now, 10 + key, &[WORSE], &[]);
+        crash(&mut a, now, key, &[CRASHING, ALSO_CRASHING], &[HARMLESS]);
+        crash(&mut a, now, 10 + key, &[ALSO_CRASHING], &[]);
     }
-    let changes = a.take_events();
-    let held = |c: &&QuarantineEvent| matches!(c, QuarantineEvent::Quarantined { crashes: ends, .. } if ends.len() >= CRASH_THRESHOLD);
-    let ended =
-        |c: &&QuarantineEvent| matches!(c, QuarantineEvent::EndpointCrashed { is_local: true, .. });
-    assert_eq!(changes.iter().filter(held).count(), 1, "{changes:?}");
-    assert_eq!(changes.iter().filter(ended).count(), 2 * CRASH_THRESHOLD, "{changes:?}");
+    let events = a.take_events();
+    let is_quarantined = |event: &&QuarantineEvent| {
+        matches!(
+            event,
+            QuarantineEvent::Quarantined { crashes, .. } if crashes.len() >= CRASH_THRESHOLD
+        )
+    };
+    let is_local_crash = |event: &&QuarantineEvent| {
+        matches!(event, QuarantineEvent::EndpointCrashed { is_local: true, .. })
+    };
+    assert_eq!(events.iter().filter(is_quarantined).count(), 1, "{events:?}");
+    assert_eq!(events.iter().filter(is_local_crash).count(), 2 * CRASH_THRESHOLD, "{events:?}");
     exchange(now, &mut a, &mut b);
     exchange(now, &mut a, &mut b);
-    let told = b.take_events();
-    assert_eq!(told.len(), 1 + 2 * CRASH_THRESHOLD, "{told:?}");
+    let remote_events = b.take_events();
+    assert_eq!(remote_events.len(), 1 + 2 * CRASH_THRESHOLD, "{remote_events:?}");
     assert_eq!(a.take_events(), []);
 }
 
 #[test]
-fn ends_are_told_shortly_and_again_where_they_matter() {
-    let (mut q, now) = (instance("a"), Instant::now());
+fn crashes_are_gossiped_briefly_and_repeated_in_full_updates() {
+    let (mut quarantine, now) = (new_quarantine("a"), Instant::now());
     for key in 0..20 {
-        end(&mut q, now, key, &[1000 + u64::from(key)], &[]);
+        crash(&mut quarantine, now, key, &[1000 + u64::from(key)], &[]);
     }
-    let told =
-        |q: &mut Quarantine, ms, extent| q.make_update(after(now, ms), extent, false).crashes.len();
-    assert_eq!(told(&mut q, 10, Extent::Loads), 8);
-    assert_eq!(told(&mut q, 30, Extent::Loads), 0);
-    assert_eq!(told(&mut q, 900, Extent::Changes), 8);
-    assert_eq!(told(&mut q, 1100, Extent::Full), 0);
+    let crash_count = |quarantine: &mut Quarantine, ms, extent| {
+        quarantine.make_update(after(now, ms), extent, false).crashes.len()
+    };
+    assert_eq!(crash_count(&mut quarantine, 10, Extent::Loads), 8);
+    assert_eq!(crash_count(&mut quarantine, 30, Extent::Loads), 0);
+    assert_eq!(crash_count(&mut quarantine, 900, Extent::Changes), 8);
+    assert_eq!(crash_count(&mut quarantine, 1100, Extent::Full), 0);
     // One request at two of them: whoever was cut off meanwhile may know of the third.
-    end(&mut q, now, 30, &[1000], &[]);
-    assert_eq!(told(&mut q, 9000, Extent::Full), 2);
-    assert_eq!(told(&mut q, 9000, Extent::Changes), 0);
+    crash(&mut quarantine, now, 30, &[1000], &[]);
+    assert_eq!(crash_count(&mut quarantine, 9000, Extent::Full), 2);
+    assert_eq!(crash_count(&mut quarantine, 9000, Extent::Changes), 0);
     // Those of others are told on by some.
-    let (mut other, told) = (instance("b"), q.make_update(now, Extent::Changes, false));
-    other.apply_update(now, &told);
+    let (mut other, update) =
+        (new_quarantine("b"), quarantine.make_update(now, Extent::Changes, false));
+    other.apply_update(now, &update);
     assert!(other.make_update(now, Extent::Full, false).is_empty());
-    assert_eq!(other.make_update(now, Extent::Full, true).crashes.len(), told.crashes.len());
+    assert_eq!(other.make_update(now, Extent::Full, true).crashes.len(), update.crashes.len());
 }
 
 #[test]
-fn nobody_is_judged_before_others_have_told_what_ran_there() {
-    let (mut a, mut b, now) = (instance("a"), instance("b"), Instant::now());
+fn crashes_are_not_analyzed_before_they_settle() {
+    let (mut a, mut b, now) = (new_quarantine("a"), new_quarantine("b"), Instant::now());
     for key in 0..CRASH_THRESHOLD as u32 {
         let at = after(now, u64::from(key) * 100);
-        let good = InterruptedAttempt { fingerprint: GOOD, awaiting_response: true };
-        a.attempt_interrupted(at, &"e".into(), key, good);
+        let harmless = InterruptedAttempt { fingerprint: HARMLESS, awaiting_response: true };
+        a.attempt_interrupted(at, &"e".into(), key, harmless);
         a.endpoint_crashed(at, key);
         a.evaluate(at + Duration::from_millis(10));
         b.attempt_interrupted(
             at,
             &"e".into(),
             key,
-            InterruptedAttempt { fingerprint: BAD, awaiting_response: true },
+            InterruptedAttempt { fingerprint: CRASHING, awaiting_response: true },
         );
         b.endpoint_crashed(at, key);
     }
     // It is at one more end, without the other one.
-    end(&mut b, after(now, 210), 9, &[BAD], &[]);
-    let told = b.make_update(after(now, 230), Extent::Changes, true);
-    a.apply_update(after(now, 230), &told);
+    crash(&mut b, after(now, 210), 9, &[CRASHING], &[]);
+    let update = b.make_update(after(now, 230), Extent::Changes, true);
+    a.apply_update(after(now, 230), &update);
     a.evaluate(after(now, 420));
-    let held = [GOOD, BAD].map(|f| is_closed(&a, after(now, 420), f));
-    assert_eq!(held, [false, true]);
-    let was_held =
-        |c: &QuarantineEvent| matches!(c, QuarantineEvent::Quarantined { fingerprint: GOOD, .. });
-    assert!(!a.take_events().iter().any(was_held), "it was held meanwhile");
+    let blocked = [HARMLESS, CRASHING].map(|f| is_blocked(&a, after(now, 420), f));
+    assert_eq!(blocked, [false, true]);
+    let was_quarantined = |event: &QuarantineEvent| {
+        matches!(event, QuarantineEvent::Quarantined { fingerprint: HARMLESS, .. })
+    };
+    assert!(!a.take_events().iter().any(was_quarantined), "quarantined before the crashes settled");
 }
