--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -12,162 +12,173 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-const BAD: u64 = 7;
-const GOOD: u64 = 1;
+const CRASHING: u64 = 7;
+const HARMLESS: u64 = 1;
 const INSTANCES: usize = 3;
 /// The one that may be cut off from the others.
-const LONER: usize = 2;
+const PARTITIONED: usize = 2;
 /// Length of the histories of which every one is played.
-const SHORT: u32 = 5;
+const EXHAUSTIVE_STEPS: u32 = 5;
 /// Others, and how many of them.
-const LONG: std::ops::Range<usize> = 6..40;
-const RANDOM: u64 = 5_000;
+const RANDOM_STEPS: std::ops::Range<usize> = 6..40;
+const RANDOM_SEEDS: u64 = 5_000;
 
 /// What may happen.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// The request ends an endpoint that it was sent to by an instance.
-    End(usize),
+    Crash(usize),
     /// The same, with the other request beside it.
-    EndBeside(usize),
+    CrashWithBystander(usize),
     /// The other request is answered at an instance.
-    Answer(usize),
+    Succeed(usize),
     /// Reports reach whoever is not cut off; decisions are noted.
-    Talk,
+    Exchange,
     /// The loner is cut off, or is not any more.
-    Cut,
+    TogglePartition,
     /// All die, and start with what was noted.
-    Die,
+    RestartAll,
 }
 
 const STEPS: [Step; 11] = [
-    Step::End(0),
-    Step::End(1),
-    Step::End(2),
-    Step::EndBeside(0),
-    Step::EndBeside(1),
-    Step::EndBeside(2),
-    Step::Answer(0),
-    Step::Answer(2),
-    Step::Talk,
-    Step::Cut,
-    Step::Die,
+    Step::Crash(0),
+    Step::Crash(1),
+    Step::Crash(2),
+    Step::CrashWithBystander(0),
+    Step::CrashWithBystander(1),
+    Step::CrashWithBystander(2),
+    Step::Succeed(0),
+    Step::Succeed(2),
+    Step::Exchange,
+    Step::TogglePartition,
+    Step::RestartAll,
 ];
 
-struct World {
+struct Simulation {
     now: Instant,
     instances: Vec<Quarantine>,
-    is_cut: bool,
+    is_partitioned: bool,
     /// Ends that an instance has seen in this life, and whether the other request was beside.
-    seen: Vec<(usize, bool)>,
-    noted: Vec<DecisionRecord>,
+    crashes: Vec<(usize, bool)>,
+    stored: Vec<DecisionRecord>,
     /// Whether the request was held by somebody when notes were last written.
-    is_noted: bool,
-    next: u32,
+    is_stored: bool,
+    next_key: u32,
 }
 
-impl World {
-    fn new() -> World {
-        World {
+impl Simulation {
+    fn new() -> Simulation {
+        Simulation {
             now: Instant::now(),
             instances: instances(),
-            is_cut: false,
-            seen: Vec::new(),
-            noted: Vec::new(),
-            is_noted: false,
-            next: 0,
+            is_partitioned: false,
+            crashes: Vec::new(),
+            stored: Vec::new(),
+            is_stored: false,
+            next_key: 0,
         }
     }
 
     fn step(&mut self, step: Step) {
         self.now += Duration::from_millis(10);
         match step {
-            Step::End(at) => self.end(at, false),
-            Step::EndBeside(at) => self.end(at, true),
-            Step::Answer(at) => self.instances[at].request_succeeded(self.now, GOOD),
-            Step::Talk => self.talk(),
-            Step::Cut => self.is_cut = !self.is_cut,
-            Step::Die => {
+            Step::Crash(at) => self.crash(at, false),
+            Step::CrashWithBystander(at) => self.crash(at, true),
+            Step::Succeed(at) => self.instances[at].request_succeeded(self.now, HARMLESS),
+            Step::Exchange => self.exchange(),
+            Step::TogglePartition => self.is_partitioned = !self.is_partitioned,
+            Step::RestartAll => {
                 self.instances = instances();
-                self.seen.clear();
-                for q in &mut self.instances {
-                    q.apply_decisions(self.now, &self.noted);
+                self.crashes.clear();
+                for quarantine in &mut self.instances {
+                    quarantine.apply_decisions(self.now, &self.stored);
                 }
             }
         }
     }
 
-    fn end(&mut self, at: usize, is_beside: bool) {
+    fn crash(&mut self, at: usize, has_bystander: bool) {
         // It is sent only where the gate is open.
-        if self.instances[at].blocked_for(self.now, BAD).is_some() {
+        if self.instances[at].blocked_for(self.now, CRASHING).is_some() {
             return;
         }
-        self.next += 1;
-        let q = &mut self.instances[at];
-        let others = is_beside.then_some(GOOD);
-        for fingerprint in [BAD].into_iter().chain(others) {
-            let run = InterruptedAttempt { fingerprint, awaiting_response: true };
-            q.attempt_interrupted(self.now, &"e".into(), self.next, run);
+        self.next_key += 1;
+        let quarantine = &mut self.instances[at];
+        let bystander = has_bystander.then_some(HARMLESS);
+        for fingerprint in [CRASHING].into_iter().chain(bystander) {
+            let attempt = InterruptedAttempt { fingerprint, awaiting_response: true };
+            quarantine.attempt_interrupted(self.now, &"e".into(), self.next_key, attempt);
         }
-        q.endpoint_crashed(self.now, self.next);
-        self.seen.push((at, is_beside));
+        quarantine.endpoint_crashed(self.now, self.next_key);
+        self.crashes.push((at, has_bystander));
     }
 
-    fn talk(&mut self) {
+    fn exchange(&mut self) {
         for from in 0..INSTANCES {
-            let told = self.instances[from].make_update(self.now, Extent::Full, true);
+            let update = self.instances[from].make_update(self.now, Extent::Full, true);
             for to in (0..INSTANCES).filter(|to| *to != from) {
-                if !(self.is_cut && (from == LONER || to == LONER)) {
-                    self.instances[to].apply_update(self.now, &told);
+                if !(self.is_partitioned && (from == PARTITIONED || to == PARTITIONED)) {
+                    self.instances[to].apply_update(self.now, &update);
                 }
             }
         }
-        self.instances.iter_mut().for_each(|q| q.evaluate(self.now + CRASH_SETTLING_TIME));
-        let noted = self.instances.iter().flat_map(|q| q.decisions_to_store(self.now, true));
-        self.noted = noted.collect();
-        self.is_noted = self.noted.iter().any(|v| v.fingerprint == BAD);
+        self.instances
+            .iter_mut()
+            .for_each(|quarantine| quarantine.evaluate(self.now + CRASH_SETTLING_TIME));
+        let stored = self
+            .instances
+            .iter()
+            .flat_map(|quarantine| quarantine.decisions_to_store(self.now, true));
+        self.stored = stored.collect();
+        self.is_stored = self.stored.iter().any(|v| v.fingerprint == CRASHING);
     }
 
     /// What is not as it must be once all reports have arrived.
-    fn broken(&mut self) -> Vec<String> {
-        let was_noted = self.is_noted;
-        self.talk();
-        self.talk();
-        let side = |at: usize| self.is_cut && at == LONER;
-        let mut broken = Vec::new();
+    fn violations(&mut self) -> Vec<String> {
+        let was_stored = self.is_stored;
+        self.exchange();
+        self.exchange();
+        let partition = |at: usize| self.is_partitioned && at == PARTITIONED;
+        let mut violations = Vec::new();
         for at in 0..INSTANCES {
-            let heard: Vec<_> = self.seen.iter().filter(|(by, _)| side(*by) == side(at)).collect();
-            let alone = heard.iter().filter(|(_, is_beside)| !is_beside).count();
-            let is_told =
-                heard.len() > CRASH_THRESHOLD || (heard.len() == CRASH_THRESHOLD && alone > 0);
-            let is_closed = |f| self.instances[at].blocked_for(self.now, f).is_some();
-            if (is_told || (was_noted && self.seen.is_empty())) && !is_closed(BAD) {
-                broken.push(format!("{at} lets it pass, having heard of {heard:?}"));
+            let known: Vec<_> =
+                self.crashes.iter().filter(|(by, _)| partition(*by) == partition(at)).collect();
+            let without_bystander =
+                known.iter().filter(|(_, has_bystander)| !has_bystander).count();
+            let must_block = known.len() > CRASH_THRESHOLD
+                || (known.len() == CRASH_THRESHOLD && without_bystander > 0);
+            let is_blocked = |f| self.instances[at].blocked_for(self.now, f).is_some();
+            if (must_block || (was_stored && self.crashes.is_empty())) && !is_blocked(CRASHING) {
+                violations
+                    .push(format!("instance {at} allows the crashing request despite {known:?}"));
             }
-            let beside = self.seen.iter().filter(|(_, is_beside)| *is_beside).count();
-            if beside < CRASH_THRESHOLD
-                && self.noted.iter().all(|v| v.fingerprint != GOOD)
-                && is_closed(GOOD)
+            let bystander_crashes =
+                self.crashes.iter().filter(|(_, has_bystander)| *has_bystander).count();
+            if bystander_crashes < CRASH_THRESHOLD
+                && self.stored.iter().all(|v| v.fingerprint != HARMLESS)
+                && is_blocked(HARMLESS)
             {
-                broken.push(format!("{at} holds the other one, beside {beside} ends"));
+                violations.push(format!(
+                    "instance {at} blocks the bystander after {bystander_crashes} crashes"
+                ));
             }
         }
         // One answer, and the other request is served wherever that is heard.
         self.now += Duration::from_millis(10);
-        self.instances[0].request_succeeded(self.now, GOOD);
-        self.talk();
-        self.talk();
-        for at in (0..INSTANCES).filter(|at| !side_of(self.is_cut, *at)) {
-            if self.instances[at].blocked_for(self.now, GOOD).is_some() {
-                broken.push(format!("{at} holds the other one after an answer"));
+        self.instances[0].request_succeeded(self.now, HARMLESS);
+        self.exchange();
+        self.exchange();
+        for at in (0..INSTANCES).filter(|at| !is_isolated(self.is_partitioned, *at)) {
+            if self.instances[at].blocked_for(self.now, HARMLESS).is_some() {
+                violations.push(format!("instance {at} blocks the bystander after a success"));
             }
         }
-        broken
+        violations
     }
 }
 
-fn side_of(is_cut: bool, at: usize) -> bool {
-    is_cut && at == LONER
+fn is_isolated(is_partitioned: bool, at: usize) -> bool {
+    is_partitioned && at == PARTITIONED
 }
 
 fn instances() -> Vec<Quarantine> {
@@ -175,26 +186,26 @@
 }
 
 fn check(steps: &[Step]) {
-    let mut world = World::new();
-    steps.iter().for_each(|step| world.step(*step));
-    let broken = world.broken();
-    assert!(broken.is_empty(), "{steps:?}: {broken:?}");
+    let mut simulation = Simulation::new();
+    steps.iter().for_each(|step| simulation.step(*step));
+    let violations = simulation.violations();
+    assert!(violations.is_empty(), "{steps:?}: {violations:?}");
 }
 
 #[test]
-fn every_short_history() {
-    for number in 0..STEPS.len().pow(SHORT) {
+fn exhaustive_short_histories() {
+    for number in 0..STEPS.len().pow(EXHAUSTIVE_STEPS) {
         let digit = |n: u32| number / STEPS.len().pow(n) % STEPS.len();
-        let steps: Vec<_> = (0..SHORT).map(|n| STEPS[digit(n)]).collect();
+        let steps: Vec<_> = (0..EXHAUSTIVE_STEPS).map(|n| STEPS[digit(n)]).collect();
         check(&steps);
     }
 }
 
 #[test]
-fn long_random_histories() {
-    for seed in 0..RANDOM {
+fn random_long_histories() {
+    for seed in 0..RANDOM_SEEDS {
         let mut rng = Pcg64::seed_from_u64(seed);
-        let length = rng.random_range(LONG);
+        let length = rng.random_range(RANDOM_STEPS);
         let steps: Vec<_> = (0..length).map(|_| STEPS[rng.random_range(0..STEPS.len())]).collect();
         check(&steps);
     }
