--- a/oxbowbend-core/tests/quarantine.rs
+++ b/oxbowbend-core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end endpoints are held back, others are not.
+//! Quarantine of requests that crash endpoints, without blocking other requests.
 
 use std::time::{Duration, Instant};
 
@@ -9,11 +9,11 @@
     CRASH_SETTLING_TIME, CRASH_THRESHOLD,
 };
 
-/// A request that ends endpoints, and others.
+/// Requests that crash endpoints, and one that does not.
 const CRASHING: u64 = 7;
 const ALSO_CRASHING: u64 = 8;
 const HARMLESS: u64 = 1;
-/// Longest time until the first trial, that of the last instance to try.
+/// Longest time until the first trial, including the jitter between instances.
 const MAX_FIRST_TRIAL_DELAY: Duration = Duration::from_secs(71);
 
 fn new_quarantine(name: &str) -> Quarantine {
@@ -24,7 +24,7 @@
     start + Duration::from_millis(ms)
 }
 
-/// An endpoint ends, at which these ran for one instance; of those under `begun` something had come.
+/// Crashes an endpoint under these requests; those in `started` had received part of a response.
 fn crash(
     quarantine: &mut Quarantine,
     now: Instant,
@@ -47,7 +47,7 @@
     quarantine.blocked_for(now, fingerprint).is_some()
 }
 
-/// Everything is told both ways.
+/// Exchanges full updates in both directions.
 fn exchange(now: Instant, a: &mut Quarantine, b: &mut Quarantine) {
     let update = a.make_update(now, Extent::Full, true);
     b.apply_update(now, &update);
@@ -59,24 +59,26 @@
 
 #[test]
 fn quarantines_only_requests_that_explain_enough_crashes() {
-    // (ends with what was quiet and what had begun, held after them)
+    // (crashes with the requests awaiting a response and those that had started one, requests
+    // blocked afterwards)
     type Case = (&'static [(&'static [u64], &'static [u64])], &'static [u64]);
     let cases: [Case; 11] = [
         (&[(&[7], &[])], &[]),
         (&[(&[7], &[]), (&[7], &[])], &[]),
         (&[(&[7], &[]), (&[7], &[]), (&[7], &[])], &[7]),
-        // Streams that are continued beside it each time had begun before.
+        // Streams resumed beside it each time had already started a response.
         (&[(&[7], &[1]), (&[7], &[1]), (&[7], &[1])], &[7]),
         (&[(&[7, 1], &[2]), (&[7, 2], &[1]), (&[7, 3], &[1])], &[7]),
-        // Two that cannot be told apart, until one more end tells; or does not.
+        // Two requests that can't be told apart: at four crashes, one or both are blocked.
         (&[(&[7, 1], &[]), (&[7, 1], &[]), (&[7, 1], &[])], &[]),
         (&[(&[7, 1], &[]), (&[7, 1], &[]), (&[7, 1], &[]), (&[7], &[])], &[7]),
         (&[(&[7, 1], &[]), (&[7, 1], &[]), (&[7, 1], &[]), (&[7, 1], &[])], &[1, 7]),
-        // Two that end endpoints, each by itself.
+        // Two requests that crash endpoints independently.
         (&[(&[7], &[]), (&[8], &[]), (&[7], &[]), (&[8], &[]), (&[7], &[]), (&[8], &[])], &[7, 8]),
-        // One that ends them late, when something has come, among others that change.
+        // A request that crashes endpoints after it started a response, beside a different one each
+        // time.
         (&[(&[1], &[7]), (&[2], &[7]), (&[3], &[7]), (&[4], &[7]), (&[5], &[7])], &[7]),
-        // One that was taken for a culprit is cleared when those beside it are found.
+        // A bystander is released once the causes of its crashes are known.
         (
             &[
                 (&[1, 7], &[]),
@@ -122,7 +124,7 @@
         quarantine.attempt_interrupted(now, &"e".into(), key, attempt);
     }
     assert!(!is_blocked(&quarantine, now, CRASHING));
-    // Word that comes long after speaks of something else.
+    // A confirmation after the timeout is ignored.
     (0..10).for_each(|key| quarantine.endpoint_crashed(after(now, 6000), key));
     assert!(!is_blocked(&quarantine, after(now, 6000), CRASHING));
 }
@@ -197,7 +199,7 @@
     let now = after(now, 200);
     b.request_succeeded(now, HARMLESS);
     exchange(now, &mut a, &mut b);
-    // What was said before comes late.
+    // Stale records arrive late.
     a.apply_update(now, &stale_update);
     a.apply_decisions(now, &stored);
     assert!(!is_blocked(&a, now, HARMLESS) && !is_blocked(&b, now, HARMLESS));
@@ -248,7 +250,7 @@
         quarantine.check_send(now + MAX_FIRST_TRIAL_DELAY, HARMLESS),
         SendPermission::Allowed
     );
-    // It takes as many ends again.
+    // Quarantining it again takes as many crashes as before.
     crash(
         &mut quarantine,
         now + MAX_FIRST_TRIAL_DELAY + Duration::from_secs(9),
@@ -350,11 +352,11 @@
     assert_eq!(crash_count(&mut quarantine, 30, Extent::Loads), 0);
     assert_eq!(crash_count(&mut quarantine, 900, Extent::Changes), 8);
     assert_eq!(crash_count(&mut quarantine, 1100, Extent::Full), 0);
-    // One request at two of them: whoever was cut off meanwhile may know of the third.
+    // A suspect of two crashes: a partitioned instance may know of a third.
     crash(&mut quarantine, now, 30, &[1000], &[]);
     assert_eq!(crash_count(&mut quarantine, 9000, Extent::Full), 2);
     assert_eq!(crash_count(&mut quarantine, 9000, Extent::Changes), 0);
-    // Those of others are told on by some.
+    // Crashes observed by others are relayed on demand.
     let (mut other, update) =
         (new_quarantine("b"), quarantine.make_update(now, Extent::Changes, false));
     other.apply_update(now, &update);
@@ -379,7 +381,7 @@
         );
         b.endpoint_crashed(at, key);
     }
-    // It is at one more end, without the other one.
+    // One more crash, without the harmless request.
     crash(&mut b, after(now, 210), 9, &[CRASHING], &[]);
     let update = b.make_update(after(now, 230), Extent::Changes, true);
     a.apply_update(after(now, 230), &update);
--- a/oxbowbend-core/tests/quarantine_exploration.rs
+++ b/oxbowbend-core/tests/quarantine_exploration.rs
@@ -1,7 +1,9 @@
-//! Every short history of three instances, a request that ends endpoints and one that does not, and long random ones:
-//! ends seen here or there, alone or with the other request beside, answers, a cut, and the death of all.
+//! Plays every short history, and random long ones, of three instances with a request that crashes
+//! endpoints and a harmless one. The steps are crashes with and without the harmless request as a
+//! bystander, successes, partitions and restarts of all instances.
 //!
-//! Whatever the order, whoever can hear of three ends holds the one, and serves the other.
+//! In any order, every instance that can learn of three crashes must block the first request and
+//! allow the other.
 
 use std::time::{Duration, Instant};
 
@@ -15,28 +17,27 @@
 const CRASHING: u64 = 7;
 const HARMLESS: u64 = 1;
 const INSTANCES: usize = 3;
-/// The one that may be cut off from the others.
+/// The instance that may be partitioned from the others.
 const PARTITIONED: usize = 2;
-/// Length of the histories of which every one is played.
+/// Length of the histories that are enumerated exhaustively.
 const EXHAUSTIVE_STEPS: u32 = 5;
-/// Others, and how many of them.
+/// Range of lengths of the random histories, and their number.
 const RANDOM_STEPS: std::ops::Range<usize> = 6..40;
 const RANDOM_SEEDS: u64 = 5_000;
 
-/// What may happen.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The request ends an endpoint that it was sent to by an instance.
+    /// An endpoint crashes under the request sent by this instance.
     Crash(usize),
-    /// The same, with the other request beside it.
+    /// The same, with the harmless request in flight on the endpoint.
     CrashWithBystander(usize),
-    /// The other request is answered at an instance.
+    /// The harmless request succeeds on this instance.
     Succeed(usize),
-    /// Reports reach whoever is not cut off; decisions are noted.
+    /// Instances exchange updates within their partition, and store their decisions.
     Exchange,
-    /// The loner is cut off, or is not any more.
+    /// Partitions an instance from the others, or heals the partition.
     TogglePartition,
-    /// All die, and start with what was noted.
+    /// All instances restart from the stored decisions.
     RestartAll,
 }
 
@@ -58,10 +59,11 @@
     now: Instant,
     instances: Vec<Quarantine>,
     is_partitioned: bool,
-    /// Ends that an instance has seen in this life, and whether the other request was beside.
+    /// Crashes since the last restart: the instance that observed it, and whether there was a
+    /// bystander.
     crashes: Vec<(usize, bool)>,
     stored: Vec<DecisionRecord>,
-    /// Whether the request was held by somebody when notes were last written.
+    /// Whether the quarantine of the request was stored at the last exchange.
     is_stored: bool,
     next_key: u32,
 }
@@ -98,7 +100,7 @@
     }
 
     fn crash(&mut self, at: usize, has_bystander: bool) {
-        // It is sent only where the gate is open.
+        // Requests are sent only where they are not blocked.
         if self.instances[at].blocked_for(self.now, CRASHING).is_some() {
             return;
         }
@@ -133,7 +135,7 @@
         self.is_stored = self.stored.iter().any(|v| v.fingerprint == CRASHING);
     }
 
-    /// What is not as it must be once all reports have arrived.
+    /// Returns the violated properties once all updates have arrived.
     fn violations(&mut self) -> Vec<String> {
         let was_stored = self.is_stored;
         self.exchange();
@@ -163,7 +165,7 @@
                 ));
             }
         }
-        // One answer, and the other request is served wherever that is heard.
+        // After one success, the harmless request is allowed wherever that is known.
         self.now += Duration::from_millis(10);
         self.instances[0].request_succeeded(self.now, HARMLESS);
         self.exchange();
