--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -64,69 +64,73 @@
 }
 
 /// Looks for a version that answers worse.
-pub fn find_regression(evidence: &ResponseHistory) -> Option<Regression> {
-    evidence.windows().flatten().find_map(|comparison| compare(&comparison))
+pub fn find_regression(history: &ResponseHistory) -> Option<Regression> {
+    history.windows().flatten().find_map(|comparison| compare(&comparison))
 }
 
 fn compare(comparison: &Comparison) -> Option<Regression> {
-    let GroupCounts { baseline: old, candidate: new } = &comparison.total;
-    if new.total() < MIN_BAD_RESPONSES {
+    let GroupCounts { baseline, candidate } = &comparison.total;
+    if candidate.total() < MIN_BAD_RESPONSES {
         return None;
     }
     let failures = |counts: &ResponseCounts| Sample { total: counts.total(), bad: counts.failed() };
-    compare_bad_shares(failures(new), failures(old), FAILURE_PRIOR, None)
+    compare_bad_shares(failures(candidate), failures(baseline), FAILURE_PRIOR, None)
         .or_else(|| find_slowdown(comparison))
 }
 
 /// Without a control in the same moments a version is judged by its failures alone: what slows all machines down after the shift
 /// would look like a slow version.
 fn find_slowdown(comparison: &Comparison) -> Option<Regression> {
-    let GroupCounts { baseline: old, candidate: new } = &comparison.controlled;
-    let mut bounds = slow_buckets().filter(|_| old.total() >= MIN_BASELINE_RESPONSES);
-    bounds.find_map(|class| {
+    let GroupCounts { baseline, candidate } = &comparison.controlled;
+    let mut thresholds = slow_buckets().filter(|_| baseline.total() >= MIN_BASELINE_RESPONSES);
+    thresholds.find_map(|bucket| {
         let slow = |counts: &ResponseCounts| Sample {
             total: counts.total(),
-            bad: counts.failed_or_slow(class),
+            bad: counts.failed_or_slow(bucket),
         };
-        let lasting = slow(new).without(comparison.worst_failed_or_slow(class));
-        compare_bad_shares(lasting, slow(old), SLOW_PRIOR, Some(class))
+        let independent = slow(candidate).without(comparison.worst_failed_or_slow(bucket));
+        compare_bad_shares(independent, slow(baseline), SLOW_PRIOR, Some(bucket))
     })
 }
 
 /// Compares the shares of bad answers of both sides.
 fn compare_bad_shares(
-    new: Sample,
-    old: Sample,
-    before: Prior,
-    slow_from: Option<usize>,
+    candidate: Sample,
+    baseline: Sample,
+    prior: Prior,
+    slow_bucket: Option<usize>,
 ) -> Option<Regression> {
-    let share = |bad: f64, all: f64| bad / all;
-    let (bad, all) = (f64::from(new.bad), f64::from(new.total));
-    let (old_bad, old_all) = (f64::from(old.bad) + before.bad, f64::from(old.total) + before.total);
-    let (share_new, share_old) = (share(bad, all), share(old_bad, old_all));
-    let least = if slow_from.is_some() {
-        MIN_SLOW_SHARE_RATIO * share_old
+    let share = |bad: f64, total: f64| bad / total;
+    let (bad, total) = (f64::from(candidate.bad), f64::from(candidate.total));
+    let (baseline_bad, baseline_total) =
+        (f64::from(baseline.bad) + prior.bad, f64::from(baseline.total) + prior.total);
+    let (candidate_share, baseline_share) =
+        (share(bad, total), share(baseline_bad, baseline_total));
+    let min_share = if slow_bucket.is_some() {
+        MIN_SLOW_SHARE_RATIO * baseline_share
     } else {
-        share_old + MIN_FAILURE_SHARE_EXCESS
+        baseline_share + MIN_FAILURE_SHARE_EXCESS
     };
-    if new.bad < MIN_BAD_RESPONSES || share_new < least {
+    if candidate.bad < MIN_BAD_RESPONSES || candidate_share < min_share {
         return None;
     }
     // Against both sides having the share of the two together.
-    let share_both = share(bad + old_bad, all + old_all);
-    let ratio = log_likelihood(bad, all, share_new) + log_likelihood(old_bad, old_all, share_old)
-        - log_likelihood(bad + old_bad, all + old_all, share_both);
-    let bound = if slow_from.is_some() { MIN_LOG_RATIO_SLOW } else { MIN_LOG_RATIO_FAILURES };
-    (ratio >= bound).then_some(Regression {
-        candidate: new,
-        baseline: old,
-        log_ratio: ratio,
-        slow_bucket: slow_from,
+    let pooled_share = share(bad + baseline_bad, total + baseline_total);
+    let log_ratio = log_likelihood(bad, total, candidate_share)
+        + log_likelihood(baseline_bad, baseline_total, baseline_share)
+        - log_likelihood(bad + baseline_bad, total + baseline_total, pooled_share);
+    let min_log_ratio =
+        if slow_bucket.is_some() { MIN_LOG_RATIO_SLOW } else { MIN_LOG_RATIO_FAILURES };
+    (log_ratio >= min_log_ratio).then_some(Regression {
+        candidate,
+        baseline,
+        log_ratio,
+        slow_bucket,
     })
 }
 
 /// Logarithm of the likelihood of so many bad ones of all at a share.
-fn log_likelihood(bad: f64, all: f64, share: f64) -> f64 {
+fn log_likelihood(bad: f64, total: f64, share: f64) -> f64 {
     let term = |n: f64, share: f64| if n > 0.0 { n * share.ln() } else { 0.0 };
-    term(bad, share) + term(all - bad, 1.0 - share)
+    term(bad, share) + term(total - bad, 1.0 - share)
 }
--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -140,9 +140,9 @@
 
 impl Rollouts {
     /// None yet.
-    pub fn new(bounds: RolloutLimits) -> Rollouts {
+    pub fn new(limits: RolloutLimits) -> Rollouts {
         Rollouts {
-            limits: bounds,
+            limits,
             rollouts: BTreeMap::new(),
             local_counters: BTreeMap::new(),
             peer_counters: BTreeMap::new(),
@@ -153,31 +153,31 @@
 
     /// Takes in an order. `longest` is the longest time that a request to the service may take. The same order
     /// again changes nothing; one for another version takes the place of the one before.
-    pub fn start(&mut self, now: Instant, order: RolloutSpec, longest: Duration) {
-        if self.rollouts.get(&order.service).is_some_and(|r| r.id == order.id()) {
+    pub fn start(&mut self, now: Instant, spec: RolloutSpec, max_request_duration: Duration) {
+        if self.rollouts.get(&spec.service).is_some_and(|r| r.id == spec.id()) {
             return;
         }
-        let deadline = now + order.duration;
-        self.insert(now, order, deadline, longest, Phase::Canary, PhaseReason::Ordered);
+        let deadline = now + spec.duration;
+        self.insert(now, spec, deadline, max_request_duration, Phase::Canary, PhaseReason::Ordered);
     }
 
     fn insert(
         &mut self,
         now: Instant,
-        order: RolloutSpec,
+        spec: RolloutSpec,
         deadline: Instant,
-        longest: Duration,
+        max_request_duration: Duration,
         phase: Phase,
-        why: PhaseReason,
+        reason: PhaseReason,
     ) {
-        let service = order.service.clone();
-        let rollout = Rollout::new(now, order, deadline, longest, phase);
+        let service = spec.service.clone();
+        let rollout = Rollout::new(now, spec, deadline, max_request_duration, phase);
         for counters in
             [&mut self.local_counters, &mut self.peer_counters, &mut self.remote_counters]
         {
             counters.retain(|key, _| key.rollout == rollout.id);
         }
-        self.changes.push(rollout.phase_change(now, why));
+        self.changes.push(rollout.phase_change(now, reason));
         self.rollouts.insert(service, rollout);
     }
 
@@ -235,11 +235,11 @@
             rollout.set_endpoints(now, endpoints);
         }
         let canaries = self.select_canaries(endpoints);
-        let part = |endpoint: &Endpoint| match self.rollouts.get(&endpoint.service) {
+        let role = |endpoint: &Endpoint| match self.rollouts.get(&endpoint.service) {
             Some(rollout) => rollout.endpoint_role(endpoint, canaries.contains(&&endpoint.id)),
             None => EndpointRole::Service,
         };
-        endpoints.iter().map(part).collect()
+        endpoints.iter().map(role).collect()
     }
 
     /// Endpoints of versions that are tried: as many as the part of the requests that they get keeps as busy as the
@@ -247,20 +247,20 @@
     fn select_canaries<'a>(&self, endpoints: &'a [Endpoint]) -> Vec<&'a EndpointId> {
         let mut canaries = Vec::new();
         for rollout in self.rollouts.values().filter(|r| r.phase == Phase::Canary) {
-            let new = endpoints
+            let candidates = endpoints
                 .iter()
                 .filter(|e| rollout.group(e) == Some(VersionGroup::Candidate) && !e.leaving);
-            let mut new: Vec<_> = new.map(|e| &e.id).collect();
-            new.sort_by_key(|id| xxh3_64(id.as_bytes()));
-            let part = rollout.endpoint_counts.baseline.max(new.len()) as f64
+            let mut candidates: Vec<_> = candidates.map(|e| &e.id).collect();
+            candidates.sort_by_key(|id| xxh3_64(id.as_bytes()));
+            let target = rollout.endpoint_counts.baseline.max(candidates.len()) as f64
                 * self.limits.max_candidate_share
                 * TARGET_EXPOSURE_FRACTION;
-            let tried = if rollout.endpoint_counts.baseline == 0 {
-                new.len()
+            let count = if rollout.endpoint_counts.baseline == 0 {
+                candidates.len()
             } else {
-                part.ceil() as usize
+                target.ceil() as usize
             };
-            canaries.extend(new.into_iter().take(tried));
+            canaries.extend(candidates.into_iter().take(count));
         }
         canaries
     }
@@ -271,12 +271,12 @@
     pub fn assign_request(
         &mut self,
         service: &ServiceId,
-        has_new: bool,
-        is_first: bool,
+        has_candidate: bool,
+        is_first_attempt: bool,
     ) -> ServiceId {
         let share = self.limits.max_candidate_share * TARGET_EXPOSURE_FRACTION;
         let Some(rollout) = self.rollouts.get_mut(service) else { return service.clone() };
-        match rollout.assign_request(share, has_new, is_first) {
+        match rollout.assign_request(share, has_candidate, is_first_attempt) {
             VersionGroup::Baseline => service.clone(),
             VersionGroup::Candidate => rollout.candidate_service(),
         }
@@ -302,15 +302,15 @@
         now: Instant,
         endpoint: &Endpoint,
         route: &str,
-        answer: Option<ResponseOutcome>,
+        outcome: Option<ResponseOutcome>,
     ) {
         let Some(rollout) = self.rollouts.get_mut(base_service(&endpoint.service)) else { return };
-        let Some(side) = rollout.group(endpoint) else { return };
-        if side == VersionGroup::Baseline {
+        let Some(group) = rollout.group(endpoint) else { return };
+        if group == VersionGroup::Baseline {
             rollout.baseline_in_flight = rollout.baseline_in_flight.saturating_sub(1);
         }
-        let Some(answer) = answer.filter(|_| rollout.phase < Phase::RolledBack) else { return };
-        let key = ResponseCounterKey::new(rollout.id, route, side, answer);
+        let Some(outcome) = outcome.filter(|_| rollout.phase < Phase::RolledBack) else { return };
+        let key = ResponseCounterKey::new(rollout.id, route, group, outcome);
         rollout.responses.add(now, key, 1);
         *self.local_counters.entry(key).or_default() += 1;
     }
@@ -321,13 +321,14 @@
         now: Instant,
         key: ResponseCounterKey,
         n: u64,
-        is_near: bool,
+        is_same_cell: bool,
     ) {
         let Some(rollout) = self.rollouts.values_mut().find(|r| r.id == key.rollout) else {
             return;
         };
         rollout.responses.add(now, key, n);
-        let counters = if is_near { &mut self.peer_counters } else { &mut self.remote_counters };
+        let counters =
+            if is_same_cell { &mut self.peer_counters } else { &mut self.remote_counters };
         *counters.entry(key).or_default() += n;
     }
 
--- a/oxbowbend-core/src/rollout/records.rs
+++ b/oxbowbend-core/src/rollout/records.rs
@@ -61,23 +61,23 @@
 
 impl Rollouts {
     /// What to tell an instance of this cell, or those of others.
-    pub fn make_records(&self, now: Instant, to: PeerLocation) -> Vec<RolloutRecord> {
-        let tell = |rollout: &Rollout| RolloutRecord {
+    pub fn make_records(&self, now: Instant, recipient: PeerLocation) -> Vec<RolloutRecord> {
+        let make_record = |rollout: &Rollout| RolloutRecord {
             service: rollout.spec.service.clone(),
             destination: rollout.spec.destination.clone(),
             age_ms: millis(now.saturating_duration_since(rollout.started_at)),
             duration_ms: millis(rollout.deadline.saturating_duration_since(rollout.started_at)),
             phase: rollout.phase,
-            baseline_in_flight: match to {
+            baseline_in_flight: match recipient {
                 PeerLocation::SameCell => rollout.local_baseline_in_flight(),
                 PeerLocation::OtherCell => rollout.cell_baseline_in_flight(now),
             },
-            remote_in_flight: match to {
+            remote_in_flight: match recipient {
                 PeerLocation::SameCell => rollout.reported_by_other_cells(now),
                 PeerLocation::OtherCell => 0,
             },
         };
-        self.rollouts.values().map(tell).collect()
+        self.rollouts.values().map(make_record).collect()
     }
 
     /// Takes in what another instance tells. `longest` is the longest time that a request to a service may take.
@@ -85,79 +85,99 @@
         &mut self,
         now: Instant,
         from: &InstanceId,
-        teller: PeerLocation,
-        told: &[RolloutRecord],
-        longest: impl Fn(&ServiceId) -> Duration,
+        location: PeerLocation,
+        records: &[RolloutRecord],
+        max_request_duration: impl Fn(&ServiceId) -> Duration,
     ) {
-        for told in told {
-            self.apply_record_from(now, from, teller, told, longest(&told.service));
+        for record in records {
+            self.apply_record_from(
+                now,
+                from,
+                location,
+                record,
+                max_request_duration(&record.service),
+            );
         }
     }
 
     /// Takes in what an instance noted in the store before this one's start.
-    pub fn restore(&mut self, now: Instant, told: &RolloutRecord, longest: Duration) {
-        self.merge_record(now, told, longest);
+    pub fn restore(
+        &mut self,
+        now: Instant,
+        record: &RolloutRecord,
+        max_request_duration: Duration,
+    ) {
+        self.merge_record(now, record, max_request_duration);
     }
 
     fn apply_record_from(
         &mut self,
         now: Instant,
         from: &InstanceId,
-        teller: PeerLocation,
-        told: &RolloutRecord,
-        longest: Duration,
+        location: PeerLocation,
+        record: &RolloutRecord,
+        max_request_duration: Duration,
     ) {
-        self.merge_record(now, told, longest);
-        let is_same = |r: &&mut Rollout| r.spec.destination == told.destination;
-        if let Some(rollout) = self.rollouts.get_mut(&told.service).filter(is_same) {
-            let (running, beyond) = (told.baseline_in_flight, told.remote_in_flight);
-            let others = PeerInFlight {
-                received_at: now,
-                location: teller,
-                baseline_in_flight: running,
-                remote_in_flight: beyond,
-            };
-            rollout.peers.insert(from.clone(), others);
+        self.merge_record(now, record, max_request_duration);
+        let is_same = |r: &&mut Rollout| r.spec.destination == record.destination;
+        if let Some(rollout) = self.rollouts.get_mut(&record.service).filter(is_same) {
+            let (baseline_in_flight, remote_in_flight) =
+                (record.baseline_in_flight, record.remote_in_flight);
+            let peer =
+                PeerInFlight { received_at: now, location, baseline_in_flight, remote_in_flight };
+            rollout.peers.insert(from.clone(), peer);
         }
     }
 
     /// An order that is not known, or that is younger than the one that is, takes its place; of the same one the
     /// later phase holds.
-    fn merge_record(&mut self, now: Instant, told: &RolloutRecord, longest: Duration) {
-        let age = Duration::from_millis(told.age_ms.into());
-        let ordered = now.checked_sub(age).unwrap_or(now);
-        let destination = told.destination.clone();
-        let Some(known) = self.rollouts.get_mut(&told.service) else {
-            return self.start_from_record(now, told, ordered, longest);
+    fn merge_record(
+        &mut self,
+        now: Instant,
+        record: &RolloutRecord,
+        max_request_duration: Duration,
+    ) {
+        let age = Duration::from_millis(record.age_ms.into());
+        let started_at = now.checked_sub(age).unwrap_or(now);
+        let destination = record.destination.clone();
+        let Some(known) = self.rollouts.get_mut(&record.service) else {
+            return self.start_from_record(now, record, started_at, max_request_duration);
         };
         if known.spec.destination != destination {
             // Ages differ by what a report takes.
-            if ordered > known.started_at + PEER_RECORD_TTL {
-                self.start_from_record(now, told, ordered, longest);
+            if started_at > known.started_at + PEER_RECORD_TTL {
+                self.start_from_record(now, record, started_at, max_request_duration);
             }
             return;
         }
-        known.started_at = known.started_at.min(ordered);
-        let duration = Duration::from_millis(told.duration_ms.into());
-        known.deadline = known.deadline.min(ordered + duration);
-        if told.phase > known.phase {
-            self.changes.extend(known.enter_phase(now, told.phase, PhaseReason::Told));
+        known.started_at = known.started_at.min(started_at);
+        let duration = Duration::from_millis(record.duration_ms.into());
+        known.deadline = known.deadline.min(started_at + duration);
+        if record.phase > known.phase {
+            self.changes.extend(known.enter_phase(now, record.phase, PhaseReason::Told));
         }
     }
 
     fn start_from_record(
         &mut self,
         now: Instant,
-        told: &RolloutRecord,
-        ordered: Instant,
-        longest: Duration,
+        record: &RolloutRecord,
+        started_at: Instant,
+        max_request_duration: Duration,
     ) {
-        let duration = Duration::from_millis(told.duration_ms.into());
-        let (service, destination) = (told.service.clone(), told.destination.clone());
-        let order = RolloutSpec { service, destination, duration };
-        self.insert(now, order, ordered + duration, longest, told.phase, PhaseReason::Told);
-        if let Some(rollout) = self.rollouts.get_mut(&told.service) {
-            rollout.started_at = ordered;
+        let duration = Duration::from_millis(record.duration_ms.into());
+        let (service, destination) = (record.service.clone(), record.destination.clone());
+        let spec = RolloutSpec { service, destination, duration };
+        self.insert(
+            now,
+            spec,
+            started_at + duration,
+            max_request_duration,
+            record.phase,
+            PhaseReason::Told,
+        );
+        if let Some(rollout) = self.rollouts.get_mut(&record.service) {
+            rollout.started_at = started_at;
         }
     }
 }
@@ -170,25 +190,25 @@
 
     /// Those of its cell, as far as is heard.
     fn cell_baseline_in_flight(&self, now: Instant) -> u32 {
-        let near = self.live_peers(now).filter(|o| o.location == PeerLocation::SameCell);
-        self.local_baseline_in_flight() + near.map(|o| o.baseline_in_flight).sum::<u32>()
+        let same_cell = self.live_peers(now).filter(|peer| peer.location == PeerLocation::SameCell);
+        self.local_baseline_in_flight() + same_cell.map(|peer| peer.baseline_in_flight).sum::<u32>()
     }
 
     /// Those of other cells: as their representatives told, or one of this cell did.
     fn remote_baseline_in_flight(&self, now: Instant) -> u32 {
-        let beyond = self
+        let relayed = self
             .live_peers(now)
-            .filter(|o| o.location == PeerLocation::SameCell)
-            .map(|o| o.remote_in_flight);
-        self.reported_by_other_cells(now).max(beyond.max().unwrap_or(0))
+            .filter(|peer| peer.location == PeerLocation::SameCell)
+            .map(|peer| peer.remote_in_flight);
+        self.reported_by_other_cells(now).max(relayed.max().unwrap_or(0))
     }
 
     /// Those that other cells told this instance of. Only these are told on: what two instances of a cell told each
     /// other on would stay for ever.
     fn reported_by_other_cells(&self, now: Instant) -> u32 {
         self.live_peers(now)
-            .filter(|o| o.location == PeerLocation::OtherCell)
-            .map(|o| o.baseline_in_flight)
+            .filter(|peer| peer.location == PeerLocation::OtherCell)
+            .map(|peer| peer.baseline_in_flight)
             .sum()
     }
 
@@ -198,8 +218,9 @@
     }
 
     fn live_peers(&self, now: Instant) -> impl Iterator<Item = &PeerInFlight> {
-        let is_live =
-            move |o: &&PeerInFlight| now.saturating_duration_since(o.received_at) < PEER_RECORD_TTL;
+        let is_live = move |peer: &&PeerInFlight| {
+            now.saturating_duration_since(peer.received_at) < PEER_RECORD_TTL
+        };
         self.peers.values().filter(is_live)
     }
 }
--- a/oxbowbend-core/src/rollout/responses.rs
+++ b/oxbowbend-core/src/rollout/responses.rs
@@ -73,27 +73,22 @@
 impl ResponseCounterKey {
     /// The counter for an answer.
     pub fn new(
-        order: RolloutId,
+        rollout: RolloutId,
         route: &str,
-        side: VersionGroup,
-        answer: ResponseOutcome,
+        group: VersionGroup,
+        outcome: ResponseOutcome,
     ) -> ResponseCounterKey {
-        let class = match answer {
+        let bucket = match outcome {
             ResponseOutcome::Failure => FAILURE_BUCKET,
             ResponseOutcome::Success { ns_per_unit } => latency_bucket(ns_per_unit),
         };
-        ResponseCounterKey {
-            rollout: order,
-            route: xxh3_64(route.as_bytes()) as RouteKey,
-            group: side,
-            bucket: class,
-        }
+        ResponseCounterKey { rollout, route: xxh3_64(route.as_bytes()) as RouteKey, group, bucket }
     }
 }
 
 fn latency_bucket(ns_per_unit: f64) -> u8 {
-    let times = (ns_per_unit / BUCKET_BASE_NS).max(1.0).log2();
-    (times as usize).min(LATENCY_BUCKETS - 1) as u8
+    let exponent = (ns_per_unit / BUCKET_BASE_NS).max(1.0).log2();
+    (exponent as usize).min(LATENCY_BUCKETS - 1) as u8
 }
 
 /// Answers of one version on one route.
@@ -116,12 +111,12 @@
     }
 
     /// Failures, and good answers of a class of time or a slower one.
-    pub fn failed_or_slow(&self, class: usize) -> u32 {
-        self.failed + self.by_latency.iter().skip(class).sum::<u32>()
+    pub fn failed_or_slow(&self, bucket: usize) -> u32 {
+        self.failed + self.by_latency.iter().skip(bucket).sum::<u32>()
     }
 
-    fn add(&mut self, class: u8, n: u32) {
-        match self.by_latency.get_mut(usize::from(class)) {
+    fn add(&mut self, bucket: u8, n: u32) {
+        match self.by_latency.get_mut(usize::from(bucket)) {
             Some(count) => *count += n,
             None => self.failed += n,
         }
@@ -166,22 +161,22 @@
             return;
         }
         self.controlled.merge(slot);
-        for class in slow_buckets() {
-            let (first, second) = self.worst_slots[class];
-            let bad = slot.candidate.failed_or_slow(class);
-            self.worst_slots[class] = (first.max(bad), second.max(first.min(bad)));
+        for bucket in slow_buckets() {
+            let (first, second) = self.worst_slots[bucket];
+            let bad = slot.candidate.failed_or_slow(bucket);
+            self.worst_slots[bucket] = (first.max(bad), second.max(first.min(bad)));
         }
     }
 
     /// Answers of the new version in its two worst moments that failed or were of a class of time or a slower one.
-    pub fn worst_failed_or_slow(&self, class: usize) -> u32 {
-        self.worst_slots[class].0 + self.worst_slots[class].1
+    pub fn worst_failed_or_slow(&self, bucket: usize) -> u32 {
+        self.worst_slots[bucket].0 + self.worst_slots[bucket].1
     }
 }
 
 impl GroupCounts {
-    fn group_mut(&mut self, side: VersionGroup) -> &mut ResponseCounts {
-        match side {
+    fn group_mut(&mut self, group: VersionGroup) -> &mut ResponseCounts {
+        match group {
             VersionGroup::Baseline => &mut self.baseline,
             VersionGroup::Candidate => &mut self.candidate,
         }
@@ -224,24 +219,24 @@
     /// Answers of the last seconds, of all of them, and of spans between: each of twice as many slots as the one
     /// before. Each with routes by themselves and all routes together.
     pub fn windows(&self) -> impl Iterator<Item = Vec<Comparison>> + '_ {
-        let all = self.slots.len();
+        let count = self.slots.len();
         let lengths = std::iter::successors(Some(1_usize), |n| Some(n * 2));
-        let lengths = lengths.take_while(move |n| *n < all * 2).map(move |n| n.min(all));
+        let lengths = lengths.take_while(move |n| *n < count * 2).map(move |n| n.min(count));
         lengths.map(|length| self.window(length))
     }
 
     fn window(&self, slots: usize) -> Vec<Comparison> {
         let mut routes: BTreeMap<RouteKey, Comparison> = BTreeMap::new();
-        let mut whole = Comparison::default();
+        let mut total = Comparison::default();
         for slot in self.slots.iter().rev().take(slots) {
-            let mut together = GroupCounts::default();
-            for (route, sides) in &slot.routes {
-                routes.entry(*route).or_default().add(sides);
-                together.merge(sides);
+            let mut all_routes = GroupCounts::default();
+            for (route, counts) in &slot.routes {
+                routes.entry(*route).or_default().add(counts);
+                all_routes.merge(counts);
             }
-            whole.add(&together);
+            total.add(&all_routes);
         }
-        routes.into_values().chain([whole]).collect()
+        routes.into_values().chain([total]).collect()
     }
 
     /// All answers so far, of all routes.
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -67,17 +67,17 @@
 impl Rollout {
     pub(super) fn new(
         now: Instant,
-        order: RolloutSpec,
+        spec: RolloutSpec,
         deadline: Instant,
-        longest: Duration,
+        max_request_duration: Duration,
         phase: Phase,
     ) -> Rollout {
         Rollout {
-            id: order.id(),
-            spec: order,
+            id: spec.id(),
+            spec,
             started_at: now,
             deadline,
-            max_request_duration: longest,
+            max_request_duration,
             phase,
             phase_entered_at: now,
             responses: ResponseHistory::default(),
@@ -92,12 +92,12 @@
         }
     }
 
-    pub(super) fn phase_change(&self, now: Instant, why: PhaseReason) -> PhaseChange {
+    pub(super) fn phase_change(&self, now: Instant, reason: PhaseReason) -> PhaseChange {
         PhaseChange {
             service: self.spec.service.clone(),
             destination: self.spec.destination.clone(),
             phase: self.phase,
-            reason: why,
+            reason,
             age: now.saturating_duration_since(self.started_at),
             responses: self.responses.totals(),
         }
@@ -107,11 +107,11 @@
         &mut self,
         now: Instant,
         phase: Phase,
-        why: PhaseReason,
+        reason: PhaseReason,
     ) -> Option<PhaseChange> {
         (self.phase, self.phase_entered_at) = (phase, now);
         self.drained_since = None;
-        Some(self.phase_change(now, why))
+        Some(self.phase_change(now, reason))
     }
 
     /// On which side an endpoint is, if it belongs to the service.
@@ -119,8 +119,8 @@
         if base_service(&endpoint.service) != &*self.spec.service {
             return None;
         }
-        let is_new = endpoint.version == self.spec.destination;
-        Some(if is_new { VersionGroup::Candidate } else { VersionGroup::Baseline })
+        let is_candidate = endpoint.version == self.spec.destination;
+        Some(if is_candidate { VersionGroup::Candidate } else { VersionGroup::Baseline })
     }
 
     pub(super) fn candidate_service(&self) -> ServiceId {
@@ -128,29 +128,29 @@
     }
 
     pub(super) fn endpoint_role(&self, endpoint: &Endpoint, is_canary: bool) -> EndpointRole {
-        let is_new = self.group(endpoint) == Some(VersionGroup::Candidate);
+        let is_candidate = self.group(endpoint) == Some(VersionGroup::Candidate);
         match self.phase {
-            Phase::Canary if is_new && !is_canary => EndpointRole::Excluded,
-            Phase::RolledBack if is_new => EndpointRole::Excluded,
-            Phase::Complete if !is_new => EndpointRole::Excluded,
+            Phase::Canary if is_candidate && !is_canary => EndpointRole::Excluded,
+            Phase::RolledBack if is_candidate => EndpointRole::Excluded,
+            Phase::Complete if !is_candidate => EndpointRole::Excluded,
             Phase::Retired => EndpointRole::Service,
-            _ if is_new => EndpointRole::Version(self.candidate_service()),
+            _ if is_candidate => EndpointRole::Version(self.candidate_service()),
             _ => EndpointRole::Service,
         }
     }
 
     pub(super) fn set_endpoints(&mut self, now: Instant, endpoints: &[Endpoint]) {
-        let mut sides = EndpointCounts::default();
+        let mut counts = EndpointCounts::default();
         for endpoint in endpoints.iter().filter(|e| !e.leaving) {
             match self.group(endpoint) {
-                Some(VersionGroup::Baseline) => sides.baseline += 1,
-                Some(VersionGroup::Candidate) => sides.candidate += 1,
+                Some(VersionGroup::Baseline) => counts.baseline += 1,
+                Some(VersionGroup::Candidate) => counts.candidate += 1,
                 None => {}
             }
         }
-        self.endpoint_counts = sides;
-        self.candidate_only_since = match sides {
-            EndpointCounts { baseline: 0, candidate: new } if new > 0 => {
+        self.endpoint_counts = counts;
+        self.candidate_only_since = match counts {
+            EndpointCounts { baseline: 0, candidate } if candidate > 0 => {
                 self.candidate_only_since.or(Some(now))
             }
             _ => None,
@@ -160,44 +160,46 @@
     pub(super) fn assign_request(
         &mut self,
         share: f64,
-        has_new: bool,
-        is_first: bool,
+        has_candidate: bool,
+        is_first_attempt: bool,
     ) -> VersionGroup {
         self.requests_sent += 1;
-        let is_within =
+        let is_within_share =
             (self.candidate_requests_sent + 1) as f64 <= share * self.requests_sent as f64;
-        let side = match self.phase {
+        let group = match self.phase {
             // There is nothing else to send it to.
-            Phase::Canary if has_new && self.endpoint_counts.baseline == 0 => {
+            Phase::Canary if has_candidate && self.endpoint_counts.baseline == 0 => {
                 VersionGroup::Candidate
             }
-            Phase::Canary if has_new && is_first && is_within => VersionGroup::Candidate,
-            Phase::Shift | Phase::Complete if has_new => VersionGroup::Candidate,
+            Phase::Canary if has_candidate && is_first_attempt && is_within_share => {
+                VersionGroup::Candidate
+            }
+            Phase::Shift | Phase::Complete if has_candidate => VersionGroup::Candidate,
             _ => VersionGroup::Baseline,
         };
-        self.candidate_requests_sent += u64::from(side == VersionGroup::Candidate);
-        side
+        self.candidate_requests_sent += u64::from(group == VersionGroup::Candidate);
+        group
     }
 
     /// When all traffic shifts at the latest.
     pub(super) fn latest_shift_at(&self) -> Instant {
         let duration = self.deadline.saturating_duration_since(self.started_at);
-        let rest = (self.max_request_duration + STATUS_WRITE_MARGIN)
+        let reserve = (self.max_request_duration + STATUS_WRITE_MARGIN)
             .min(duration.mul_f64(1.0 - MAX_CANARY_FRACTION));
-        self.deadline.checked_sub(rest).unwrap_or(self.started_at)
+        self.deadline.checked_sub(reserve).unwrap_or(self.started_at)
     }
 
     pub(super) fn advance(&mut self, now: Instant) -> Option<PhaseChange> {
         if self.phase >= Phase::RolledBack {
             return None;
         }
-        let lasting =
+        let has_lasted =
             |since: Instant| now.saturating_duration_since(since) >= SINGLE_VERSION_PERIOD;
-        if self.candidate_only_since.is_some_and(lasting) && self.phase == Phase::Canary {
+        if self.candidate_only_since.is_some_and(has_lasted) && self.phase == Phase::Canary {
             return self.enter_phase(now, Phase::Shift, PhaseReason::Idle);
         }
-        if let Some(finding) = detector::find_regression(&self.responses) {
-            return self.enter_phase(now, Phase::RolledBack, PhaseReason::Worse(finding));
+        if let Some(regression) = detector::find_regression(&self.responses) {
+            return self.enter_phase(now, Phase::RolledBack, PhaseReason::Worse(regression));
         }
         self.update_drained(now);
         match self.phase {
@@ -218,8 +220,8 @@
     }
 
     pub(super) fn update_drained(&mut self, now: Instant) {
-        let is_idle = self.phase == Phase::Shift && self.fleet_baseline_in_flight(now) == 0;
-        self.drained_since = if is_idle { self.drained_since.or(Some(now)) } else { None };
+        let is_drained = self.phase == Phase::Shift && self.fleet_baseline_in_flight(now) == 0;
+        self.drained_since = if is_drained { self.drained_since.or(Some(now)) } else { None };
     }
 
     /// What the store should say.
@@ -227,14 +229,14 @@
         if self.endpoint_counts == EndpointCounts::default() {
             return None;
         }
-        let is_idle = self
+        let is_drained = self
             .drained_since
             .is_some_and(|at| now.saturating_duration_since(at) >= DRAIN_CONFIRMATION_PERIOD);
-        let is_last =
+        let is_final =
             now + STATUS_WRITE_MARGIN >= self.deadline || self.candidate_only_since.is_some();
         match self.phase {
             Phase::Canary => Some(Status::Running),
-            Phase::Shift if is_idle || is_last => Some(Status::Complete),
+            Phase::Shift if is_drained || is_final => Some(Status::Complete),
             Phase::Shift => Some(Status::Running),
             Phase::RolledBack => Some(Status::RolledBack),
             Phase::Complete | Phase::Retired => Some(Status::Complete),
