--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -14,7 +14,7 @@
 
 /// Part of an order's time after which the shift begins at the latest, so that there is evidence of the canary in
 /// any case.
-const MAX_CANARY_FRACTION: f64 = 0.6;
+const MIN_CANARY_FRACTION: f64 = 0.6;
 /// Time before the deadline at which the status is written although something still runs at the other versions: an order
 /// is known up to 0.7 s after it was given, and the status is written up to 0.5 s after it is due.
 const STATUS_WRITE_MARGIN: Duration = Duration::from_millis(1500);
@@ -185,7 +185,7 @@
     pub(super) fn latest_shift_at(&self) -> Instant {
         let duration = self.deadline.saturating_duration_since(self.started_at);
         let reserve = (self.max_request_duration + STATUS_WRITE_MARGIN)
-            .min(duration.mul_f64(1.0 - MAX_CANARY_FRACTION));
+            .min(duration.mul_f64(1.0 - MIN_CANARY_FRACTION));
         self.deadline.checked_sub(reserve).unwrap_or(self.started_at)
     }
 
