--- a/oxbowbend-core/src/rollout/detector.rs
+++ b/oxbowbend-core/src/rollout/detector.rs
@@ -1,30 +1,30 @@
-//! Whether a version answers worse than those that run.
+//! Detects whether a candidate version responds worse than the baseline.
 //!
-//! The versions that run are the control: whatever makes all endpoints slow or fail, crests, crashes, callers' own
-//! errors, shows there as well. For failures, and for answers slower than each of some bounds, the shares of both
-//! sides are compared by a likelihood ratio, over the last second, all of the time and spans between, since a version
-//! may turn bad late; and for each route by itself, since it may be bad on one only.
+//! The baseline versions are the control: anything that slows down or fails all endpoints alike,
+//! such as load peaks, crashes or invalid requests, affects them as well. A likelihood-ratio test
+//! compares both groups by their share of failures, and by their share of responses slower than
+//! each of several thresholds. It runs for several time windows, because a version may regress
+//! late, and for each route, because it may regress on only one.
 //!
-//! The test is looked at again and again, so the bound on the ratio is high.
+//! The test is repeated continuously, so its thresholds are high.
 
 use super::responses::{slow_buckets, Comparison, GroupCounts, ResponseCounts, ResponseHistory};
 
-/// Logarithm of the likelihood ratio from which a version is bad: by its failures, and by its slow answers, of which what
-/// slows one endpoint down for a moment makes several at once.
+/// Log likelihood ratios from which a candidate is worse by its failures, and by its slow
+/// responses. The latter is higher because a brief stall makes several responses slow at once.
 const MIN_LOG_RATIO_FAILURES: f64 = 12.0;
 const MIN_LOG_RATIO_SLOW: f64 = 15.0;
-/// Bad answers below which nothing follows.
+/// Fewer failed or slow responses are never significant.
 const MIN_BAD_RESPONSES: u32 = 6;
-/// By how much its share of bad answers must be larger, so that a difference that nobody minds is none.
+/// Smallest relevant difference between the shares of failures.
 const MIN_FAILURE_SHARE_EXCESS: f64 = 0.04;
-/// Answers of the control below which nobody can tell what is slow.
+/// Fewer baseline responses don't establish what is slow.
 const MIN_BASELINE_RESPONSES: u32 = 24;
-/// How many times as often its answers must be slow as the control's. A third of the engines may be slower than the others, and
-/// a canary's few endpoints may all be such ones.
+/// How many times larger the candidate's share of slow responses must be. A third of the engines
+/// may be slower than the others, and a canary may get only those.
 const MIN_SLOW_SHARE_RATIO: f64 = 8.0;
-/// Answers that are taken to be known of the control beforehand, and how many of them were bad: without any, a single
-/// failure would be infinitely unlikely. Failures are rare at all endpoints; how many answers are slower than some
-/// bound is not known beforehand.
+/// Pseudo-counts added to the baseline, so that a first failure is not infinitely unlikely.
+/// Failures are known to be rare; the share of slow responses is not known in advance.
 const FAILURE_PRIOR: Prior = Prior { total: 30.0, bad: 0.3 };
 const SLOW_PRIOR: Prior = Prior { total: 2.0, bad: 1.0 };
 
@@ -33,37 +33,37 @@
     bad: f64,
 }
 
-/// Answers of one side.
+/// Response counts of one version group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Sample {
-    /// All of them.
+    /// All responses.
     pub total: u32,
-    /// The bad ones.
+    /// Failed or slow responses.
     pub bad: u32,
 }
 
 impl Sample {
-    /// Leaves out the bad answers of some moments: an endpoint or a machine that stands still spoils all that it has at once, and
-    /// these are no independent signs.
+    /// Excludes `bad` bad responses. A stalled endpoint or machine delays everything it has in
+    /// flight, so these responses are not independent.
     fn without(self, bad: u32) -> Sample {
         Sample { total: self.total - bad, bad: self.bad - bad }
     }
 }
 
-/// Why a version is bad.
+/// Evidence that the candidate is worse.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Regression {
-    /// Answers of the version.
+    /// Responses of the candidate.
     pub candidate: Sample,
-    /// Those of the versions that run.
+    /// Responses of the baseline.
     pub baseline: Sample,
-    /// Logarithm of the likelihood ratio.
+    /// Log likelihood ratio.
     pub log_ratio: f64,
-    /// Class of time from which an answer counted as bad; none if failures only did.
+    /// Latency bucket from which responses counted as bad; `None` if only failures did.
     pub slow_bucket: Option<usize>,
 }
 
-/// Looks for a version that answers worse.
+/// Returns the first regression found in any time window, on any route.
 pub fn find_regression(history: &ResponseHistory) -> Option<Regression> {
     history.windows().flatten().find_map(|comparison| compare(&comparison))
 }
@@ -78,8 +78,8 @@
         .or_else(|| find_slowdown(comparison))
 }
 
-/// Without a control in the same moments a version is judged by its failures alone: what slows all machines down after the shift
-/// would look like a slow version.
+/// Only uses time slots in which the baseline is a control. Otherwise, machines that slow down
+/// after the shift would make the candidate look slow.
 fn find_slowdown(comparison: &Comparison) -> Option<Regression> {
     let GroupCounts { baseline, candidate } = &comparison.controlled;
     let mut thresholds = slow_buckets().filter(|_| baseline.total() >= MIN_BASELINE_RESPONSES);
@@ -93,7 +93,7 @@
     })
 }
 
-/// Compares the shares of bad answers of both sides.
+/// Tests whether the candidate's share of bad responses is significantly larger.
 fn compare_bad_shares(
     candidate: Sample,
     baseline: Sample,
@@ -114,7 +114,7 @@
     if candidate.bad < MIN_BAD_RESPONSES || candidate_share < min_share {
         return None;
     }
-    // Against both sides having the share of the two together.
+    // The null hypothesis: both groups have the same share.
     let pooled_share = share(bad + baseline_bad, total + baseline_total);
     let log_ratio = log_likelihood(bad, total, candidate_share)
         + log_likelihood(baseline_bad, baseline_total, baseline_share)
@@ -129,7 +129,7 @@
     })
 }
 
-/// Logarithm of the likelihood of so many bad ones of all at a share.
+/// Returns the log likelihood of `bad` bad responses out of `total` if this share is expected.
 fn log_likelihood(bad: f64, total: f64, share: f64) -> f64 {
     let term = |n: f64, share: f64| if n > 0.0 { n * share.ln() } else { 0.0 };
     term(bad, share) + term(total - bad, 1.0 - share)
--- a/oxbowbend-core/src/rollout/responses.rs
+++ b/oxbowbend-core/src/rollout/responses.rs
@@ -1,77 +1,76 @@
-//! What is known of the answers of the versions of a service.
+//! Response statistics for each version of a service.
 //!
-//! Each instance counts the answers that it saw: by route, by version, by the time that they took for a unit of work,
-//! and failures. The counters are told like those of client accounts, as sums that only grow, and what they
-//! grow by is kept here by time, since a version may turn bad late.
+//! Each instance counts the responses it sees, by route, version and latency per unit of work, and
+//! the failures. Instances exchange these as monotonic counters, and their increments are kept here
+//! by time, because a version may regress late.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Number of an order: a hash of what it asks for.
+/// Identifies a rollout: a hash of its service and destination.
 pub type RolloutId = u32;
-/// Number of a route: a hash of its name.
+/// Identifies a route: a hash of its name.
 pub type RouteKey = u16;
 
-/// Classes of time, each up to twice that of the one before. Engines differ by 4.4, and answers of a bad version are
-/// several times slower.
+/// Number of latency buckets. Engines differ in speed by a factor of up to 4.4, and a regression
+/// slows responses down several times.
 const LATENCY_BUCKETS: usize = 14;
-/// Class of failures.
 const FAILURE_BUCKET: u8 = LATENCY_BUCKETS as u8;
-/// Nanoseconds for a unit of work up to which an answer is in the first class.
+/// Bucket `n` covers latencies from this times 2ⁿ to twice that, in nanoseconds per unit of work;
+/// the first also covers shorter ones, and the last longer ones.
 const BUCKET_BASE_NS: f64 = 1_000.0;
-/// Time for which answers are added up.
 const SLOT_DURATION: Duration = Duration::from_millis(500);
-/// Times that are kept: what is older says nothing of a version that has turned bad since.
+/// Two minutes of traffic; older responses say nothing about a late regression.
 const MAX_SLOTS: usize = 240;
 
-/// Version of an endpoint's software, as far as an order tells them apart.
+/// Which side of the comparison a version is on.
 #[derive(
     Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
 )]
 pub enum VersionGroup {
-    /// Any version but the one that is ordered.
+    /// Any version other than the destination of the rollout.
     #[serde(rename = "o")]
     Baseline,
-    /// The one that is ordered.
+    /// The destination version.
     #[serde(rename = "n")]
     Candidate,
 }
 
-/// What an endpoint made of a request.
+/// The result of a request to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResponseOutcome {
-    /// A good answer that took so many nanoseconds for a unit of work.
+    /// A successful response.
     Success {
-        /// Nanoseconds.
+        /// Latency in nanoseconds per unit of work.
         ns_per_unit: f64,
     },
-    /// An error of its own, a broken answer, or none.
+    /// A server error, a truncated response, or none.
     Failure,
 }
 
-/// What a counter counts.
+/// The key of a response counter.
 #[derive(
     Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
 )]
 pub struct ResponseCounterKey {
-    /// The order.
+    /// The rollout.
     #[serde(rename = "o")]
     pub rollout: RolloutId,
     /// The route.
     #[serde(rename = "r")]
     pub route: RouteKey,
-    /// The version.
+    /// The version group.
     #[serde(rename = "s")]
     pub group: VersionGroup,
-    /// Class of time, or failures.
+    /// The latency bucket, or the one for failures.
     #[serde(rename = "c")]
     bucket: u8,
 }
 
 impl ResponseCounterKey {
-    /// The counter for an answer.
+    /// Returns the key of the counter for a response.
     pub fn new(
         rollout: RolloutId,
         route: &str,
@@ -91,26 +90,26 @@
     (exponent as usize).min(LATENCY_BUCKETS - 1) as u8
 }
 
-/// Answers of one version on one route.
+/// Response counts of one version group on one route.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ResponseCounts {
-    /// Good answers by class of time.
+    /// Successful responses by latency bucket.
     by_latency: [u32; LATENCY_BUCKETS],
     failed: u32,
 }
 
 impl ResponseCounts {
-    /// All answers.
+    /// Returns the number of responses.
     pub fn total(&self) -> u32 {
         self.by_latency.iter().sum::<u32>() + self.failed
     }
 
-    /// Failures.
+    /// Returns the number of failures.
     pub fn failed(&self) -> u32 {
         self.failed
     }
 
-    /// Failures, and good answers of a class of time or a slower one.
+    /// Returns the number of failures and of successes in the given bucket or a slower one.
     pub fn failed_or_slow(&self, bucket: usize) -> u32 {
         self.failed + self.by_latency.iter().skip(bucket).sum::<u32>()
     }
@@ -128,29 +127,29 @@
     }
 }
 
-/// Classes of time, slower ones later.
+/// Returns the buckets that may serve as a threshold for slow responses.
 pub(super) fn slow_buckets() -> std::ops::Range<usize> {
     1..LATENCY_BUCKETS
 }
 
-/// Answers of both versions.
+/// Response counts of both version groups.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct GroupCounts {
-    /// Of the versions that run.
+    /// Responses of the baseline.
     pub baseline: ResponseCounts,
-    /// Of the one that is ordered.
+    /// Responses of the candidate.
     pub candidate: ResponseCounts,
 }
 
-/// Answers of both versions in a span.
+/// Responses of both version groups within a time window.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Comparison {
-    /// All of them.
+    /// All responses.
     pub total: GroupCounts,
-    /// Those of moments in which the versions that run have answered at least as often. At other moments, as
-    /// after the shift, nothing tells a slow version from slow machines.
+    /// Responses in the time slots in which the baseline responded at least as often. In others,
+    /// such as those after the shift, slow machines can't be told from a slow version.
     pub controlled: GroupCounts,
-    /// Of these, those of the new version in its two worst slots that failed or were of a class of time or a slower one.
+    /// By bucket, the failed or slow candidate responses in each of the two worst controlled slots.
     worst_slots: [(u32, u32); LATENCY_BUCKETS],
 }
 
@@ -168,7 +167,8 @@
         }
     }
 
-    /// Answers of the new version in its two worst moments that failed or were of a class of time or a slower one.
+    /// Returns the number of candidate responses in the two worst slots that failed or fell in the
+    /// given bucket or a slower one.
     pub fn worst_failed_or_slow(&self, bucket: usize) -> u32 {
         self.worst_slots[bucket].0 + self.worst_slots[bucket].1
     }
@@ -194,14 +194,14 @@
     routes: BTreeMap<RouteKey, GroupCounts>,
 }
 
-/// Answers of all instances, by time.
+/// Responses seen by all instances, by time.
 #[derive(Debug, Default)]
 pub struct ResponseHistory {
     slots: VecDeque<TimeSlot>,
 }
 
 impl ResponseHistory {
-    /// Adds answers.
+    /// Adds `n` responses to the current time slot.
     pub fn add(&mut self, now: Instant, key: ResponseCounterKey, n: u64) {
         let n = n.min(u64::from(u32::MAX)) as u32;
         let is_open = |slot: &TimeSlot| now.saturating_duration_since(slot.start) < SLOT_DURATION;
@@ -216,8 +216,9 @@
         }
     }
 
-    /// Answers of the last seconds, of all of them, and of spans between: each of twice as many slots as the one
-    /// before. Each with routes by themselves and all routes together.
+    /// Returns the comparisons for time windows that end now, each twice as long as the one before
+    /// and the last covering the whole history. A window has one comparison for each route and one
+    /// for all routes together.
     pub fn windows(&self) -> impl Iterator<Item = Vec<Comparison>> + '_ {
         let count = self.slots.len();
         let lengths = std::iter::successors(Some(1_usize), |n| Some(n * 2));
@@ -239,7 +240,7 @@
         routes.into_values().chain([total]).collect()
     }
 
-    /// All answers so far, of all routes.
+    /// Returns the response counts of the whole history on all routes.
     pub fn totals(&self) -> GroupCounts {
         self.window(self.slots.len()).pop().unwrap_or_default().total
     }
