--- a/oxbowbend-core/src/rollout/mod.rs
+++ b/oxbowbend-core/src/rollout/mod.rs
@@ -1,19 +1,20 @@
-//! Roll-outs: an operator orders that a service's requests move to another version of its endpoints, which run beside
-//! the others meanwhile.
+//! Rollouts: moving the requests of a service to another version of its endpoints on an operator's
+//! order, while both versions run.
 //!
-//! A version may be bad: it fails a part of its requests or is several times slower, at once or later, under load or
-//! on one route only. So a roll-out begins as a canary: each instance sends the version a small part of its own
-//! requests, which keeps the fleet within the operator's bound whoever hears whom, and only to as many
-//! endpoints as that part keeps as busy as the others. All instances tell each other what became of both versions'
-//! requests ([`responses`]), and whoever finds the version worse ([`detector`]) rolls back. Time that is left is time
-//! for evidence: only when the rest is needed for what still runs at the other versions does all traffic shift.
-//! Once nothing runs there any more the roll-out is complete, and the platform stops them.
+//! The new version may fail some requests or be several times slower, at once or later, under load,
+//! or on one route only. A rollout therefore starts as a canary. Each instance sends a small share
+//! of its own requests to the new version, which keeps the fleet within the operator's limit
+//! without coordination, and only to as many endpoints as that share keeps as busy as the others.
+//! Instances exchange response statistics ([`responses`]), and any instance that finds the version
+//! worse ([`detector`]) rolls it back. The canary lasts until the remaining time is needed to drain
+//! the other versions; then all traffic shifts. Once nothing is in flight on them the rollout is
+//! complete, and the platform stops them.
 //!
-//! Phases only go forward, whoever tells of them and in whatever order, and the last ones are final: of two instances that
-//! decide apart, the one that has the status written in the store is right.
+//! Phases only move forward, in whatever order records arrive, and the last ones are final. If two
+//! instances decide differently, the status that is written in the store first wins.
 //!
-//! What was traded: a version that turns bad after the shift has had up to a second of all requests; and
-//! evidence from before an instance was first heard is lost.
+//! Detection takes time: a version that regresses after the shift serves all requests for up to a
+//! second. Responses reported before an instance first hears of the rollout are not counted there.
 
 pub mod detector;
 mod records;
@@ -32,106 +33,108 @@
 use responses::{GroupCounts, ResponseCounterKey, ResponseOutcome, RolloutId, VersionGroup};
 use state::Rollout;
 
-/// Part of the bound on exposure that is used: what is on its way when a version is found to be bad comes on top.
+/// Share of the exposure limit that is used, leaving room for the requests in flight when a
+/// regression is found.
 const TARGET_EXPOSURE_FRACTION: f64 = 0.8;
-/// Time after a complete roll-out for which the other versions are left alone: their entries go after three
+/// How long after completion the other versions stay excluded. Their entries expire after three
 /// heartbeats of 1.2 s.
 const RETIRE_DELAY: Duration = Duration::from_secs(10);
-/// Age up to which what an instance tells of its runs counts.
+/// How long the in-flight requests reported by an instance count.
 const PEER_RECORD_TTL: Duration = Duration::from_millis(1500);
-/// Separates a service's name from the version in the name of the part that is moved to.
+/// Separates the service from the version in the name of a candidate service.
 const VERSION_SEPARATOR: char = '\u{1f}';
 
-/// Bounds of the operator.
+/// Limits set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutLimits {
-    /// Largest share of a service's requests that a version may get that turns out to be bad.
+    /// Largest share of a service's requests that a bad version may get.
     pub max_candidate_share: f64,
 }
 
-/// What an operator orders.
+/// An operator's order for a rollout.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RolloutSpec {
     /// The service.
     pub service: ServiceId,
     /// The version to move to.
     pub destination: VersionId,
-    /// Time from the order within which it should be complete.
+    /// Time within which the rollout should complete.
     pub duration: Duration,
 }
 
 impl RolloutSpec {
-    /// Its number. The same asked for again is the same order, and what was decided on it stands.
+    /// Returns the identifier of the rollout. A repeated order has the same one, so that earlier
+    /// decisions remain in force.
     pub fn id(&self) -> RolloutId {
         xxh3_64(format!("{}{VERSION_SEPARATOR}{}", self.service, self.destination).as_bytes())
             as RolloutId
     }
 }
 
-/// What the operator is told.
+/// The status of a rollout, as written to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Status {
     /// Both versions run.
     Running,
     /// All requests go to the new version.
     Complete,
-    /// No request goes there.
+    /// No requests go to the new version.
     RolledBack,
 }
 
-/// Why a roll-out is in another phase.
+/// Why a rollout entered a phase.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PhaseReason {
     /// It was ordered.
     Ordered,
-    /// The version answers worse.
+    /// The new version is worse.
     Worse(Regression),
-    /// The time of the phase before is over.
+    /// The time of the previous phase ran out.
     Time,
-    /// The deadline has come, and there was nothing to move to.
+    /// The new version had no endpoints at the deadline.
     NoEndpoints,
-    /// Nothing is left at the other versions.
+    /// The service has only endpoints of the new version.
     Idle,
-    /// The order was taken back.
+    /// The order was cancelled.
     Cancelled,
-    /// Another instance, or the store, says so.
+    /// Another instance or the store reported the phase.
     Told,
 }
 
-/// A roll-out is in another phase, for the log.
+/// A phase change of a rollout, for logging.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PhaseChange {
     /// The service.
     pub service: ServiceId,
-    /// The version.
+    /// The version to move to.
     pub destination: VersionId,
-    /// The phase.
+    /// The phase entered.
     pub phase: Phase,
-    /// Why.
+    /// Why the phase was entered.
     pub reason: PhaseReason,
-    /// Since the order.
+    /// Time since the order.
     pub age: Duration,
-    /// What is known of both versions' answers.
+    /// Responses of both version groups so far.
     pub responses: GroupCounts,
 }
 
-/// Where an endpoint of a service stands in its roll-out.
+/// The role of an endpoint in the rollout of its service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointRole {
-    /// It serves what is sent to the service.
+    /// It receives the requests to the service.
     Service,
-    /// It serves what is sent to this name.
+    /// It receives the requests to this candidate service.
     Version(ServiceId),
-    /// It is sent nothing.
+    /// It receives no requests.
     Excluded,
 }
 
-/// All roll-outs as one instance sees them.
+/// The rollouts as one instance sees them.
 #[derive(Debug)]
 pub struct Rollouts {
     limits: RolloutLimits,
     rollouts: BTreeMap<ServiceId, Rollout>,
-    /// Answers that this instance saw, those that its cell told of, and those of other cells.
+    /// Responses seen by this instance, by others of its cell, and by other cells.
     local_counters: BTreeMap<ResponseCounterKey, u64>,
     peer_counters: BTreeMap<ResponseCounterKey, u64>,
     remote_counters: BTreeMap<ResponseCounterKey, u64>,
@@ -139,7 +142,7 @@
 }
 
 impl Rollouts {
-    /// None yet.
+    /// Creates an empty set of rollouts.
     pub fn new(limits: RolloutLimits) -> Rollouts {
         Rollouts {
             limits,
@@ -151,8 +154,8 @@
         }
     }
 
-    /// Takes in an order. `longest` is the longest time that a request to the service may take. The same order
-    /// again changes nothing; one for another version takes the place of the one before.
+    /// Starts a rollout. A repeated order has no effect; an order for another version replaces the
+    /// current one. `max_request_duration` is the longest time a request to the service may take.
     pub fn start(&mut self, now: Instant, spec: RolloutSpec, max_request_duration: Duration) {
         if self.rollouts.get(&spec.service).is_some_and(|r| r.id == spec.id()) {
             return;
@@ -181,7 +184,7 @@
         self.rollouts.insert(service, rollout);
     }
 
-    /// Takes an order back.
+    /// Cancels the rollout of a service by rolling it back.
     pub fn cancel(&mut self, now: Instant, service: &ServiceId) {
         if let Some(rollout) = self.rollouts.get_mut(service) {
             if rollout.phase < Phase::RolledBack {
@@ -194,7 +197,7 @@
         }
     }
 
-    /// Takes in what the store says of an order for a version.
+    /// Applies the status that the store has for a rollout.
     pub fn apply_stored_status(
         &mut self,
         now: Instant,
@@ -215,12 +218,12 @@
         }
     }
 
-    /// Forgets what the store said, since it may not hold it any more.
+    /// Forgets the known contents of the store, which may have been restored from a backup.
     pub fn forget_stored_statuses(&mut self) {
         self.rollouts.values_mut().for_each(|rollout| rollout.stored_status = None);
     }
 
-    /// What the store should say and does not, as far as is known.
+    /// Returns the statuses to write to the store.
     pub fn due_status_writes(&self, now: Instant) -> Vec<(RolloutSpec, Status)> {
         let due = self.rollouts.values().filter_map(|rollout| {
             let status = rollout.desired_status(now)?;
@@ -229,7 +232,7 @@
         due.collect()
     }
 
-    /// Takes in the list of all endpoints; returns where each stands.
+    /// Updates the endpoints; returns the role of each, in the same order.
     pub fn set_endpoints(&mut self, now: Instant, endpoints: &[Endpoint]) -> Vec<EndpointRole> {
         for rollout in self.rollouts.values_mut() {
             rollout.set_endpoints(now, endpoints);
@@ -242,8 +245,8 @@
         endpoints.iter().map(role).collect()
     }
 
-    /// Endpoints of versions that are tried: as many as the part of the requests that they get keeps as busy as the
-    /// others.
+    /// Returns the endpoints that serve canary requests: as many as their share of the requests
+    /// keeps as busy as the others.
     fn select_canaries<'a>(&self, endpoints: &'a [Endpoint]) -> Vec<&'a EndpointId> {
         let mut canaries = Vec::new();
         for rollout in self.rollouts.values().filter(|r| r.phase == Phase::Canary) {
@@ -265,9 +268,10 @@
         canaries
     }
 
-    /// Where to send a request to a service, by name of the part; counts it. `has_new` if this instance has
-    /// endpoints of the new version, `is_first` if the request was sent nowhere before: one that has failed is not
-    /// tried out again.
+    /// Returns the service or candidate service to send a request to, and counts the request.
+    /// `has_candidate` is whether this instance knows endpoints of the new version, and
+    /// `is_first_attempt` whether the request has not been sent before; retries don't go to a
+    /// canary.
     pub fn assign_request(
         &mut self,
         service: &ServiceId,
@@ -282,12 +286,12 @@
         }
     }
 
-    /// Name of the part of a service that is moved to, if there is one.
+    /// Returns the candidate service of a service, if it has a rollout.
     pub fn candidate_service(&self, service: &ServiceId) -> Option<ServiceId> {
         self.rollouts.get(service).map(Rollout::candidate_service)
     }
 
-    /// Notes that a request began to run at an endpoint.
+    /// Records that a request was sent to an endpoint.
     pub fn request_started(&mut self, endpoint: &Endpoint) {
         if let Some(rollout) = self.rollouts.get_mut(base_service(&endpoint.service)) {
             if rollout.group(endpoint) == Some(VersionGroup::Baseline) {
@@ -296,7 +300,8 @@
         }
     }
 
-    /// Notes that a request ended at an endpoint, and with what answer if that says something of the endpoint.
+    /// Records that a request to an endpoint ended, with its outcome if that says something about
+    /// the endpoint.
     pub fn request_finished(
         &mut self,
         now: Instant,
@@ -315,7 +320,7 @@
         *self.local_counters.entry(key).or_default() += 1;
     }
 
-    /// Adds answers that another instance told of, or another cell.
+    /// Adds responses reported by another instance or cell.
     pub fn add_peer_responses(
         &mut self,
         now: Instant,
@@ -332,12 +337,12 @@
         *counters.entry(key).or_default() += n;
     }
 
-    /// Answers that this instance saw.
+    /// Returns the responses seen by this instance.
     pub fn local_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
         self.local_counters.iter().map(|(key, n)| (key, *n))
     }
 
-    /// Answers that this cell saw, as far as it has heard.
+    /// Returns the responses seen by this cell, as far as reported here.
     pub fn cell_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
         let keys = self
             .local_counters
@@ -353,12 +358,12 @@
         })
     }
 
-    /// Answers that other cells saw, likewise.
+    /// Returns the responses seen by other cells, as far as reported here.
     pub fn remote_counters(&self) -> impl Iterator<Item = (&ResponseCounterKey, u64)> {
         self.remote_counters.iter().map(|(key, n)| (key, *n))
     }
 
-    /// Decides what time and evidence bring.
+    /// Advances rollouts according to the time and the responses so far.
     pub fn advance(&mut self, now: Instant) {
         for rollout in self.rollouts.values_mut() {
             self.changes.extend(rollout.advance(now));
@@ -370,18 +375,18 @@
         }
     }
 
-    /// Roll-outs in progress.
+    /// Returns the number of rollouts in progress.
     pub fn in_progress(&self) -> usize {
         self.rollouts.values().filter(|r| r.phase < Phase::RolledBack).count()
     }
 
-    /// What has changed since the last call.
+    /// Takes the phase changes since the last call.
     pub fn take_changes(&mut self) -> Vec<PhaseChange> {
         std::mem::take(&mut self.changes)
     }
 }
 
-/// A service's name without that of a part.
+/// Returns the service that a service or candidate service belongs to.
 fn base_service(service: &ServiceId) -> &str {
     service.split(VERSION_SEPARATOR).next().unwrap_or(service)
 }
