--- a/oxbowbend-core/src/rollout/records.rs
+++ b/oxbowbend-core/src/rollout/records.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of roll-outs, and note in the store.
+//! Rollout records exchanged between instances and written to the store.
 
 use std::time::{Duration, Instant};
 
@@ -6,30 +6,31 @@
 use super::{PhaseReason, RolloutSpec, Rollouts, PEER_RECORD_TTL};
 use crate::ids::{InstanceId, ServiceId, VersionId};
 
-/// Phase of a roll-out. Later ones take the place of earlier ones.
+/// Phases of a rollout, in order. A later one supersedes an earlier one.
 #[derive(
     Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
 )]
 pub enum Phase {
-    /// A small part of the requests goes to the new version.
+    /// A small share of the requests goes to the new version.
     Canary,
-    /// All new requests go there.
+    /// All new requests go to the new version.
     Shift,
-    /// None do: the version is bad.
+    /// No requests go to the new version.
     RolledBack,
-    /// All do, and the other versions are stopped.
+    /// All requests go to the new version, and the other versions are stopped.
     Complete,
-    /// As if there had been no order: versions are alike again.
+    /// The rollout is over, and versions are no longer distinguished.
     Retired,
 }
 
-/// What one report tells of a roll-out. Times left are sent instead of times, since no two clocks agree.
+/// The state of a rollout in a report. It contains durations instead of times, because clocks
+/// differ.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct RolloutRecord {
     /// The service.
     #[serde(rename = "s")]
     pub service: ServiceId,
-    /// The version.
+    /// The version to move to.
     #[serde(rename = "d")]
     pub destination: VersionId,
     /// Milliseconds since the order.
@@ -38,29 +39,29 @@
     /// Milliseconds from the order to the deadline.
     #[serde(rename = "t")]
     pub duration_ms: u32,
-    /// The phase.
+    /// The current phase.
     #[serde(rename = "p")]
     pub phase: Phase,
-    /// Requests at other versions, of the sender or, told to other cells, of its cell; one more for each instance that
-    /// still sends some there.
+    /// Requests in flight on the baseline, of the sender or, in a report to other cells, of its
+    /// cell. Each instance that still sends requests there adds one.
     #[serde(rename = "r", default)]
     pub baseline_in_flight: u32,
-    /// Those of other cells, from a representative to its cell.
+    /// The same of other cells, in a report from a representative to its cell.
     #[serde(rename = "b", default)]
     pub remote_in_flight: u32,
 }
 
-/// Who tells of a roll-out.
+/// Where a peer is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PeerLocation {
-    /// An instance of this cell.
+    /// An instance in the same cell.
     SameCell,
     /// A representative of another cell.
     OtherCell,
 }
 
 impl Rollouts {
-    /// What to tell an instance of this cell, or those of others.
+    /// Returns the records to include in a report to the given peers.
     pub fn make_records(&self, now: Instant, recipient: PeerLocation) -> Vec<RolloutRecord> {
         let make_record = |rollout: &Rollout| RolloutRecord {
             service: rollout.spec.service.clone(),
@@ -80,7 +81,8 @@
         self.rollouts.values().map(make_record).collect()
     }
 
-    /// Takes in what another instance tells. `longest` is the longest time that a request to a service may take.
+    /// Applies the records in a report. `max_request_duration` returns the longest time a request
+    /// to a service may take.
     pub fn apply_records(
         &mut self,
         now: Instant,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Takes in what an instance noted in the store before this one's start.
+    /// Applies a record that was stored before this instance started.
     pub fn restore(
         &mut self,
         now: Instant,
@@ -129,8 +131,8 @@
         }
     }
 
-    /// An order that is not known, or that is younger than the one that is, takes its place; of the same one the
-    /// later phase holds.
+    /// Adopts an order that is unknown or newer than the known one. Of the same order, the later
+    /// phase wins.
     fn merge_record(
         &mut self,
         now: Instant,
@@ -144,7 +146,7 @@
             return self.start_from_record(now, record, started_at, max_request_duration);
         };
         if known.spec.destination != destination {
-            // Ages differ by what a report takes.
+            // Ages are imprecise by the time a report takes.
             if started_at > known.started_at + PEER_RECORD_TTL {
                 self.start_from_record(now, record, started_at, max_request_duration);
             }
@@ -183,18 +185,20 @@
 }
 
 impl Rollout {
-    /// Requests of this instance at other versions; one more if it still sends some there.
+    /// Returns the requests of this instance in flight on the baseline, plus one if it still sends
+    /// some there.
     fn local_baseline_in_flight(&self) -> u32 {
         self.baseline_in_flight + u32::from(self.phase < Phase::Shift)
     }
 
-    /// Those of its cell, as far as is heard.
+    /// Returns the same for its cell, as far as reported.
     fn cell_baseline_in_flight(&self, now: Instant) -> u32 {
         let same_cell = self.live_peers(now).filter(|peer| peer.location == PeerLocation::SameCell);
         self.local_baseline_in_flight() + same_cell.map(|peer| peer.baseline_in_flight).sum::<u32>()
     }
 
-    /// Those of other cells: as their representatives told, or one of this cell did.
+    /// Returns the same for other cells, as reported by their representatives or relayed within the
+    /// cell.
     fn remote_baseline_in_flight(&self, now: Instant) -> u32 {
         let relayed = self
             .live_peers(now)
@@ -203,8 +207,8 @@
         self.reported_by_other_cells(now).max(relayed.max().unwrap_or(0))
     }
 
-    /// Those that other cells told this instance of. Only these are told on: what two instances of a cell told each
-    /// other on would stay for ever.
+    /// Returns what other cells reported to this instance. Only this is relayed: two instances of a
+    /// cell that relayed each other's counts would keep them alive forever.
     fn reported_by_other_cells(&self, now: Instant) -> u32 {
         self.live_peers(now)
             .filter(|peer| peer.location == PeerLocation::OtherCell)
@@ -212,7 +216,7 @@
             .sum()
     }
 
-    /// Those of the fleet.
+    /// Returns the requests in flight on the baseline in the whole fleet.
     pub(super) fn fleet_baseline_in_flight(&self, now: Instant) -> u32 {
         self.cell_baseline_in_flight(now) + self.remote_baseline_in_flight(now)
     }
--- a/oxbowbend-core/src/rollout/state.rs
+++ b/oxbowbend-core/src/rollout/state.rs
@@ -1,4 +1,4 @@
-//! One roll-out: its phase, its evidence, and when it goes on.
+//! The state of one rollout.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -12,19 +12,20 @@
 use crate::ids::{InstanceId, ServiceId};
 use crate::routes::Endpoint;
 
-/// Part of an order's time after which the shift begins at the latest, so that there is evidence of the canary in
-/// any case.
+/// Smallest fraction of the rollout's duration spent in the canary phase, however long the baseline
+/// may take to drain.
 const MIN_CANARY_FRACTION: f64 = 0.6;
-/// Time before the deadline at which the status is written although something still runs at the other versions: an order
-/// is known up to 0.7 s after it was given, and the status is written up to 0.5 s after it is due.
+/// How long before the deadline a rollout completes even if requests are still in flight on the
+/// baseline. An order takes up to 0.7 s to arrive, and writing the status up to 0.5 s.
 const STATUS_WRITE_MARGIN: Duration = Duration::from_millis(1500);
-/// Time for which nobody must have told of anything at the other versions: reports come every 130 ms, and pass
-/// two representatives.
+/// How long no instance may have reported requests in flight on the baseline. Reports are sent
+/// every 130 ms and may pass through two representatives.
 const DRAIN_CONFIRMATION_PERIOD: Duration = Duration::from_millis(1000);
-/// Time for which a service must have had no other version before an order for it is complete by itself.
+/// How long a service must have had only endpoints of the candidate version for its rollout to skip
+/// the canary.
 const SINGLE_VERSION_PERIOD: Duration = Duration::from_secs(3);
 
-/// Number of a service's endpoints by version.
+/// Number of a service's endpoints by version group.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct EndpointCounts {
     pub(super) baseline: usize,
@@ -37,25 +38,25 @@
     pub(super) id: RolloutId,
     pub(super) started_at: Instant,
     pub(super) deadline: Instant,
-    /// Longest time that a request to the service may take.
+    /// Longest time a request to the service may take.
     pub(super) max_request_duration: Duration,
     pub(super) phase: Phase,
     pub(super) phase_entered_at: Instant,
     pub(super) responses: ResponseHistory,
     pub(super) endpoint_counts: EndpointCounts,
     pub(super) candidate_only_since: Option<Instant>,
-    /// Requests sent by this instance, and those of them to the new version.
+    /// Requests sent by this instance, and how many of them to the candidate.
     pub(super) requests_sent: u64,
     pub(super) candidate_requests_sent: u64,
-    /// Requests of this instance at other versions.
+    /// Requests of this instance in flight on the baseline.
     pub(super) baseline_in_flight: u32,
     pub(super) peers: HashMap<InstanceId, PeerInFlight>,
     pub(super) drained_since: Option<Instant>,
-    /// What the store says.
+    /// The status last read from the store or written to it.
     pub(super) stored_status: Option<Status>,
 }
 
-/// What an instance has told of runs at other versions.
+/// In-flight requests on the baseline as reported by an instance.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerInFlight {
     pub(super) received_at: Instant,
@@ -114,7 +115,7 @@
         Some(self.phase_change(now, reason))
     }
 
-    /// On which side an endpoint is, if it belongs to the service.
+    /// Returns the version group of an endpoint, if it belongs to the service.
     pub(super) fn group(&self, endpoint: &Endpoint) -> Option<VersionGroup> {
         if base_service(&endpoint.service) != &*self.spec.service {
             return None;
@@ -167,7 +168,7 @@
         let is_within_share =
             (self.candidate_requests_sent + 1) as f64 <= share * self.requests_sent as f64;
         let group = match self.phase {
-            // There is nothing else to send it to.
+            // There are no other endpoints.
             Phase::Canary if has_candidate && self.endpoint_counts.baseline == 0 => {
                 VersionGroup::Candidate
             }
@@ -181,7 +182,8 @@
         group
     }
 
-    /// When all traffic shifts at the latest.
+    /// Returns the latest time at which all traffic shifts: as soon as the rest is needed to drain
+    /// the baseline.
     pub(super) fn latest_shift_at(&self) -> Instant {
         let duration = self.deadline.saturating_duration_since(self.started_at);
         let reserve = (self.max_request_duration + STATUS_WRITE_MARGIN)
@@ -224,7 +226,7 @@
         self.drained_since = if is_drained { self.drained_since.or(Some(now)) } else { None };
     }
 
-    /// What the store should say.
+    /// Returns the status that the store should have.
     pub(super) fn desired_status(&self, now: Instant) -> Option<Status> {
         if self.endpoint_counts == EndpointCounts::default() {
             return None;
