--- a/oxbowbend-core/src/quarantine/successes.rs
+++ b/oxbowbend-core/src/quarantine/successes.rs
@@ -1,4 +1,4 @@
-//! Requests that had a good answer lately, and so do not end endpoints.
+//! Requests that recently succeeded and are therefore not the cause of a crash.
 
 use std::time::{Duration, Instant};
 
@@ -6,12 +6,10 @@
 use super::records::SuccessRecord;
 use crate::fingerprint::Fingerprint;
 
-/// Places of the table; a later request may take an earlier one's. With the 60 requests a second of a busy instance
-/// one in 25 is forgotten within the 3 s for which it counts.
+/// Number of slots in the direct-mapped table. A collision evicts the earlier request: at 60
+/// requests per second, 1 in 25 is lost within the 3 s for which it matters.
 const TABLE_SIZE: usize = 4096;
-/// Answers that one report tells.
 const MAX_RECORDS_PER_UPDATE: usize = 16;
-/// Answers that wait to be told.
 const MAX_QUEUED: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
@@ -20,11 +18,11 @@
     succeeded_at: Option<Instant>,
 }
 
-/// When requests were last answered well.
+/// The time of the last success of each request, in a direct-mapped table.
 #[derive(Debug)]
 pub(super) struct RecentSuccesses {
     table: Box<[TableEntry]>,
-    /// What others hold against a request that was answered, and since when they are told.
+    /// Successes to send to other instances, and when they were queued.
     queued: Vec<(Fingerprint, Instant)>,
 }
 
@@ -37,15 +35,15 @@
 
 impl RecentSuccesses {
     pub(super) fn record(&mut self, at: Instant, fingerprint: Fingerprint) {
-        let place = &mut self.table[index(fingerprint)];
+        let entry = &mut self.table[index(fingerprint)];
         let is_later =
-            place.fingerprint == fingerprint && place.succeeded_at.is_some_and(|known| known > at);
+            entry.fingerprint == fingerprint && entry.succeeded_at.is_some_and(|known| known > at);
         if !is_later {
-            *place = TableEntry { fingerprint, succeeded_at: Some(at) };
+            *entry = TableEntry { fingerprint, succeeded_at: Some(at) };
         }
     }
 
-    /// Notes what another instance tells; returns whether it is news.
+    /// Records a success reported by another instance; returns whether it was new.
     pub(super) fn record_remote(
         &mut self,
         now: Instant,
@@ -60,16 +58,16 @@
     }
 
     fn last_success(&self, fingerprint: Fingerprint) -> Option<Instant> {
-        let place = &self.table[index(fingerprint)];
-        place.succeeded_at.filter(|_| place.fingerprint == fingerprint)
+        let entry = &self.table[index(fingerprint)];
+        entry.succeeded_at.filter(|_| entry.fingerprint == fingerprint)
     }
 
-    /// Whether a request was answered well since an instant.
+    /// Returns whether a request succeeded at or after `since`.
     pub(super) fn succeeded_since(&self, fingerprint: Fingerprint, since: Instant) -> bool {
         self.last_success(fingerprint).is_some_and(|at| at >= since)
     }
 
-    /// Lets others know, who may hold an end against it.
+    /// Queues the success of a request for instances that may suspect it.
     pub(super) fn queue_for_gossip(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.queued.retain(|(known, _)| *known != fingerprint);
         if self.queued.len() >= MAX_QUEUED {
@@ -78,14 +76,18 @@
         self.queued.push((fingerprint, now));
     }
 
-    pub(super) fn collect_records(&mut self, now: Instant, lately: Duration) -> Vec<SuccessRecord> {
-        self.queued.retain(|(_, since)| now.saturating_duration_since(*since) < lately);
-        let told =
+    pub(super) fn collect_records(
+        &mut self,
+        now: Instant,
+        max_age: Duration,
+    ) -> Vec<SuccessRecord> {
+        self.queued.retain(|(_, queued_at)| now.saturating_duration_since(*queued_at) < max_age);
+        let records =
             self.queued.iter().rev().take(MAX_RECORDS_PER_UPDATE).filter_map(|(fingerprint, _)| {
                 let at = self.last_success(*fingerprint)?;
                 Some(SuccessRecord { fingerprint: *fingerprint, age_ms: age_ms(now, at) })
             });
-        told.collect()
+        records.collect()
     }
 }
 
