--- a/oxbowbend-core/tests/rollout.rs
+++ b/oxbowbend-core/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: how much a version gets, when it is found to be bad, and what instances that do not hear each other do.
+//! Rollouts: exposure limits, regression detection, and conflicting decisions of instances.
 
 use std::time::{Duration, Instant};
 
@@ -19,7 +19,7 @@
 const LIMITS: RolloutLimits = RolloutLimits { max_candidate_share: 0.1 };
 const DURATION: Duration = Duration::from_secs(20);
 const MAX_REQUEST_DURATION: Duration = Duration::from_secs(4);
-/// The order of the simulated evidence.
+/// The rollout of the simulated responses.
 const ROLLOUT: u32 = 1;
 
 fn spec(destination: &str) -> RolloutSpec {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Twenty endpoints of version 1, and as many of version 2.
+/// Returns 20 endpoints of version 1 and 20 of version 2.
 fn endpoints() -> Vec<Endpoint> {
     let of_version =
         |version: &'static str| (0..20).map(move |n| endpoint(&format!("e{version}-{n}"), version));
@@ -57,43 +57,44 @@
     rollouts.make_records(now, PeerLocation::SameCell)[0].phase
 }
 
-/// How a version answers.
+/// How a version responds.
 #[derive(Clone, Copy)]
 struct Behavior {
-    /// Share of failures, and of answers that are so many times slower.
+    /// Shares of failures and of slow responses, and how many times slower these are.
     failure_share: f64,
     slow_share: f64,
     slowdown: f64,
-    /// Seconds after which that begins.
+    /// Seconds until the regression starts.
     from: u64,
-    /// Routes, of six, on which it is so.
+    /// Number of affected routes, out of six.
     routes: u16,
 }
 
 const GOOD: Behavior =
     Behavior { failure_share: 0.01, slow_share: 0.0, slowdown: 1.0, from: 0, routes: 6 };
 
-/// Trouble that comes to both versions alike.
+/// A disturbance that affects both versions.
 #[derive(Clone, Copy)]
 enum Disturbance {
     Calm,
-    /// For seconds a quarter of all answers are failures.
+    /// A quarter of all responses fail for 3 s.
     Crashes,
-    /// For seconds all answers take four times as long.
+    /// All responses take four times as long for 3 s.
     LoadPeak,
-    /// The same from a second after the shift on, from which all requests go to the new version.
+    /// All responses take four times as long from a second after the shift, when the candidate gets
+    /// all requests.
     LoadPeakAfterShift,
-    /// All endpoints of the new version are slow engines, as a third of the others.
+    /// All endpoints of the candidate are slow engines, as are a third of the others.
     SlowCanary,
-    /// Now and then an endpoint stands still for a moment; the new version has one, the others ten.
+    /// Endpoints stall briefly at random; the candidate has one endpoint, the baseline ten.
     Stalls,
 }
 
-/// Tick of a quarter second at which the shift comes, in that case.
+/// Tick at which all traffic shifts, in quarters of a second.
 const SHIFT_TICK: u32 = 48;
 
-/// Simulates 20 s of a service with so many requests a second, of which a thirteenth goes to the new version. Returns
-/// when that is found to be bad.
+/// Simulates 20 s of a service with one in 13 requests going to the candidate. Returns when a
+/// regression is detected.
 fn time_to_detection(
     seed: u64,
     per_s: u32,
@@ -122,7 +123,7 @@
                 Disturbance::Crashes if is_disturbed => 0.25,
                 _ => behavior.failure_share,
             };
-            // A third of the endpoints is 4.4 times slower, and prompts differ.
+            // A third of the endpoints is 4.4 times slower, and prompt lengths vary.
             let is_slow_canary =
                 group == VersionGroup::Candidate && matches!(disturbance, Disturbance::SlowCanary);
             let engine_factor =
@@ -164,8 +165,8 @@
     None
 }
 
-/// Rows: what is wrong with a version, and by when it must be known for half of the seeds and for all, in seconds
-/// after it has begun.
+/// Bad versions are detected in time. Columns: defect, requests per second, version, and limits in
+/// seconds on the median and the longest time to detection.
 #[test]
 fn regressions_are_detected_in_time() {
     let bad = |failure_share, slow_share, from, routes| Behavior {
@@ -194,16 +195,9 @@
     }
 }
 
-/// A good version was rolled back in its canary: of 28 of its answers in a span 18 took longer than a bound, of 323 of the others 61. They
-/// came from one or two endpoints, on a machine that was busy: what slows one endpoint down for a moment makes several slow answers at once, which
-/// were taken for so many signs, and an endpoint may be one of the slower ones from the beginning.
-///
-/// ```text
-/// event=rollout phase=RolledBack age_ms=4762 new=48 new_failed=0 old=556 old_failed=0 why="worse bad=18 of=28 old_bad=61 old_of=323 ratio=12.3 slow_from=Some(6)"
-/// ```
-///
-/// At the shift the other versions get no more requests, so a span over it holds their answers of one moment and the new version's of
-/// the next: machines that slow down between made it look slow, too.
+/// Good versions are not rolled back because of correlated slow responses: a stall delays several
+/// responses at once, a canary may run on slow engines, and machines may slow down at the shift,
+/// when the baseline no longer gets requests.
 #[test]
 fn good_versions_are_not_rolled_back() {
     for (name, disturbance) in [
@@ -238,7 +232,7 @@
         );
     }
     assert!(candidate_requests > 350, "{candidate_requests}");
-    // What has failed once is not tried out, nor is anything without an endpoint for it.
+    // Retries don't go to a canary, nor do requests without an endpoint for it.
     assert_eq!(rollouts.assign_request(&"s".into(), true, false), "s".into());
     assert_eq!(rollouts.assign_request(&"s".into(), false, true), "s".into());
     assert_eq!(rollouts.assign_request(&"other".into(), true, true), "other".into());
@@ -252,12 +246,13 @@
     let count =
         |predicate: fn(&EndpointRole) -> bool| roles.iter().filter(|role| predicate(role)).count();
     assert_eq!(count(|role| *role == EndpointRole::Service), 20);
-    // Eight of a hundred requests for twenty endpoints are the share of two.
+    // 8% of the requests occupy two of twenty endpoints.
     assert_eq!(count(|role| matches!(role, EndpointRole::Version(_))), 2);
     assert_eq!(count(|role| *role == EndpointRole::Excluded), 18);
 }
 
-/// A good version: canary, shift, complete once nothing runs at the others, and these are left alone afterwards.
+/// A good version passes all phases: it completes once the baseline is drained, which is then
+/// retired.
 #[test]
 fn good_version_completes_before_the_deadline() {
     let now = Instant::now();
@@ -279,7 +274,7 @@
         }
     }
     let complete = complete.expect("the rollout did not complete");
-    // What runs at the others is waited for up to a moment before the deadline.
+    // Requests on the baseline are awaited until shortly before the deadline.
     assert!(complete > now + 16 * S && complete < now + DURATION, "{:?}", complete - now);
     let roles = rollouts.set_endpoints(complete, &endpoints());
     assert!(roles[..20].iter().all(|p| *p == EndpointRole::Excluded));
@@ -312,7 +307,7 @@
         assert_eq!(rollouts.assign_request(&"s".into(), true, true), "s".into());
         assert_eq!(rollouts.due_status_writes(now)[0].1, Status::RolledBack);
     }
-    // Another version is another order.
+    // An order for another version starts a new rollout.
     rollouts.start(now, spec("3"), MAX_REQUEST_DURATION);
     assert_eq!(phase(&mut rollouts, now), Phase::Canary);
 }
@@ -324,7 +319,7 @@
     rollouts.start(now, spec("1"), MAX_REQUEST_DURATION);
     let endpoints = [endpoint("a", "1"), endpoint("b", "1")];
     let roles = rollouts.set_endpoints(now, &endpoints);
-    // Meanwhile all of it is served by all of them.
+    // Until then, all endpoints serve the candidate service.
     assert!(roles.iter().all(|role| matches!(role, EndpointRole::Version(_))), "{roles:?}");
     (0..20).for_each(|_| assert_ne!(rollouts.assign_request(&"s".into(), true, true), "s".into()));
     rollouts.advance(now);
@@ -348,22 +343,22 @@
     assert_eq!(rollouts.due_status_writes(now + DURATION)[0].1, Status::RolledBack);
 }
 
-/// What can happen to three instances.
+/// An event on one of three instances or the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Event {
-    /// An instance reads the order.
+    /// The instance reads the order.
     ReadOrder(usize),
-    /// It sees a bad answer of the new version after some good ones of the old one.
+    /// The instance sees failures of the candidate after successes of the baseline.
     FailCandidate(usize),
-    /// It tells another one what it knows.
+    /// The first instance sends its records to the second.
     SendRecords(usize, usize),
-    /// Time passes until the shift.
+    /// Time passes until after the shift.
     PassTime,
-    /// It starts again, knowing nothing.
+    /// The instance restarts without any state.
     Restart(usize),
-    /// It writes the status that it thinks is due, or takes the final one that is there.
+    /// The instance writes the status that is due, unless the store has a final one.
     WriteStatus(usize),
-    /// The store comes back from a copy without any status.
+    /// The store is restored from a backup without any status.
     RestoreStore,
 }
 
@@ -387,7 +382,7 @@
     now: Instant,
     instances: Vec<Rollouts>,
     status: Option<Status>,
-    /// Final statuses since the last restored copy.
+    /// Final statuses written since the store was last restored.
     final_statuses: Vec<Status>,
 }
 
@@ -487,8 +482,8 @@
     fleet
 }
 
-/// All histories of four events after an order that two of the three have read: no second final status, nothing
-/// sent to a version that is rolled back, whoever restarts, is not heard, or loses the store's word.
+/// No history of four events, after two instances have read the order, leads to two final statuses
+/// or to requests being sent to a version that was rolled back.
 #[test]
 fn three_instances_never_write_two_final_statuses() {
     let all = events();
@@ -502,7 +497,7 @@
     assert!(final_statuses > 1000, "{final_statuses}");
 }
 
-/// A later phase is never given up for an earlier one, in whatever order reports come.
+/// Records that arrive out of order never move a rollout back to an earlier phase.
 #[test]
 fn phases_only_move_forward() {
     let now = Instant::now();
